--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -57,7 +57,7 @@
         self.ready_in_seconds = ready_in_seconds
 
 
-class StreamCut(ServingError):
+class StreamTruncated(ServingError):
     """A stream ended before its proper end."""
 
 
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -15,7 +15,7 @@
 from loomwind.metrics import Metrics
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.demand import DemandKey
-from loomwind.serving.errors import RETRY_SOON_SECONDS, Refused, RelayDeclined, StreamCut
+from loomwind.serving.errors import RETRY_SOON_SECONDS, Refused, RelayDeclined, StreamTruncated
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
@@ -119,7 +119,7 @@
             self.metrics.answered.inc()
         except Refused as refusal:
             await self._refuse(exchange, caller, refusal)
-        except StreamCut as cut:
+        except StreamTruncated as cut:
             log_decision("cut", caller.request_id, reason=str(cut))
             self.metrics.refused.labels("answer-cut-short", "partial").inc()
             exchange.abort()
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -7,7 +7,7 @@
 from loomwind.http.messages import HttpRequest
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
-from loomwind.serving.errors import Refused, RelayDeclined, StreamCut
+from loomwind.serving.errors import Refused, RelayDeclined, StreamTruncated
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.relay_protocol import (
     RelayEnd,
@@ -75,7 +75,7 @@
             end = "refused"
             headers = end_headers(RelayEnd.REFUSED, refusal.retry_after_seconds)
             await exchange.respond(refusal.status, headers, str(refusal).encode())
-        except StreamCut as cut:
+        except StreamTruncated as cut:
             end = "cut"
             log_decision("cut", caller.request_id, reason=str(cut))
             exchange.abort()
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -21,7 +21,7 @@
     Refused,
     RelayDeclined,
     SendFailed,
-    StreamCut,
+    StreamTruncated,
 )
 from loomwind.serving.forwarder import OpenAnswer, Outgoing
 from loomwind.serving.model_wait import ModelWait
@@ -122,7 +122,7 @@
         except TimeoutError as error:
             self._log_end("out-of-time")
             raise self._out_of_time() from error
-        except (Refused, StreamCut):
+        except (Refused, StreamTruncated):
             self._log_end("given-up")
             raise
         except (ConnectionBroken, asyncio.CancelledError):
@@ -163,7 +163,7 @@
 
     def _out_of_time(self) -> Exception:
         if self._exchange.started:
-            return StreamCut("the time is over")
+            return StreamTruncated("the time is over")
         if self._may_have_run or self._handed_over:
             return Refused(504, "no answer in time")
         detail = "no server could take the request in time"
@@ -248,7 +248,7 @@
     def _give_up(self, reason: str, retry_after_seconds: float = RETRY_SOON_SECONDS) -> Exception:
         """Return the final answer: only a request that has not run is told to come back."""
         if self._exchange.started:
-            return StreamCut(reason)
+            return StreamTruncated(reason)
         if self._may_have_run:
             return Refused(502, reason)
         return Refused(503, reason, retry_after_seconds)
@@ -427,7 +427,7 @@
         if refusal.status in NOT_RUN_STATUSES and not self._has_not_run():
             return self._give_up(str(refusal))
         if self._exchange.started:
-            return StreamCut(str(refusal))
+            return StreamTruncated(str(refusal))
         return refusal
 
     def _note_first_event(self, entry: ServerEntry) -> None:
