--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -46,7 +46,7 @@
     """A peer has not taken a request, and nothing of it has run there."""
 
 
-class ModelNotInTime(ServingError):
+class ModelUnavailable(ServingError):
     """A request's model is at no server, and will not be before its caller leaves.
 
     :param ready_in_seconds: when it should be there.
--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -5,7 +5,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.logs import log_decision
 from loomwind.serving.demand import DemandKey, WaitingRequest
-from loomwind.serving.errors import ModelNotInTime
+from loomwind.serving.errors import ModelUnavailable
 from loomwind.serving.views import CallerRequest, RouteRule
 from loomwind.serving.wait_policy import (
     ComeBack,
@@ -92,7 +92,7 @@
             back = now + verdict.returns_in_ms / MS_PER_SECOND + self._objective
             returning = WaitingRequest(back, self._objective)
             self._pool.demand.expect_return(self._key, returning)
-        raise ModelNotInTime(verdict.after_ms / MS_PER_SECOND)
+        raise ModelUnavailable(verdict.after_ms / MS_PER_SECOND)
 
     def _log(self, verdict: ComeBack | Hopeless, ready_in_ms: float | None) -> None:
         log_decision(
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -17,7 +17,7 @@
 from loomwind.serving.demand import DemandKey
 from loomwind.serving.errors import (
     RETRY_SOON_SECONDS,
-    ModelNotInTime,
+    ModelUnavailable,
     Refused,
     RelayDeclined,
     SendFailed,
@@ -281,7 +281,7 @@
                     self._refuse_if_banned()
                     await wait.look_again(self._has_not_run())
                     entry = self._choose_paid()
-        except ModelNotInTime as error:
+        except ModelUnavailable as error:
             raise self._give_up(str(error), error.ready_in_seconds) from error
         finally:
             self._serving.metrics.waiting_for_model.dec()
