--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -165,7 +165,7 @@
             revision=wire.seq,
             held=held_models(wire.models),
             remaining_seconds=None if wire.remaining_ms is None else wire.remaining_ms / 1000,
-            born_ms=wire.born,
+            started_at_ms=wire.born,
         )
 
 
--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -97,7 +97,7 @@
 
 def _is_other_life(wire: WireReport, entry: ServerEntry) -> bool:
     """Whether the server has started again, under its name, since it was listed."""
-    return None not in (wire.born, entry.born_ms) and wire.born != entry.born_ms
+    return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
 
 def _report(wire: WireReport) -> ServerReport:
@@ -112,7 +112,7 @@
         pending_adapters=tuple(_pending(text) for text in wire.pending),
         in_memory=frozenset(wire.available.resident),
         on_disk=frozenset(wire.available.disk_cached),
-        born_ms=wire.born,
+        started_at_ms=wire.born,
     )
 
 
--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -170,18 +170,18 @@
     revision: int = 0
     held: tuple["HeldModel", ...] = ()
     remaining_seconds: float | None = None
-    born_ms: int | None = None
+    started_at_ms: int | None = None
 
     @property
     def instance(self) -> str:
         """Return what names this one life of the server's process."""
-        return self.name if self.born_ms is None else f"{self.name}@{self.born_ms}"
+        return self.name if self.started_at_ms is None else f"{self.name}@{self.started_at_ms}"
 
     def is_older_than(self, other: "ServerEntry") -> bool:
         """Whether this is an earlier life of the same server."""
-        if self.born_ms is None or other.born_ms is None:
+        if self.started_at_ms is None or other.started_at_ms is None:
             return False
-        return self.name == other.name and self.born_ms < other.born_ms
+        return self.name == other.name and self.started_at_ms < other.started_at_ms
 
 
 class HeldModel(Struct, frozen=True, array_like=True):
@@ -211,7 +211,7 @@
     pending_adapters: tuple["ModelKey", ...] = ()
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
-    born_ms: int | None = None
+    started_at_ms: int | None = None
 
 
 class ModelKey(Struct, frozen=True, order=True, array_like=True):
