--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -189,7 +189,7 @@
         sticky=wire.sticky_sessions,
         resumable=wire.resumable,
         gap_objective_seconds=wire.gap_aim_ms / 1000,
-        patience_seconds=_patience_ms(wire) / 1000,
+        event_timeout_seconds=_patience_ms(wire) / 1000,
     )
 
 
--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -47,7 +47,7 @@
         remaining = caller.remaining_seconds
         self._terms = WaitTerms(
             arrived_ms=arrived * MS_PER_SECOND,
-            patience_ms=route.patience_seconds * MS_PER_SECOND,
+            patience_ms=route.event_timeout_seconds * MS_PER_SECOND,
             objective_ms=route.objective_seconds * MS_PER_SECOND,
             deadline_ms=deadline * MS_PER_SECOND,
             first_try=is_first_try(
--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -51,7 +51,7 @@
     sticky: bool = False
     resumable: bool = False
     gap_objective_seconds: float = 0.0
-    patience_seconds: float = math.inf
+    event_timeout_seconds: float = math.inf
 
     @property
     def repeatable(self) -> bool:
