--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -102,5 +102,5 @@
             ready_in_ms=None if ready_in_ms is None else round(ready_in_ms),
             after_ms=round(verdict.after_ms),
             first_try=self._terms.first_try,
-            own_part=self._caller.own_part,
+            own_part=self._caller.unique_part,
         )
--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -249,7 +249,7 @@
     last_event_id: str | None = None
 
     @property
-    def own_part(self) -> str:
+    def unique_part(self) -> str:
         """Return what names the part of the prompt that no other request has; empty for none.
 
         It stays when the caller asks again.
