--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -9,7 +9,7 @@
 from loomwind.placement.load_window import LoadWindow
 from loomwind.serving.budget import RetryBudget
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.routes import RouteTable, WeightedTurns
+from loomwind.serving.routes import RouteTable, WeightedRoundRobin
 from loomwind.serving.views import (
     CallerLimits,
     Configuration,
@@ -109,7 +109,7 @@
 
 @when("{count:d} requests are routed")
 def step_routed(context: Any, count: int) -> None:
-    turns = WeightedTurns()
+    turns = WeightedRoundRobin()
     context.chosen = [turns.next(context.route) for _ in range(count)]
 
 
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -151,7 +151,7 @@
         if route is None:
             detail = f"no route; configuration {routes.configuration.version}"
             raise Refused(404, detail) if relayed is None else RelayDeclined(detail)
-        service = routes.service_of(route)
+        service = routes.next_service(route)
         if relayed is not None and self.pool.reach_of(service).is_cut:
             raise RelayDeclined("no server is reached from here")
         await RequestRun(self, exchange, request, caller, route, service, relayed).serve()
--- a/loomwind/serving/routes.py
+++ b/loomwind/serving/routes.py
@@ -3,7 +3,7 @@
 from loomwind.serving.views import Configuration, RouteRule
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over the parts of one route.
 
     Each part gets its share of any run of requests, not only in the long run.
@@ -38,7 +38,7 @@
         self._by_host: dict[str, list[RouteRule]] = {}
         for route in sorted(configuration.routes, key=lambda r: len(r.prefix), reverse=True):
             self._by_host.setdefault(route.host.lower(), []).append(route)
-        self._turns: dict[str, WeightedTurns] = previous._turns if previous else {}
+        self._turns: dict[str, WeightedRoundRobin] = previous._turns if previous else {}
 
     def match(self, host: str, path: str) -> RouteRule | None:
         """Return the route of a request, or None.
@@ -52,6 +52,6 @@
                 return route
         return None
 
-    def service_of(self, route: RouteRule) -> str:
+    def next_service(self, route: RouteRule) -> str:
         """Return the service that the route's next request goes to."""
-        return self._turns.setdefault(route.name, WeightedTurns()).next(route)
+        return self._turns.setdefault(route.name, WeightedRoundRobin()).next(route)
