--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -16,7 +16,7 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.follower import StoreHealth
-from loomwind.serving.forwarder import Forwarder, Outgoing
+from loomwind.serving.forwarder import Forwarder, OutgoingRequest
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Snapshot, StoredRow
 from loomwind.serving.views import CallerRequest, RequestKind, RouteRule, WeightedService
@@ -142,7 +142,9 @@
     assert entry is not None
     parts = (WeightedService(SERVICE, 1.0),)
     route = RouteRule("r", "h", "/", RequestKind.IDEMPOTENT, parts, 30.0, 0.6)
-    outgoing = Outgoing(HttpRequest("POST", "/"), CallerRequest("id-1", "h", 30.0), route, 30.0)
+    outgoing = OutgoingRequest(
+        HttpRequest("POST", "/"), CallerRequest("id-1", "h", 30.0), route, 30.0
+    )
     forwarder = Forwarder(
         cast(HttpClient, client), PlatformDialect(), pool.reach_of, pool.gets_work
     )
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -13,7 +13,7 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import Forwarder, OpenAnswer, Outgoing
+from loomwind.serving.forwarder import Forwarder, OpenAnswer, OutgoingRequest
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
@@ -62,7 +62,7 @@
     async def send(
         self,
         connection: ClientConnection,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         entry: ServerEntry,
         now: float,
         last_event_id: str | None,
--- a/features/steps/relay_version_steps.py
+++ b/features/steps/relay_version_steps.py
@@ -9,7 +9,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.metrics import Metrics
 from loomwind.platform.dialect import PlatformDialect
-from loomwind.serving.forwarder import Outgoing
+from loomwind.serving.forwarder import OutgoingRequest
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.relay_protocol import RelayTerms, configuration_headers
@@ -57,7 +57,7 @@
     parts = (WeightedService("web", 1.0),)
     route = RouteRule("r", "h", "/r/", RequestKind.IDEMPOTENT, parts, 1.0, 1.0, 1)
     connection = cast(ClientConnection, ServedConnection(version))
-    outgoing = Outgoing(request, caller, route, 1.0)
+    outgoing = OutgoingRequest(request, caller, route, 1.0)
     await relay.send(connection, PEER, "web", outgoing, 0.0, None, RelayTerms(0, context.version))
 
 
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -21,7 +21,7 @@
 SUCCESS_STATUSES = range(200, 300)
 
 
-class Outgoing(Struct, frozen=True):
+class OutgoingRequest(Struct, frozen=True):
     """A request on its way to servers.
 
     :param deadline: loop time at which its caller stops waiting.
@@ -82,7 +82,7 @@
     async def send(
         self,
         connection: ClientConnection,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         entry: ServerEntry,
         now: float,
         last_event_id: str | None,
@@ -122,7 +122,7 @@
         return connection
 
     def _as_sent(
-        self, outgoing: Outgoing, entry: ServerEntry, now: float, last_event_id: str | None
+        self, outgoing: OutgoingRequest, entry: ServerEntry, now: float, last_event_id: str | None
     ) -> HttpRequest:
         request = outgoing.request
         priority = outgoing.route.priority if outgoing.caller.target else None
@@ -135,7 +135,7 @@
         self,
         connection: ClientConnection,
         request: HttpRequest,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         entry: ServerEntry,
     ) -> tuple[HttpResponse, AnswerVerdict]:
         """Read heads until one answers this request; a late surplus answer is skipped."""
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -7,7 +7,7 @@
 from loomwind.logs import log_decision
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import OpenAnswer, Outgoing
+from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
 from loomwind.serving.peers import PeerEntry
 from loomwind.serving.relay_protocol import RelayTerms
 from loomwind.serving.server_choice import ServerChoice
@@ -28,7 +28,7 @@
         self,
         serving: "RequestHandler",
         exchange: Exchange,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         service: str,
         choice: ServerChoice,
         stream: StreamRelay,
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -13,7 +13,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.metrics import Metrics
 from loomwind.serving.errors import RelayDeclined, SendFailed
-from loomwind.serving.forwarder import OpenAnswer, Outgoing
+from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.ports import Dialect
 from loomwind.serving.relay_protocol import (
@@ -91,7 +91,7 @@
         connection: ClientConnection,
         peer: PeerEntry,
         service: str,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         now: float,
         last_event_id: str | None,
         terms: RelayTerms,
@@ -126,7 +126,7 @@
         return OpenAnswer(connection, own_head)
 
     def _as_sent(
-        self, outgoing: Outgoing, now: float, last_event_id: str | None, terms: RelayTerms
+        self, outgoing: OutgoingRequest, now: float, last_event_id: str | None, terms: RelayTerms
     ) -> HttpRequest:
         request = outgoing.request
         remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -23,7 +23,7 @@
     SendFailed,
     StreamTruncated,
 )
-from loomwind.serving.forwarder import OpenAnswer, Outgoing
+from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
 from loomwind.serving.relay_protocol import RelayTerms
@@ -72,7 +72,7 @@
         limit = route.timeout_seconds
         if caller.remaining_seconds is not None:
             limit = min(limit, caller.remaining_seconds)
-        self._outgoing = Outgoing(request, caller, route, self._arrived + limit)
+        self._outgoing = OutgoingRequest(request, caller, route, self._arrived + limit)
         self._relayed = relayed
         self._runs = relayed.runs if relayed else 0
         self._sends = 0
