--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -13,7 +13,7 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import Forwarder, OpenAnswer, OutgoingRequest
+from loomwind.serving.forwarder import Forwarder, OpenResponse, OutgoingRequest
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
@@ -66,7 +66,7 @@
         entry: ServerEntry,
         now: float,
         last_event_id: str | None,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Fail as a server does that has not run the request."""
         self.sends += 1
         raise SendFailed("not here", ran=False, missing_target=True, at_fault=False)
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -33,7 +33,7 @@
     deadline: float
 
 
-class OpenAnswer(Struct, frozen=True):
+class OpenResponse(Struct, frozen=True):
     """An answer whose head was read and belongs to the request."""
 
     connection: ClientConnection
@@ -86,7 +86,7 @@
         entry: ServerEntry,
         now: float,
         last_event_id: str | None,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Send a request and return the answer's head.
 
         :raises SendFailed: there is no answer of this server to this request.
@@ -105,7 +105,7 @@
             raise
         if not verdict.ran:
             raise _refused(entry, head, verdict)
-        return OpenAnswer(connection, head)
+        return OpenResponse(connection, head)
 
     async def connect_anew(self, entry: ServerEntry) -> ClientConnection:
         """Return a new connection to a server.
@@ -161,7 +161,7 @@
             pass
         self._client.release(connection)
 
-    async def read_whole(self, answer: OpenAnswer) -> bytes:
+    async def read_full_body(self, answer: OpenResponse) -> bytes:
         """Return the whole body of an answer and give its connection back.
 
         :raises SendFailed: the body was cut short.
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -7,7 +7,7 @@
 from loomwind.logs import log_decision
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
+from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
 from loomwind.serving.peers import PeerEntry
 from loomwind.serving.relay_protocol import RelayTerms
 from loomwind.serving.server_choice import ServerChoice
@@ -91,7 +91,7 @@
         self.log("relayed", peer, "")
         await self._pass_on(peer, answer)
 
-    async def _pass_on(self, peer: PeerEntry, answer: OpenAnswer) -> None:
+    async def _pass_on(self, peer: PeerEntry, answer: OpenResponse) -> None:
         if answer.streamed:
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
@@ -99,7 +99,7 @@
             await self._stream.pass_on(entry, answer, ServerHealth())
             self._serving.forwarder.release(answer.connection)
             return
-        body = await self._serving.forwarder.read_whole(answer)
+        body = await self._serving.forwarder.read_full_body(answer)
         status = answer.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", ran=True)
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -13,7 +13,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.metrics import Metrics
 from loomwind.serving.errors import RelayDeclined, SendFailed
-from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
+from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.ports import Dialect
 from loomwind.serving.relay_protocol import (
@@ -95,7 +95,7 @@
         now: float,
         last_event_id: str | None,
         terms: RelayTerms,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Send a request to a peer and return the head of the server's answer.
 
         :raises RelayDeclined: the peer has not taken it, and nothing has run.
@@ -123,7 +123,7 @@
         self._newest_configuration = max(self._newest_configuration, version)
         self._on_configuration(peer.address, version)
         own_head = HttpResponse(head.status, without_own_fields(head.headers))
-        return OpenAnswer(connection, own_head)
+        return OpenResponse(connection, own_head)
 
     def _as_sent(
         self, outgoing: OutgoingRequest, now: float, last_event_id: str | None, terms: RelayTerms
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -23,7 +23,7 @@
     SendFailed,
     StreamTruncated,
 )
-from loomwind.serving.forwarder import OpenAnswer, OutgoingRequest
+from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
 from loomwind.serving.relay_protocol import RelayTerms
@@ -345,7 +345,7 @@
                     answer = await forwarder.send(
                         connection, self._outgoing, entry, self._serving.now(), resume_from
                     )
-                body = None if answer.streamed else await forwarder.read_whole(answer)
+                body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
         self._pool.health(entry).heard(self._serving.now())
@@ -373,7 +373,7 @@
         has_other = self._choice.has_other(entry, self._serving.now())
         return allowed_silence_seconds(self._route, self._runs, has_other)
 
-    async def _answer_whole(self, entry: ServerEntry, answer: OpenAnswer, body: bytes) -> None:
+    async def _answer_whole(self, entry: ServerEntry, answer: OpenResponse, body: bytes) -> None:
         status = answer.head.status
         if status in SERVER_ERROR_STATUSES:
             failure = SendFailed(f"{entry.instance}: status {status}", ran=True)
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -11,7 +11,7 @@
 from loomwind.metrics import Metrics
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import OpenAnswer
+from loomwind.serving.forwarder import OpenResponse
 from loomwind.serving.ports import Dialect
 from loomwind.serving.stream_gaps import StreamGaps
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
@@ -56,7 +56,7 @@
         """Return how many events were passed on."""
         return self._cutter.events
 
-    async def pass_on(self, entry: ServerEntry, answer: OpenAnswer, health: ServerHealth) -> None:
+    async def pass_on(self, entry: ServerEntry, answer: OpenResponse, health: ServerHealth) -> None:
         """Pass whole events on as they come.
 
         :raises SendFailed: the stream ended before its proper end; its connection is closed.
@@ -82,7 +82,7 @@
             self._cutter.drop_rest()
             raise
 
-    async def _next_piece(self, entry: ServerEntry, answer: OpenAnswer) -> bytes:
+    async def _next_piece(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
         silence = self._allowed_silence(entry)
         if silence is not None and self.events:
             silence = EVENT_SILENCE_SECONDS
@@ -94,7 +94,7 @@
         except HttpError as error:
             raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
 
-    def _end(self, entry: ServerEntry, answer: OpenAnswer) -> bytes:
+    def _end(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
         """Take in that a stream's body has ended, as its framing says; returns what is left.
 
         :raises SendFailed: it ended inside an event.
