--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -72,7 +72,7 @@
 
         :raises SendFailed: there is none, or the server gets no more work.
         """
-        connection = self._client.take_idle(entry.address) or await self.connect_anew(entry)
+        connection = self._client.take_idle(entry.address) or await self.open_connection(entry)
         if not self._gets_work(entry):
             self._client.release(connection)
             detail = f"{entry.instance}: began to leave while a connection was made"
@@ -107,7 +107,7 @@
             raise _refused(entry, head, verdict)
         return OpenResponse(connection, head)
 
-    async def connect_anew(self, entry: ServerEntry) -> ClientConnection:
+    async def open_connection(self, entry: ServerEntry) -> ClientConnection:
         """Return a new connection to a server.
 
         :raises SendFailed: the server accepts none.
--- a/loomwind/serving/reach_probe.py
+++ b/loomwind/serving/reach_probe.py
@@ -50,6 +50,6 @@
 
     async def _connect(self, entry: ServerEntry) -> None:
         try:
-            self._forwarder.release(await self._forwarder.connect_anew(entry))
+            self._forwarder.release(await self._forwarder.open_connection(entry))
         except SendFailed as failure:
             self._pool.note_failure(entry, None, failure, self._pool.now())
