--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -368,7 +368,7 @@
         await self._finish_requests(began + grace * WAITING_GRACE_PART)
         self._handler.refuse_waiting()
         await self._finish_requests(began + grace - STOP_MARGIN_SECONDS)
-        self._handler.end_all()
+        self._handler.end_all_requests()
         await self._finish_requests(began + grace - STOP_MARGIN_SECONDS + LAST_ANSWERS_SECONDS)
         log_state("daemon", "stopped", open=self._handler.open_requests)
         self.close()
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -90,7 +90,7 @@
         self.refuses_waiting = True
         self.pool.demand.wake()
 
-    def end_all(self) -> None:
+    def end_all_requests(self) -> None:
         """Give each request that is in progress its final answer now."""
         for limit in self.limits:
             limit.reschedule(self.now())
