--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -34,19 +34,19 @@
         self._open_seconds = FIRST_OPEN_SECONDS
         self._silent_since: float | None = None
 
-    def sent(self, now: float) -> None:
+    def note_sent(self, now: float) -> None:
         """A request goes to the server."""
         self.in_flight += 1
         if self._silent_since is None:
             self._silent_since = now
 
-    def heard(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Something has come from the server."""
         self.heard_at = now
         self._on_heard(now)
         self._silent_since = now
 
-    def ended(self) -> None:
+    def note_ended(self) -> None:
         """A request that was sent has ended."""
         self.in_flight -= 1
         if self.in_flight == 0:
@@ -57,7 +57,7 @@
         since = self._silent_since
         return since is not None and now - since > SUSPECT_SILENCE_SECONDS
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """Note a good answer."""
         self.error_share *= FAILURE_DECAY
         self._failures = 0
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -321,16 +321,16 @@
         self._serving.observe_list_age()
         target = self._caller.target
         health = self._pool.health(entry)
-        health.sent(self._serving.now())
+        health.note_sent(self._serving.now())
         if target is not None:
             self._pool.demand.begin_run(entry.instance, target)
         try:
             await self._exchange_with(entry)
         finally:
-            health.ended()
+            health.note_ended()
             if target is not None:
                 self._pool.demand.end_run(entry.instance, target)
-        health.succeeded()
+        health.note_success()
         self._serving.count_send(entry, SERVED)
 
     async def _exchange_with(self, entry: ServerEntry) -> None:
@@ -348,7 +348,7 @@
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
-        self._pool.health(entry).heard(self._serving.now())
+        self._pool.health(entry).note_received(self._serving.now())
         if body is None:
             await self._stream.pass_on(entry, answer, self._pool.health(entry))
             self._serving.prompts.note_answered(self._caller)
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -68,7 +68,7 @@
             gaps = StreamGaps()
             while piece := await self._next_piece(entry, answer):
                 now = self._now()
-                health.heard(now)
+                health.note_received(now)
                 gaps.note_event(now * MS_PER_SECOND)
                 first = self.events == 0
                 await self._exchange.send(self._cutter.feed(piece))
