--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -65,7 +65,7 @@
         self._open_until = 0.0
         self._unreachable_seconds = UNREACHABLE_SECONDS
 
-    def failed(self, now: float) -> bool:
+    def note_failure(self, now: float) -> bool:
         """Note a failure; returns whether the breaker opened by it."""
         self.error_share = self.error_share * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self._failures += 1
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -140,7 +140,7 @@
         elif not failure.ran and target is not None:
             self.residency.note_refused(entry.instance, target, now)
         elif failure.at_fault:
-            self.health(entry).failed(now)
+            self.health(entry).note_failure(now)
 
     def tell(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
