--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -25,7 +25,7 @@
         """
         self._on_heard = on_heard
         self.in_flight = 0
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self.error_share = 0.0
         self._failures = 0
         self._open_until = 0.0
@@ -42,7 +42,7 @@
 
     def note_received(self, now: float) -> None:
         """Something has come from the server."""
-        self.heard_at = now
+        self.last_received_at = now
         self._on_heard(now)
         self._silent_since = now
 
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -67,7 +67,7 @@
         return [
             entry
             for entry in self._pool.holders(self._service, self._caller.target, now)
-            if self._pool.health(entry).heard_at > since
+            if self._pool.health(entry).last_received_at > since
             and self._forwarder.has_idle_connection(entry)
         ]
 
