--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -26,7 +26,7 @@
         self._on_heard = on_heard
         self.in_flight = 0
         self.last_received_at = float("-inf")
-        self.error_share = 0.0
+        self.error_rate = 0.0
         self._failures = 0
         self._open_until = 0.0
         self._unreachable_until = 0.0
@@ -59,7 +59,7 @@
 
     def note_success(self) -> None:
         """Note a good answer."""
-        self.error_share *= FAILURE_DECAY
+        self.error_rate *= FAILURE_DECAY
         self._failures = 0
         self._open_seconds = FIRST_OPEN_SECONDS
         self._open_until = 0.0
@@ -67,7 +67,7 @@
 
     def note_failure(self, now: float) -> bool:
         """Note a failure; returns whether the breaker opened by it."""
-        self.error_share = self.error_share * FAILURE_DECAY + (1 - FAILURE_DECAY)
+        self.error_rate = self.error_rate * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self._failures += 1
         if self._failures < OPEN_AFTER_FAILURES:
             return False
--- a/loomwind/serving/choose.py
+++ b/loomwind/serving/choose.py
@@ -29,7 +29,7 @@
 
     entry: ServerEntry
     in_flight: int
-    error_share: float
+    error_rate: float
     breaker_open: bool
     tried: bool
     connected: bool = True
@@ -41,7 +41,7 @@
         marks += ["breaker open"] if self.breaker_open else []
         marks += ["tried"] if self.tried else []
         marks += [] if self.connected else ["no connection"]
-        marks += [f"{self.error_share:.2f} failed"] if self.error_share else []
+        marks += [f"{self.error_rate:.2f} failed"] if self.error_rate else []
         return ", ".join(marks)
 
 
@@ -54,7 +54,7 @@
     """Return what it costs to send a request to a server, in requests waiting there."""
     slots = max(1, candidate.entry.slots)
     total = (candidate.in_flight + candidate.load) * 8.0 / slots
-    total += ERROR_COST * candidate.error_share
+    total += ERROR_COST * candidate.error_rate
     total += OPEN_COST if candidate.breaker_open else 0.0
     total += TRIED_COST if candidate.tried else 0.0
     total += OTHER_ZONE_COST if candidate.entry.zone != zone else 0.0
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -49,7 +49,7 @@
         return Candidate(
             entry,
             health.in_flight,
-            health.error_share,
+            health.error_rate,
             health.is_open(now) or health.is_suspect(now),
             entry.instance in self.tried,
             self._forwarder.has_idle_connection(entry),
