--- a/loomwind/serving/silence.py
+++ b/loomwind/serving/inactivity.py
@@ -2,12 +2,12 @@
 
 from loomwind.serving.views import RequestKind, RouteRule
 
-FIRST_EVENT_SILENCE_SECONDS = 1.2
-SILENCE_PER_OBJECTIVE = 2.0
-SHORTEST_SILENCE_SECONDS = 0.25
+MIN_STREAM_TIMEOUT_SECONDS = 1.2
+TIMEOUT_PER_OBJECTIVE = 2.0
+MIN_TIMEOUT_SECONDS = 0.25
 
 
-def allowed_silence_seconds(route: RouteRule, runs: int, has_other: bool) -> float | None:
+def inactivity_timeout_seconds(route: RouteRule, runs: int, has_other: bool) -> float | None:
     """Return the longest silence before an answer; None when the request must wait.
 
     :param runs: how often the request may have run already.
@@ -15,7 +15,7 @@
     """
     if not route.repeatable or runs + 1 >= route.max_attempts or not has_other:
         return None
-    silence = SILENCE_PER_OBJECTIVE * route.objective_seconds
+    silence = TIMEOUT_PER_OBJECTIVE * route.objective_seconds
     if route.kind is RequestKind.STREAMING:
-        return max(silence, FIRST_EVENT_SILENCE_SECONDS)
-    return max(silence, SHORTEST_SILENCE_SECONDS)
+        return max(silence, MIN_STREAM_TIMEOUT_SECONDS)
+    return max(silence, MIN_TIMEOUT_SECONDS)
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -24,11 +24,11 @@
     StreamTruncated,
 )
 from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
+from loomwind.serving.inactivity import inactivity_timeout_seconds
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
 from loomwind.serving.relay_protocol import RelayTerms
 from loomwind.serving.server_choice import ServerChoice
-from loomwind.serving.silence import allowed_silence_seconds
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
@@ -90,7 +90,7 @@
             route,
             serving.dialect,
             serving.metrics,
-            self._allowed_silence,
+            self._inactivity_timeout,
             self._note_first_event,
         )
         self._peers = PeerAttempts(
@@ -337,7 +337,7 @@
         forwarder = self._serving.forwarder
         resume_from = self._stream.last_event_id
         connection = await forwarder.connect(entry)
-        silence = self._allowed_silence(entry)
+        silence = self._inactivity_timeout(entry)
         self._handed_over = True
         try:
             async with asyncio.timeout(silence):
@@ -368,10 +368,10 @@
         finally:
             timer.cancel()
 
-    def _allowed_silence(self, entry: ServerEntry) -> float | None:
+    def _inactivity_timeout(self, entry: ServerEntry) -> float | None:
         """Return how long a server may say nothing before the request goes elsewhere."""
         has_other = self._choice.has_other(entry, self._serving.now())
-        return allowed_silence_seconds(self._route, self._runs, has_other)
+        return inactivity_timeout_seconds(self._route, self._runs, has_other)
 
     async def _answer_whole(self, entry: ServerEntry, answer: OpenResponse, body: bytes) -> None:
         status = answer.head.status
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -16,7 +16,7 @@
 from loomwind.serving.stream_gaps import StreamGaps
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
-EVENT_SILENCE_SECONDS = 0.8
+EVENT_GAP_TIMEOUT_SECONDS = 0.8
 
 
 class StreamRelay:
@@ -29,7 +29,7 @@
         route: RouteRule,
         dialect: Dialect,
         metrics: Metrics,
-        allowed_silence: Callable[[ServerEntry], float | None],
+        inactivity_timeout: Callable[[ServerEntry], float | None],
         on_first_event: Callable[[ServerEntry], None],
     ) -> None:
         """Make a relay.
@@ -42,7 +42,7 @@
         self._route = route
         self._dialect = dialect
         self._metrics = metrics
-        self._allowed_silence = allowed_silence
+        self._inactivity_timeout = inactivity_timeout
         self._on_first_event = on_first_event
         self._cutter = EventCutter(caller.last_event_id)
 
@@ -83,9 +83,9 @@
             raise
 
     async def _next_piece(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
-        silence = self._allowed_silence(entry)
+        silence = self._inactivity_timeout(entry)
         if silence is not None and self.events:
-            silence = EVENT_SILENCE_SECONDS
+            silence = EVENT_GAP_TIMEOUT_SECONDS
         try:
             async with asyncio.timeout(silence):
                 return await answer.connection.read_body()
