--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -4,10 +4,10 @@
 
 FAILURE_DECAY = 0.8
 OPEN_AFTER_FAILURES = 2
-FIRST_OPEN_SECONDS = 0.7
-LONGEST_OPEN_SECONDS = 4.0
-UNREACHABLE_SECONDS = 0.6
-SUSPECT_SILENCE_SECONDS = 0.7
+INITIAL_OPEN_SECONDS = 0.7
+MAX_OPEN_SECONDS = 4.0
+INITIAL_UNREACHABLE_SECONDS = 0.6
+SUSPECT_AFTER_SECONDS = 0.7
 
 
 class ServerHealth:
@@ -30,8 +30,8 @@
         self._failures = 0
         self._open_until = 0.0
         self._unreachable_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
-        self._open_seconds = FIRST_OPEN_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
+        self._open_seconds = INITIAL_OPEN_SECONDS
         self._silent_since: float | None = None
 
     def note_sent(self, now: float) -> None:
@@ -55,15 +55,15 @@
     def is_suspect(self, now: float) -> bool:
         """Whether requests are there and nothing has come for a while, on any connection."""
         since = self._silent_since
-        return since is not None and now - since > SUSPECT_SILENCE_SECONDS
+        return since is not None and now - since > SUSPECT_AFTER_SECONDS
 
     def note_success(self) -> None:
         """Note a good answer."""
         self.error_rate *= FAILURE_DECAY
         self._failures = 0
-        self._open_seconds = FIRST_OPEN_SECONDS
+        self._open_seconds = INITIAL_OPEN_SECONDS
         self._open_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
     def note_failure(self, now: float) -> bool:
         """Note a failure; returns whether the breaker opened by it."""
@@ -78,19 +78,19 @@
         was_closed = not self.is_open(now)
         if was_closed:
             self._open_until = now + self._open_seconds
-            self._open_seconds = min(2 * self._open_seconds, LONGEST_OPEN_SECONDS)
+            self._open_seconds = min(2 * self._open_seconds, MAX_OPEN_SECONDS)
         return was_closed
 
     def note_unreachable(self, now: float) -> None:
         """No connection could be made: send nothing at all for a while."""
         if not self.is_unreachable(now):
             self._unreachable_until = now + self._unreachable_seconds
-            self._unreachable_seconds = min(2 * self._unreachable_seconds, LONGEST_OPEN_SECONDS)
+            self._unreachable_seconds = min(2 * self._unreachable_seconds, MAX_OPEN_SECONDS)
 
     def note_reachable(self) -> None:
         """Connections may be made again."""
         self._unreachable_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
     def is_unreachable(self, now: float) -> bool:
         """Whether no connection could be made a moment ago."""
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -13,7 +13,7 @@
 from loomwind.http.messages import HttpRequest
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
-from loomwind.serving.breaker import SUSPECT_SILENCE_SECONDS
+from loomwind.serving.breaker import SUSPECT_AFTER_SECONDS
 from loomwind.serving.demand import DemandKey
 from loomwind.serving.errors import (
     RETRY_SOON_SECONDS,
@@ -361,7 +361,7 @@
         """Let the way to the servers be probed when an answer does not begin for a while."""
         reach = self._pool.reach_of(self._service)
         timer = asyncio.get_running_loop().call_later(
-            SUSPECT_SILENCE_SECONDS, reach.note_silence, self._serving.now()
+            SUSPECT_AFTER_SECONDS, reach.note_silence, self._serving.now()
         )
         try:
             yield
