--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -3,9 +3,9 @@
 import random
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.serving.choose import Candidate, choose
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.pool import ServerPool
+from loomwind.serving.server_cost import Candidate, choose
 from loomwind.serving.views import CallerRequest, ServerEntry
 
 
--- a/loomwind/serving/choose.py
+++ b/loomwind/serving/server_cost.py
@@ -45,7 +45,7 @@
         return ", ".join(marks)
 
 
-def affinity(key: str, instance: str) -> float:
+def rendezvous_score(key: str, instance: str) -> float:
     """Return a number from 0 to 1 that ranks servers for a key (rendezvous hashing)."""
     return float(xxhash.xxh64_intdigest(f"{key}|{instance}".encode())) / HASH_RANGE
 
@@ -60,7 +60,7 @@
     total += OTHER_ZONE_COST if candidate.entry.zone != zone else 0.0
     total += 0.0 if candidate.connected else NEW_CONNECTION_COST
     if key:
-        total += CACHE_COST * affinity(key, candidate.entry.instance)
+        total += CACHE_COST * rendezvous_score(key, candidate.entry.instance)
     return total + now_noise * 0.1
 
 
