--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -5,7 +5,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.server_cost import Candidate, choose
+from loomwind.serving.server_cost import Candidate, lowest_cost
 from loomwind.serving.views import CallerRequest, ServerEntry
 
 
@@ -35,7 +35,7 @@
         """Return a server to send to now, or None when no server can run the request."""
         found = [self._candidate(entry, now) for entry in self._able(now)]
         noise = [random.random() for _ in found]
-        chosen = choose(found, self._zone, self._cache_key(), noise)
+        chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
         self._candidates = found
         return chosen.entry if chosen else None
 
--- a/loomwind/serving/server_cost.py
+++ b/loomwind/serving/server_cost.py
@@ -64,7 +64,7 @@
     return total + now_noise * 0.1
 
 
-def choose(
+def lowest_cost(
     candidates: Sequence[Candidate], zone: str, key: str, noise: Sequence[float]
 ) -> Candidate | None:
     """Return the cheapest candidate, or None when there is none.
