--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -10,7 +10,7 @@
 from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
 from loomwind.serving.peers import PeerEntry
 from loomwind.serving.relay_protocol import RelayTerms
-from loomwind.serving.server_choice import ServerChoice
+from loomwind.serving.server_selector import ServerSelector
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import ServerEntry, ServerState
 
@@ -30,7 +30,7 @@
         exchange: Exchange,
         outgoing: OutgoingRequest,
         service: str,
-        choice: ServerChoice,
+        choice: ServerSelector,
         stream: StreamRelay,
         allowed: bool,
     ) -> None:
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -28,7 +28,7 @@
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
 from loomwind.serving.relay_protocol import RelayTerms
-from loomwind.serving.server_choice import ServerChoice
+from loomwind.serving.server_selector import ServerSelector
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
@@ -83,7 +83,9 @@
         self._waiting = False
         self._owes_repeat = False
         self._server = ""
-        self._choice = ServerChoice(serving.pool, serving.forwarder, serving.zone, service, caller)
+        self._choice = ServerSelector(
+            serving.pool, serving.forwarder, serving.zone, service, caller
+        )
         self._stream = StreamRelay(
             exchange,
             caller,
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_selector.py
@@ -9,7 +9,7 @@
 from loomwind.serving.views import CallerRequest, ServerEntry
 
 
-class ServerChoice:
+class ServerSelector:
     """The choices of one request.
 
     :ivar tried: the servers that it was sent to, by instance.
