--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -33,14 +33,14 @@
 
     def choose(self, now: float) -> ServerEntry | None:
         """Return a server to send to now, or None when no server can run the request."""
-        found = [self._candidate(entry, now) for entry in self._able(now)]
+        found = [self._candidate(entry, now) for entry in self._eligible(now)]
         noise = [random.random() for _ in found]
         chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
         self._candidates = found
         return chosen.entry if chosen else None
 
-    def _able(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_cut and (proven := self._proven(now)):
+    def _eligible(self, now: float) -> list[ServerEntry]:
+        if self._reach.is_cut and (proven := self._responsive_idle(now)):
             return proven
         return self._pool.able(self._service, self._caller.target, now)
 
@@ -57,9 +57,9 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Whether servers accept no connection, and none of those that are open can be used."""
-        return self._reach.is_cut and not self._proven(now)
+        return self._reach.is_cut and not self._responsive_idle(now)
 
-    def _proven(self, now: float) -> list[ServerEntry]:
+    def _responsive_idle(self, now: float) -> list[ServerEntry]:
         """Return the servers from which something has come, on connections that are idle now, since
         new ones have failed.
         """
