--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -18,7 +18,7 @@
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.prompt_guard import PromptGuard
-from loomwind.serving.request_run import RequestRun
+from loomwind.serving.request_lifecycle import RequestLifecycle
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import (
     CallerRequest,
@@ -121,7 +121,9 @@
     route = RouteRule("r", "h", "/", RequestKind.STREAMING, parts, 30.0, 0.6)
     caller = CallerRequest("id-1", "h", 30.0, TARGET)
     request = HttpRequest("POST", "/")
-    run = RequestRun(handler, cast(Exchange, UnstartedExchange()), request, caller, route, SERVICE)
+    run = RequestLifecycle(
+        handler, cast(Exchange, UnstartedExchange()), request, caller, route, SERVICE
+    )
     task = asyncio.ensure_future(run.serve())
     waits = False
     for _ in range(MOST_TURNS):
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -1,7 +1,7 @@
 """Answers callers: finds the route of each request, and turns its end into one final answer.
 
 The filters of a request in order: read (HTTP layer), route, and then
-:class:`loomwind.serving.request_run.RequestRun`: wait for a server, send, relay.
+:class:`loomwind.serving.request_lifecycle.RequestRun`: wait for a server, send, relay.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from loomwind.serving.ports import Dialect
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.relay_protocol import RelayTerms
-from loomwind.serving.request_run import RequestRun
+from loomwind.serving.request_lifecycle import RequestLifecycle
 from loomwind.serving.views import CallerRequest, ServerEntry
 
 DEFAULT_LOAD_MS = 5000.0
@@ -154,7 +154,7 @@
         service = routes.next_service(route)
         if relayed is not None and self.pool.reach_of(service).is_cut:
             raise RelayDeclined("no server is reached from here")
-        await RequestRun(self, exchange, request, caller, route, service, relayed).serve()
+        await RequestLifecycle(self, exchange, request, caller, route, service, relayed).serve()
 
     async def _refuse(self, exchange: Exchange, caller: CallerRequest, refusal: Refused) -> None:
         outcome = "not-run" if refusal.status in (404, 503) else "unknown"
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -45,7 +45,7 @@
 SERVER_ERROR_STATUSES = range(500, 600)
 
 
-class RequestRun:
+class RequestLifecycle:
     """One request from its head to its final answer."""
 
     def __init__(
