--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -115,7 +115,7 @@
             return
         caller = self.dialect.read_request(request)
         try:
-            await self.run(exchange, request, caller)
+            await self.route_request(exchange, request, caller)
             self.metrics.answered.inc()
         except Refused as refusal:
             await self._refuse(exchange, caller, refusal)
@@ -130,7 +130,7 @@
             log_decision("failed", caller.request_id, reason=repr(error))
             exchange.abort()
 
-    async def run(
+    async def route_request(
         self,
         exchange: Exchange,
         request: HttpRequest,
