--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -67,7 +67,7 @@
         caller = self._handler.dialect.read_request(request)
         end = "served"
         try:
-            await self._handler.run(exchange, request, caller, terms)
+            await self._handler.route_request(exchange, request, caller, terms)
         except RelayDeclined as declined:
             end = "declined"
             await self._decline(exchange, declined)
