--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -96,7 +96,7 @@
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
             )
-            await self._stream.pass_on(entry, answer, ServerHealth())
+            await self._stream.relay(entry, answer, ServerHealth())
             self._serving.forwarder.release(answer.connection)
             return
         body = await self._serving.forwarder.read_full_body(answer)
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -352,7 +352,7 @@
             raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
         self._pool.health(entry).note_received(self._serving.now())
         if body is None:
-            await self._stream.pass_on(entry, answer, self._pool.health(entry))
+            await self._stream.relay(entry, answer, self._pool.health(entry))
             self._serving.prompts.note_answered(self._caller)
             forwarder.release(answer.connection)
         else:
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -56,7 +56,7 @@
         """Return how many events were passed on."""
         return self._cutter.events
 
-    async def pass_on(self, entry: ServerEntry, answer: OpenResponse, health: ServerHealth) -> None:
+    async def relay(self, entry: ServerEntry, answer: OpenResponse, health: ServerHealth) -> None:
         """Pass whole events on as they come.
 
         :raises SendFailed: the stream ended before its proper end; its connection is closed.
