--- a/features/steps/prompt_suspicion_steps.py
+++ b/features/steps/prompt_suspicion_steps.py
@@ -50,9 +50,9 @@
 
 @then("a request with {identity:w} may be repeated")
 def step_may_repeat(context: Any, identity: str) -> None:
-    assert context.suspicions.may_repeat((identity,))
+    assert context.suspicions.may_retry((identity,))
 
 
 @then("a request with {identity:w} may not be repeated")
 def step_may_not_repeat(context: Any, identity: str) -> None:
-    assert not context.suspicions.may_repeat((identity,))
+    assert not context.suspicions.may_retry((identity,))
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -37,9 +37,9 @@
         """Return for how long a request is sent to no server; 0 if it may be sent."""
         return self._suspicions.banned_for_ms(_shared(caller), self._clock.now_ms())
 
-    def may_repeat(self, caller: CallerRequest) -> bool:
+    def may_retry(self, caller: CallerRequest) -> bool:
         """Whether a request that was cut off may be sent to another server."""
-        return self._suspicions.may_repeat(_shared(caller))
+        return self._suspicions.may_retry(_shared(caller))
 
     def note_crash(self, caller: CallerRequest, instance: str) -> None:
         """A server ended as it began to answer a request."""
--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -134,7 +134,7 @@
         """Return what speaks against all parts that are suspected."""
         return list(self._suspected.values())
 
-    def may_repeat(self, identities: Iterable[str]) -> bool:
+    def may_retry(self, identities: Iterable[str]) -> bool:
         """Whether a request that was cut off may be sent to another server."""
         return all(self._causes(identity) < CRASHES_OF_NO_REPEAT for identity in identities)
 
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -233,7 +233,7 @@
             return not self._serving.refuses_waiting
         if failure.ran and not self._route.repeatable:
             return False
-        if failure.ran and not self._serving.prompts.may_repeat(self._caller):
+        if failure.ran and not self._serving.prompts.may_retry(self._caller):
             return False
         if self._runs >= self._route.max_attempts:
             return False
