--- a/features/steps/prompt_suspicion_steps.py
+++ b/features/steps/prompt_suspicion_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from loomwind.serving.prompt_suspicion import Crash, PartOfPrompt, PromptSuspicions
+from loomwind.serving.prompt_suspicion import Crash, PromptSuspicions, SharedPart
 
 
 @given("requests with the parts route and session, and a part of their own")
@@ -21,7 +21,7 @@
     for text in times.replace(" and ", ", ").split(", "):
         crash = Crash(next(context.instances), float(text))
         for position, identity in enumerate((first, second)):
-            part = PartOfPrompt(identity, position)
+            part = SharedPart(identity, position)
             context.suspicions.note_crash(part, crash, crash.at_ms)
         context.suspicions.ban_guilty(crash.at_ms)
         context.now_ms = crash.at_ms
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -14,7 +14,7 @@
 from loomwind.messages.serving import PromptCrash, PromptCrashes, PromptsAnswered
 from loomwind.peering.transport import PeerTransport
 from loomwind.serving.peers import PeerTable
-from loomwind.serving.prompt_suspicion import Crash, PartOfPrompt, PromptSuspicions
+from loomwind.serving.prompt_suspicion import Crash, PromptSuspicions, SharedPart
 from loomwind.serving.views import CallerRequest
 
 
@@ -106,7 +106,7 @@
         )
 
     def _is_news(self, crash: PromptCrash, now_ms: float) -> bool:
-        part = PartOfPrompt(crash.identity, crash.position)
+        part = SharedPart(crash.identity, crash.position)
         return self._suspicions.note_crash(
             part, Crash(crash.instance, now_ms - crash.age_ms), now_ms
         )
--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -25,7 +25,7 @@
 
 
 @frozen
-class PartOfPrompt:
+class SharedPart:
     """A part that other requests may share.
 
     :ivar position: its place in the prompt, from 0; later parts are more special.
@@ -53,7 +53,7 @@
     :ivar crashes: by instance.
     """
 
-    part: PartOfPrompt
+    part: SharedPart
     crashes: dict[str, Crash] = field(factory=dict)
     banned_until_ms: float = 0.0
     ban_ms: float = FIRST_BAN_MS
@@ -73,7 +73,7 @@
         self._suspected: OrderedDict[str, Suspicion] = OrderedDict()
         self._answered_at_ms: OrderedDict[str, float] = OrderedDict()
 
-    def note_crash(self, part: PartOfPrompt, crash: Crash, now_ms: float) -> bool:
+    def note_crash(self, part: SharedPart, crash: Crash, now_ms: float) -> bool:
         """Take in that a server ended as it began to answer on a part; returns whether it is news.
 
         One that was answered whole a short while ago is not suspected.
@@ -90,7 +90,7 @@
             self._suspected.popitem(last=False)
         return True
 
-    def ban_guilty(self, now_ms: float) -> tuple[PartOfPrompt, ...]:
+    def ban_guilty(self, now_ms: float) -> tuple[SharedPart, ...]:
         """Ban the parts against which enough speaks; returns those that were not banned before."""
         banned = []
         for suspicion in self._suspected.values():
