--- a/features/steps/prompt_suspicion_steps.py
+++ b/features/steps/prompt_suspicion_steps.py
@@ -23,7 +23,7 @@
         for position, identity in enumerate((first, second)):
             part = SharedPart(identity, position)
             context.suspicions.note_crash(part, crash, crash.at_ms)
-        context.suspicions.ban_guilty(crash.at_ms)
+        context.suspicions.ban_suspects(crash.at_ms)
         context.now_ms = crash.at_ms
 
 
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -59,7 +59,11 @@
         """Take in a peer's word of crashes; the peer is told which parts are good after all."""
         now_ms = self._clock.now_ms()
         identities = {crash.identity for crash in message.crashes}
-        good = tuple(each for each in sorted(identities) if self._suspicions.is_good(each, now_ms))
+        good = tuple(
+            each
+            for each in sorted(identities)
+            if self._suspicions.was_answered_recently(each, now_ms)
+        )
         if good:
             self._transport.cast(message.teller, PromptsAnswered(good))
         self._take_crashes(message.crashes)
@@ -99,7 +103,7 @@
         if not news:
             return
         self._tell(PromptCrashes(self._own_address, news))
-        for part in self._suspicions.ban_guilty(now_ms):
+        for part in self._suspicions.ban_suspects(now_ms):
             log_state("prompt", "banned", part=part.identity, position=part.position)
         log_state(
             "prompt", "suspected", crashes=[f"{each.identity} {each.instance}" for each in news]
--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -59,7 +59,7 @@
     ban_ms: float = FIRST_BAN_MS
 
 
-def causes(crashes: Iterable[Crash]) -> int:
+def count_causes(crashes: Iterable[Crash]) -> int:
     """Return how many crashes there were, those at nearly the same moment as one."""
     times = sorted(crash.at_ms for crash in crashes)
     joined = sum(later - earlier < SAME_CAUSE_MS for earlier, later in itertools.pairwise(times))
@@ -79,7 +79,7 @@
         One that was answered whole a short while ago is not suspected.
         """
         self._forget_old(now_ms)
-        if self.is_good(part.identity, now_ms):
+        if self.was_answered_recently(part.identity, now_ms):
             return False
         suspicion = self._suspected.setdefault(part.identity, Suspicion(part))
         if crash.instance in suspicion.crashes:
@@ -90,11 +90,11 @@
             self._suspected.popitem(last=False)
         return True
 
-    def ban_guilty(self, now_ms: float) -> tuple[SharedPart, ...]:
+    def ban_suspects(self, now_ms: float) -> tuple[SharedPart, ...]:
         """Ban the parts against which enough speaks; returns those that were not banned before."""
         banned = []
         for suspicion in self._suspected.values():
-            if now_ms < suspicion.banned_until_ms or self._unexplained(suspicion) < 1:
+            if now_ms < suspicion.banned_until_ms or self._ban_surplus(suspicion) < 1:
                 continue
             last_ms = max(crash.at_ms for crash in suspicion.crashes.values())
             if last_ms < suspicion.banned_until_ms:
@@ -104,15 +104,15 @@
             banned.append(suspicion.part)
         return tuple(banned)
 
-    def _unexplained(self, suspicion: Suspicion) -> int:
+    def _ban_surplus(self, suspicion: Suspicion) -> int:
         """Return how many crashes above those of a ban, less one, more special parts leave over."""
         explained: set[str] = set()
         for other in self._suspected.values():
             special = other.part.position > suspicion.part.position
-            if special and causes(other.crashes.values()) >= CRASHES_OF_NO_REPEAT:
+            if special and count_causes(other.crashes.values()) >= CRASHES_OF_NO_REPEAT:
                 explained |= other.crashes.keys()
         left = (c for instance, c in suspicion.crashes.items() if instance not in explained)
-        return causes(left) - CRASHES_OF_A_BAN + 1
+        return count_causes(left) - CRASHES_OF_A_BAN + 1
 
     def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
         """A request was answered whole; returns its parts that were suspected until now."""
@@ -126,7 +126,7 @@
             self._answered_at_ms.popitem(last=False)
         return tuple(cleared)
 
-    def is_good(self, identity: str, now_ms: float) -> bool:
+    def was_answered_recently(self, identity: str, now_ms: float) -> bool:
         """Whether a part was answered whole a short while ago."""
         return now_ms - self._answered_at_ms.get(identity, float("-inf")) < GOOD_FOR_MS
 
@@ -136,11 +136,11 @@
 
     def may_retry(self, identities: Iterable[str]) -> bool:
         """Whether a request that was cut off may be sent to another server."""
-        return all(self._causes(identity) < CRASHES_OF_NO_REPEAT for identity in identities)
+        return all(self._count_causes(identity) < CRASHES_OF_NO_REPEAT for identity in identities)
 
-    def _causes(self, identity: str) -> int:
+    def _count_causes(self, identity: str) -> int:
         suspicion = self._suspected.get(identity)
-        return causes(suspicion.crashes.values()) if suspicion else 0
+        return count_causes(suspicion.crashes.values()) if suspicion else 0
 
     def banned_for_ms(self, identities: Iterable[str], now_ms: float) -> float:
         """Return for how long requests with any of the parts are sent to no server; 0 if not."""
