--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -13,15 +13,15 @@
 from attrs import define, field, frozen
 
 # Crashes with different causes under a part that was not answered whole.
-CRASHES_OF_NO_REPEAT = 2
-CRASHES_OF_A_BAN = 3
+NO_RETRY_CAUSES = 2
+BAN_CAUSES = 3
 SAME_CAUSE_MS = 100.0
-FIRST_BAN_MS = 120_000.0
-LONGEST_BAN_MS = 3_600_000.0
+INITIAL_BAN_MS = 120_000.0
+MAX_BAN_MS = 3_600_000.0
 FORGET_AFTER_MS = 600_000.0
-GOOD_FOR_MS = 60_000.0
-MOST_SUSPECTED = 256
-MOST_CLEARED = 8192
+ANSWERED_VALID_MS = 60_000.0
+MAX_SUSPECTED = 256
+MAX_ANSWERED = 8192
 
 
 @frozen
@@ -56,7 +56,7 @@
     part: SharedPart
     crashes: dict[str, Crash] = field(factory=dict)
     banned_until_ms: float = 0.0
-    ban_ms: float = FIRST_BAN_MS
+    ban_ms: float = INITIAL_BAN_MS
 
 
 def count_causes(crashes: Iterable[Crash]) -> int:
@@ -86,7 +86,7 @@
             return False
         suspicion.crashes[crash.instance] = crash
         self._suspected.move_to_end(part.identity)
-        while len(self._suspected) > MOST_SUSPECTED:
+        while len(self._suspected) > MAX_SUSPECTED:
             self._suspected.popitem(last=False)
         return True
 
@@ -100,7 +100,7 @@
             if last_ms < suspicion.banned_until_ms:
                 continue
             suspicion.banned_until_ms = now_ms + suspicion.ban_ms
-            suspicion.ban_ms = min(2 * suspicion.ban_ms, LONGEST_BAN_MS)
+            suspicion.ban_ms = min(2 * suspicion.ban_ms, MAX_BAN_MS)
             banned.append(suspicion.part)
         return tuple(banned)
 
@@ -109,10 +109,10 @@
         explained: set[str] = set()
         for other in self._suspected.values():
             special = other.part.position > suspicion.part.position
-            if special and count_causes(other.crashes.values()) >= CRASHES_OF_NO_REPEAT:
+            if special and count_causes(other.crashes.values()) >= NO_RETRY_CAUSES:
                 explained |= other.crashes.keys()
         left = (c for instance, c in suspicion.crashes.items() if instance not in explained)
-        return count_causes(left) - CRASHES_OF_A_BAN + 1
+        return count_causes(left) - BAN_CAUSES + 1
 
     def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
         """A request was answered whole; returns its parts that were suspected until now."""
@@ -122,13 +122,13 @@
             self._answered_at_ms.move_to_end(identity)
             if self._suspected.pop(identity, None) is not None:
                 cleared.append(identity)
-        while len(self._answered_at_ms) > MOST_CLEARED:
+        while len(self._answered_at_ms) > MAX_ANSWERED:
             self._answered_at_ms.popitem(last=False)
         return tuple(cleared)
 
     def was_answered_recently(self, identity: str, now_ms: float) -> bool:
         """Whether a part was answered whole a short while ago."""
-        return now_ms - self._answered_at_ms.get(identity, float("-inf")) < GOOD_FOR_MS
+        return now_ms - self._answered_at_ms.get(identity, float("-inf")) < ANSWERED_VALID_MS
 
     def suspected(self) -> list[Suspicion]:
         """Return what speaks against all parts that are suspected."""
@@ -136,7 +136,7 @@
 
     def may_retry(self, identities: Iterable[str]) -> bool:
         """Whether a request that was cut off may be sent to another server."""
-        return all(self._count_causes(identity) < CRASHES_OF_NO_REPEAT for identity in identities)
+        return all(self._count_causes(identity) < NO_RETRY_CAUSES for identity in identities)
 
     def _count_causes(self, identity: str) -> int:
         suspicion = self._suspected.get(identity)
