--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -62,8 +62,8 @@
 def count_causes(crashes: Iterable[Crash]) -> int:
     """Return how many crashes there were, those at nearly the same moment as one."""
     times = sorted(crash.at_ms for crash in crashes)
-    joined = sum(later - earlier < SAME_CAUSE_MS for earlier, later in itertools.pairwise(times))
-    return len(times) - joined
+    merged = sum(later - earlier < SAME_CAUSE_MS for earlier, later in itertools.pairwise(times))
+    return len(times) - merged
 
 
 class PromptSuspicions:
@@ -71,14 +71,14 @@
 
     def __init__(self) -> None:
         self._suspected: OrderedDict[str, Suspicion] = OrderedDict()
-        self._answered_at_ms: OrderedDict[str, float] = OrderedDict()
+        self._last_answered_ms: OrderedDict[str, float] = OrderedDict()
 
     def note_crash(self, part: SharedPart, crash: Crash, now_ms: float) -> bool:
         """Take in that a server ended as it began to answer on a part; returns whether it is news.
 
         One that was answered whole a short while ago is not suspected.
         """
-        self._forget_old(now_ms)
+        self._evict_expired(now_ms)
         if self.was_answered_recently(part.identity, now_ms):
             return False
         suspicion = self._suspected.setdefault(part.identity, Suspicion(part))
@@ -108,27 +108,27 @@
         """Return how many crashes above those of a ban, less one, more special parts leave over."""
         explained: set[str] = set()
         for other in self._suspected.values():
-            special = other.part.position > suspicion.part.position
-            if special and count_causes(other.crashes.values()) >= NO_RETRY_CAUSES:
+            more_specific = other.part.position > suspicion.part.position
+            if more_specific and count_causes(other.crashes.values()) >= NO_RETRY_CAUSES:
                 explained |= other.crashes.keys()
-        left = (c for instance, c in suspicion.crashes.items() if instance not in explained)
-        return count_causes(left) - BAN_CAUSES + 1
+        unexplained = (c for instance, c in suspicion.crashes.items() if instance not in explained)
+        return count_causes(unexplained) - BAN_CAUSES + 1
 
     def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
         """A request was answered whole; returns its parts that were suspected until now."""
         cleared = []
         for identity in identities:
-            self._answered_at_ms[identity] = now_ms
-            self._answered_at_ms.move_to_end(identity)
+            self._last_answered_ms[identity] = now_ms
+            self._last_answered_ms.move_to_end(identity)
             if self._suspected.pop(identity, None) is not None:
                 cleared.append(identity)
-        while len(self._answered_at_ms) > MAX_ANSWERED:
-            self._answered_at_ms.popitem(last=False)
+        while len(self._last_answered_ms) > MAX_ANSWERED:
+            self._last_answered_ms.popitem(last=False)
         return tuple(cleared)
 
     def was_answered_recently(self, identity: str, now_ms: float) -> bool:
         """Whether a part was answered whole a short while ago."""
-        return now_ms - self._answered_at_ms.get(identity, float("-inf")) < ANSWERED_VALID_MS
+        return now_ms - self._last_answered_ms.get(identity, float("-inf")) < ANSWERED_VALID_MS
 
     def suspected(self) -> list[Suspicion]:
         """Return what speaks against all parts that are suspected."""
@@ -148,7 +148,7 @@
         until = (each.banned_until_ms for each in suspicions if each is not None)
         return max(0.0, max(until, default=0.0) - now_ms)
 
-    def _forget_old(self, now_ms: float) -> None:
+    def _evict_expired(self, now_ms: float) -> None:
         """Forget parts whose last crash is long ago, and whose ban is over."""
         for identity, suspicion in list(self._suspected.items()):
             last_ms = max(crash.at_ms for crash in suspicion.crashes.values())
