--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -35,23 +35,23 @@
 
     def banned_for_ms(self, caller: CallerRequest) -> float:
         """Return for how long a request is sent to no server; 0 if it may be sent."""
-        return self._suspicions.banned_for_ms(_shared(caller), self._clock.now_ms())
+        return self._suspicions.banned_for_ms(_shared_parts(caller), self._clock.now_ms())
 
     def may_retry(self, caller: CallerRequest) -> bool:
         """Whether a request that was cut off may be sent to another server."""
-        return self._suspicions.may_retry(_shared(caller))
+        return self._suspicions.may_retry(_shared_parts(caller))
 
     def note_crash(self, caller: CallerRequest, instance: str) -> None:
         """A server ended as it began to answer a request."""
         crashes = (
             PromptCrash(identity, position, instance, 0.0)
-            for position, identity in enumerate(_shared(caller))
+            for position, identity in enumerate(_shared_parts(caller))
         )
-        self._take_crashes(crashes)
+        self._add_crashes(crashes)
 
     def note_answered(self, caller: CallerRequest) -> None:
         """A request was answered whole."""
-        self._take_answered(_shared(caller))
+        self._add_answered(_shared_parts(caller))
 
     # What peers tell.
 
@@ -59,18 +59,18 @@
         """Take in a peer's word of crashes; the peer is told which parts are good after all."""
         now_ms = self._clock.now_ms()
         identities = {crash.identity for crash in message.crashes}
-        good = tuple(
+        answered = tuple(
             each
             for each in sorted(identities)
             if self._suspicions.was_answered_recently(each, now_ms)
         )
-        if good:
-            self._transport.cast(message.teller, PromptsAnswered(good))
-        self._take_crashes(message.crashes)
+        if answered:
+            self._transport.cast(message.teller, PromptsAnswered(answered))
+        self._add_crashes(message.crashes)
 
     def on_answered(self, message: PromptsAnswered) -> None:
         """Take in a peer's word of parts that were answered whole."""
-        self._take_answered(message.identities)
+        self._add_answered(message.identities)
 
     def digest(self) -> int:
         """Return a number that is the same where the same crashes are known; 0 for none."""
@@ -97,35 +97,37 @@
 
     # What is news.
 
-    def _take_crashes(self, crashes: Iterable[PromptCrash]) -> None:
+    def _add_crashes(self, crashes: Iterable[PromptCrash]) -> None:
         now_ms = self._clock.now_ms()
-        news = tuple(crash for crash in crashes if self._is_news(crash, now_ms))
-        if not news:
+        new_crashes = tuple(crash for crash in crashes if self._record_crash(crash, now_ms))
+        if not new_crashes:
             return
-        self._tell(PromptCrashes(self._own_address, news))
+        self._gossip(PromptCrashes(self._own_address, new_crashes))
         for part in self._suspicions.ban_suspects(now_ms):
             log_state("prompt", "banned", part=part.identity, position=part.position)
         log_state(
-            "prompt", "suspected", crashes=[f"{each.identity} {each.instance}" for each in news]
+            "prompt",
+            "suspected",
+            crashes=[f"{each.identity} {each.instance}" for each in new_crashes],
         )
 
-    def _is_news(self, crash: PromptCrash, now_ms: float) -> bool:
+    def _record_crash(self, crash: PromptCrash, now_ms: float) -> bool:
         part = SharedPart(crash.identity, crash.position)
         return self._suspicions.note_crash(
             part, Crash(crash.instance, now_ms - crash.age_ms), now_ms
         )
 
-    def _take_answered(self, identities: tuple[str, ...]) -> None:
+    def _add_answered(self, identities: tuple[str, ...]) -> None:
         cleared = self._suspicions.note_answered(identities, self._clock.now_ms())
         if cleared:
-            self._tell(PromptsAnswered(cleared))
+            self._gossip(PromptsAnswered(cleared))
             log_state("prompt", "cleared", parts=cleared)
 
-    def _tell(self, message: PromptCrashes | PromptsAnswered) -> None:
+    def _gossip(self, message: PromptCrashes | PromptsAnswered) -> None:
         for peer in self._peers.fingers():
             self._transport.cast(peer.address, message)
 
 
-def _shared(caller: CallerRequest) -> tuple[str, ...]:
+def _shared_parts(caller: CallerRequest) -> tuple[str, ...]:
     """Return the parts of a request's prompt that other requests may share: all but the last."""
     return tuple(part.identity for part in caller.prompt[:-1])
