--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -55,7 +55,7 @@
         self.relay = relay
         self.prompts = prompts
         self.open_requests = 0
-        self.limits: set[asyncio.Timeout] = set()
+        self.timeouts: set[asyncio.Timeout] = set()
         self.refuses_waiting = False
 
     @staticmethod
@@ -92,8 +92,8 @@
 
     def end_all_requests(self) -> None:
         """Give each request that is in progress its final answer now."""
-        for limit in self.limits:
-            limit.reschedule(self.now())
+        for timeout in self.timeouts:
+            timeout.reschedule(self.now())
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -69,10 +69,10 @@
         self._service = service
         self._caller = caller
         self._arrived = serving.now()
-        limit = route.timeout_seconds
+        timeout = route.timeout_seconds
         if caller.remaining_seconds is not None:
-            limit = min(limit, caller.remaining_seconds)
-        self._outgoing = OutgoingRequest(request, caller, route, self._arrived + limit)
+            timeout = min(timeout, caller.remaining_seconds)
+        self._outgoing = OutgoingRequest(request, caller, route, self._arrived + timeout)
         self._relayed = relayed
         self._runs = relayed.runs if relayed else 0
         self._sends = 0
@@ -115,10 +115,10 @@
         """
         if self._relayed is None:
             self._pool.budget(self._service).note_request(self._arrived)
-        limit = asyncio.timeout_at(self._outgoing.deadline - DEADLINE_MARGIN_SECONDS)
-        self._serving.limits.add(limit)
+        timeout = asyncio.timeout_at(self._outgoing.deadline - DEADLINE_MARGIN_SECONDS)
+        self._serving.timeouts.add(timeout)
         try:
-            async with limit:
+            async with timeout:
                 await self._try_servers()
             self._observe_end(SERVED)
         except TimeoutError as error:
@@ -131,7 +131,7 @@
             self._log_end("caller-left")
             raise
         finally:
-            self._serving.limits.discard(limit)
+            self._serving.timeouts.discard(timeout)
 
     def _log_end(self, end: str) -> None:
         """Say how a request that was not served whole has ended, and what decided it."""
