--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -366,7 +366,7 @@
         self._relayed.stop_listening()
         grace = self.settings.bounds.grace_seconds
         await self._finish_requests(began + grace * WAITING_GRACE_PART)
-        self._handler.refuse_waiting()
+        self._handler.reject_waiting()
         await self._finish_requests(began + grace - STOP_MARGIN_SECONDS)
         self._handler.end_all_requests()
         await self._finish_requests(began + grace - STOP_MARGIN_SECONDS + LAST_ANSWERS_SECONDS)
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -56,7 +56,7 @@
         self.prompts = prompts
         self.open_requests = 0
         self.timeouts: set[asyncio.Timeout] = set()
-        self.refuses_waiting = False
+        self.rejects_waiting = False
 
     @staticmethod
     def now() -> float:
@@ -85,9 +85,9 @@
         """Count what became of a send to a server."""
         self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
 
-    def refuse_waiting(self) -> None:
+    def reject_waiting(self) -> None:
         """Refuse requests that wait for a model, now and from now on: this daemon leaves."""
-        self.refuses_waiting = True
+        self.rejects_waiting = True
         self.pool.demand.wake()
 
     def end_all_requests(self) -> None:
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -54,7 +54,7 @@
             terms = read_terms(request)
         except ValueError as error:
             raise RelayDeclined("it carries no terms") from error
-        if self._handler.refuses_waiting:
+        if self._handler.rejects_waiting:
             raise RelayDeclined("this daemon is leaving")
         if self._handler.configuration_version() < terms.configuration_version:
             raise RelayDeclined("the configuration here is older")
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -230,7 +230,7 @@
             return True
         if not failure.ran and self._caller.target is not None:
             self._owes_repeat = True
-            return not self._serving.refuses_waiting
+            return not self._serving.rejects_waiting
         if failure.ran and not self._route.repeatable:
             return False
         if failure.ran and not self._serving.prompts.may_retry(self._caller):
@@ -301,7 +301,7 @@
         :raises Refused: this daemon leaves.
         :raises StreamTruncated: this daemon leaves, and the answer has begun.
         """
-        if self._serving.refuses_waiting:
+        if self._serving.rejects_waiting:
             raise self._give_up("this daemon is leaving")
 
     def _choose_paid(self) -> ServerEntry | None:
