--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -36,11 +36,11 @@
     from loomwind.serving.handler import RequestHandler
 
 DEADLINE_MARGIN_SECONDS = 0.02
-EXTRA_UNSTARTED_SENDS = 3
-REFUSED_PAUSE_SECONDS = 0.03
+MAX_EXTRA_SENDS = 3
+REFUSAL_RETRY_DELAY_SECONDS = 0.03
 SERVED = "served"
 # What a server may have sent before it ends by the prompt that it answers.
-EVENTS_OF_A_BEGIN = 16
+MAX_EVENTS_BEFORE_CRASH = 16
 NOT_RUN_STATUSES = frozenset({503})
 SERVER_ERROR_STATUSES = range(500, 600)
 
@@ -189,7 +189,7 @@
                 if not self._may_retry(failure):
                     raise self._give_up(str(failure)) from failure
                 if not failure.ran:
-                    await asyncio.sleep(REFUSED_PAUSE_SECONDS)
+                    await asyncio.sleep(REFUSAL_RETRY_DELAY_SECONDS)
 
     def _refuse_if_banned(self) -> None:
         """End a request that would crash the next server.
@@ -203,7 +203,7 @@
 
     def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._handed_over = False
-        if failure.broken and self._stream.events - self._events_before < EVENTS_OF_A_BEGIN:
+        if failure.broken and self._stream.events - self._events_before < MAX_EVENTS_BEFORE_CRASH:
             self._serving.prompts.note_crash(self._caller, entry.instance)
         self._choice.tried.add(entry.instance)
         self._runs += failure.ran
@@ -237,7 +237,7 @@
             return False
         if self._runs >= self._route.max_attempts:
             return False
-        if self._sends >= self._route.max_attempts + EXTRA_UNSTARTED_SENDS:
+        if self._sends >= self._route.max_attempts + MAX_EXTRA_SENDS:
             return False
         return self._may_repeat()
 
