--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -62,28 +62,28 @@
 
         :param relayed: given for a request that a peer could not serve itself.
         """
-        self._serving = serving
+        self._handler = serving
         self._pool = serving.pool
         self._exchange = exchange
         self._route = route
         self._service = service
         self._caller = caller
-        self._arrived = serving.now()
+        self._arrived_at = serving.now()
         timeout = route.timeout_seconds
         if caller.remaining_seconds is not None:
             timeout = min(timeout, caller.remaining_seconds)
-        self._outgoing = OutgoingRequest(request, caller, route, self._arrived + timeout)
+        self._request = OutgoingRequest(request, caller, route, self._arrived_at + timeout)
         self._relayed = relayed
         self._runs = relayed.runs if relayed else 0
         self._sends = 0
-        self._events_before = 0
+        self._events_before_send = 0
         self._may_have_run = self._runs > 0
-        self._handed_over = False
+        self._outcome_pending = False
         self._waited_seconds = 0.0
-        self._waiting = False
-        self._owes_repeat = False
+        self._is_waiting = False
+        self._retry_unpaid = False
         self._server = ""
-        self._choice = ServerSelector(
+        self._selector = ServerSelector(
             serving.pool, serving.forwarder, serving.zone, service, caller
         )
         self._stream = StreamRelay(
@@ -98,9 +98,9 @@
         self._peers = PeerAttempts(
             serving,
             exchange,
-            self._outgoing,
+            self._request,
             service,
-            self._choice,
+            self._selector,
             self._stream,
             allowed=relayed is None,
         )
@@ -114,9 +114,9 @@
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
-            self._pool.budget(self._service).note_request(self._arrived)
-        timeout = asyncio.timeout_at(self._outgoing.deadline - DEADLINE_MARGIN_SECONDS)
-        self._serving.timeouts.add(timeout)
+            self._pool.budget(self._service).note_request(self._arrived_at)
+        timeout = asyncio.timeout_at(self._request.deadline - DEADLINE_MARGIN_SECONDS)
+        self._handler.timeouts.add(timeout)
         try:
             async with timeout:
                 await self._try_servers()
@@ -131,7 +131,7 @@
             self._log_end("caller-left")
             raise
         finally:
-            self._serving.timeouts.discard(timeout)
+            self._handler.timeouts.discard(timeout)
 
     def _log_end(self, end: str) -> None:
         """Say how a request that was not served whole has ended, and what decided it."""
@@ -142,23 +142,23 @@
             route=self._route.name,
             service=self._service,
             target=str(self._caller.target) if self._caller.target else "",
-            seconds=round(self._serving.now() - self._arrived, 3),
+            seconds=round(self._handler.now() - self._arrived_at, 3),
             waited_for_model=round(self._waited_seconds, 3),
-            waiting=self._waiting,
+            waiting=self._is_waiting,
             sends=self._sends,
-            may_have_run=self._may_have_run or self._handed_over,
+            may_have_run=self._may_have_run or self._outcome_pending,
             server=self._server,
-            passed_over=self._choice.passed_over(self._server),
+            passed_over=self._selector.passed_over(self._server),
             peers_asked=self._peers.asked,
             events=self._stream.events,
-            configuration=self._serving.configuration_version(),
+            configuration=self._handler.configuration_version(),
             servers=self._pool.directory.version,
         )
 
     def _observe_end(self, end: str) -> None:
         """Count a request's end and its time."""
-        metrics = self._serving.metrics
-        seconds = self._serving.now() - self._arrived
+        metrics = self._handler.metrics
+        seconds = self._handler.now() - self._arrived_at
         metrics.request_seconds.labels(self._route.kind.value, end).observe(seconds)
         if self._waited_seconds:
             metrics.model_wait_seconds.observe(self._waited_seconds)
@@ -166,7 +166,7 @@
     def _out_of_time(self) -> Exception:
         if self._exchange.started:
             return StreamTruncated("the time is over")
-        if self._may_have_run or self._handed_over:
+        if self._may_have_run or self._outcome_pending:
             return Refused(504, "no answer in time")
         detail = "no server could take the request in time"
         return Refused(503, detail, RETRY_SOON_SECONDS)
@@ -196,25 +196,28 @@
 
         :raises Refused: it has a part that has crashed several.
         """
-        banned_ms = self._serving.prompts.banned_for_ms(self._caller)
+        banned_ms = self._handler.prompts.banned_for_ms(self._caller)
         if banned_ms > 0:
             reason = "a part of the prompt has ended several servers"
             raise self._give_up(reason, banned_ms / MS_PER_SECOND)
 
     def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
-        self._handed_over = False
-        if failure.broken and self._stream.events - self._events_before < MAX_EVENTS_BEFORE_CRASH:
-            self._serving.prompts.note_crash(self._caller, entry.instance)
-        self._choice.tried.add(entry.instance)
+        self._outcome_pending = False
+        if (
+            failure.broken
+            and self._stream.events - self._events_before_send < MAX_EVENTS_BEFORE_CRASH
+        ):
+            self._handler.prompts.note_crash(self._caller, entry.instance)
+        self._selector.tried.add(entry.instance)
         self._runs += failure.ran
         self._may_have_run |= failure.ran
-        self._pool.note_failure(entry, self._caller.target, failure, self._serving.now())
-        self._serving.count_send(entry, "failed" if failure.ran else "refused")
+        self._pool.note_failure(entry, self._caller.target, failure, self._handler.now())
+        self._handler.count_send(entry, "failed" if failure.ran else "refused")
         log_decision(
             "send-failed",
             self._caller.request_id,
             server=entry.instance,
-            passed_over=self._choice.passed_over(self._server),
+            passed_over=self._selector.passed_over(self._server),
             reason=str(failure),
             ran=failure.ran,
             events=self._stream.events,
@@ -229,11 +232,11 @@
             self._sends -= 1
             return True
         if not failure.ran and self._caller.target is not None:
-            self._owes_repeat = True
-            return not self._serving.rejects_waiting
+            self._retry_unpaid = True
+            return not self._handler.rejects_waiting
         if failure.ran and not self._route.repeatable:
             return False
-        if failure.ran and not self._serving.prompts.may_retry(self._caller):
+        if failure.ran and not self._handler.prompts.may_retry(self._caller):
             return False
         if self._runs >= self._route.max_attempts:
             return False
@@ -243,8 +246,8 @@
 
     def _may_repeat(self) -> bool:
         """Take one repeat out of the budget, if it has room."""
-        allowed = self._pool.budget(self._service).try_spend(self._serving.now())
-        self._serving.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
+        allowed = self._pool.budget(self._service).try_spend(self._handler.now())
+        self._handler.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
         return allowed
 
     def _give_up(self, reason: str, retry_after_seconds: float = RETRY_SOON_SECONDS) -> Exception:
@@ -267,15 +270,15 @@
             return entry
         key = DemandKey(self._service, target)
         if self._sends == 0 and self._waited_seconds == 0.0:
-            self._pool.demand.arrived(key, self._arrived)
+            self._pool.demand.arrived(key, self._arrived_at)
         if entry is not None:
             return entry
-        began = self._serving.now()
-        deadline = self._outgoing.deadline
-        since = began if self._exchange.started else self._arrived
-        wait = ModelWait(self._serving, key, self._route, self._caller, since, deadline)
-        self._waiting = True
-        self._serving.metrics.waiting_for_model.inc()
+        began = self._handler.now()
+        deadline = self._request.deadline
+        since = began if self._exchange.started else self._arrived_at
+        wait = ModelWait(self._handler, key, self._route, self._caller, since, deadline)
+        self._is_waiting = True
+        self._handler.metrics.waiting_for_model.inc()
         try:
             with wait:
                 while entry is None and not self._peers.are_better():
@@ -286,9 +289,9 @@
         except ModelUnavailable as error:
             raise self._give_up(str(error), error.ready_in_seconds) from error
         finally:
-            self._serving.metrics.waiting_for_model.dec()
-            self._waited_seconds += self._serving.now() - began
-        self._waiting = False
+            self._handler.metrics.waiting_for_model.dec()
+            self._waited_seconds += self._handler.now() - began
+        self._is_waiting = False
         return entry
 
     def _has_not_run(self) -> bool:
@@ -301,29 +304,29 @@
         :raises Refused: this daemon leaves.
         :raises StreamTruncated: this daemon leaves, and the answer has begun.
         """
-        if self._serving.rejects_waiting:
+        if self._handler.rejects_waiting:
             raise self._give_up("this daemon is leaving")
 
     def _choose_paid(self) -> ServerEntry | None:
         """Return a server, if the budget has room for the repeat that this send may be."""
-        entry = self._choice.choose(self._serving.now())
-        if entry is None or not self._owes_repeat:
+        entry = self._selector.choose(self._handler.now())
+        if entry is None or not self._retry_unpaid:
             return entry
         if not self._may_repeat():
             return None
-        self._owes_repeat = False
+        self._retry_unpaid = False
         return entry
 
     # One server.
 
     async def _try_server(self, entry: ServerEntry) -> None:
         self._sends += 1
-        self._events_before = self._stream.events
+        self._events_before_send = self._stream.events
         self._server = entry.instance
-        self._serving.observe_list_age()
+        self._handler.observe_list_age()
         target = self._caller.target
         health = self._pool.health(entry)
-        health.note_sent(self._serving.now())
+        health.note_sent(self._handler.now())
         if target is not None:
             self._pool.demand.begin_run(entry.instance, target)
         try:
@@ -333,27 +336,27 @@
             if target is not None:
                 self._pool.demand.end_run(entry.instance, target)
         health.note_success()
-        self._serving.count_send(entry, SERVED)
+        self._handler.count_send(entry, SERVED)
 
     async def _exchange_with(self, entry: ServerEntry) -> None:
-        forwarder = self._serving.forwarder
+        forwarder = self._handler.forwarder
         resume_from = self._stream.last_event_id
         connection = await forwarder.connect(entry)
         silence = self._inactivity_timeout(entry)
-        self._handed_over = True
+        self._outcome_pending = True
         try:
             async with asyncio.timeout(silence):
                 with self._doubt_when_silent():
                     answer = await forwarder.send(
-                        connection, self._outgoing, entry, self._serving.now(), resume_from
+                        connection, self._request, entry, self._handler.now(), resume_from
                     )
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
-        self._pool.health(entry).note_received(self._serving.now())
+        self._pool.health(entry).note_received(self._handler.now())
         if body is None:
             await self._stream.relay(entry, answer, self._pool.health(entry))
-            self._serving.prompts.note_answered(self._caller)
+            self._handler.prompts.note_answered(self._caller)
             forwarder.release(answer.connection)
         else:
             await self._answer_whole(entry, answer, body)
@@ -363,7 +366,7 @@
         """Let the way to the servers be probed when an answer does not begin for a while."""
         reach = self._pool.reach_of(self._service)
         timer = asyncio.get_running_loop().call_later(
-            SUSPECT_AFTER_SECONDS, reach.note_silence, self._serving.now()
+            SUSPECT_AFTER_SECONDS, reach.note_silence, self._handler.now()
         )
         try:
             yield
@@ -372,7 +375,7 @@
 
     def _inactivity_timeout(self, entry: ServerEntry) -> float | None:
         """Return how long a server may say nothing before the request goes elsewhere."""
-        has_other = self._choice.has_other(entry, self._serving.now())
+        has_other = self._selector.has_other(entry, self._handler.now())
         return inactivity_timeout_seconds(self._route, self._runs, has_other)
 
     async def _answer_whole(self, entry: ServerEntry, answer: OpenResponse, body: bytes) -> None:
@@ -385,7 +388,7 @@
                 raise failure
         if self._exchange.started:
             raise SendFailed(f"{entry.instance}: a resumed stream got {status}", ran=True)
-        headers = self._serving.dialect.answer_headers(answer.head)
+        headers = self._handler.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
     # A peer in place of the servers.
@@ -403,11 +406,11 @@
         try:
             await self._peers.exchange_with(peer, self._runs, self._note_handed_over)
         except RelayDeclined as declined:
-            self._handed_over = False
+            self._outcome_pending = False
             self._peers.log("relay-declined", peer, str(declined))
             return False
         except SendFailed as failure:
-            self._handed_over = False
+            self._outcome_pending = False
             self._runs += 1
             self._may_have_run = True
             self._peers.log("relay-failed", peer, str(failure))
@@ -415,14 +418,14 @@
                 raise self._give_up(str(failure)) from failure
             return False
         except Refused as refusal:
-            self._handed_over = False
+            self._outcome_pending = False
             self._peers.log("relay-refused", peer, str(refusal))
             raise self._final(refusal) from refusal
         return True
 
     def _note_handed_over(self) -> None:
         self._sends += 1
-        self._handed_over = True
+        self._outcome_pending = True
 
     def _final(self, refusal: Refused) -> Exception:
         """Return a peer's refusal as this daemon's own: it may not know what has run before."""
@@ -434,8 +437,8 @@
 
     def _note_first_event(self, entry: ServerEntry) -> None:
         """Say what a late first event was waiting for."""
-        seconds = self._serving.now() - self._arrived
-        self._serving.metrics.first_event_seconds.observe(seconds)
+        seconds = self._handler.now() - self._arrived_at
+        self._handler.metrics.first_event_seconds.observe(seconds)
         if seconds > self._route.objective_seconds:
             log_decision(
                 "late",
