--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -120,10 +120,10 @@
         try:
             async with timeout:
                 await self._try_servers()
-            self._observe_end(SERVED)
+            self._count_end(SERVED)
         except TimeoutError as error:
             self._log_end("out-of-time")
-            raise self._out_of_time() from error
+            raise self._timeout_error() from error
         except (Refused, StreamTruncated):
             self._log_end("given-up")
             raise
@@ -135,7 +135,7 @@
 
     def _log_end(self, end: str) -> None:
         """Say how a request that was not served whole has ended, and what decided it."""
-        self._observe_end(end)
+        self._count_end(end)
         log_decision(
             end,
             self._caller.request_id,
@@ -155,7 +155,7 @@
             servers=self._pool.directory.version,
         )
 
-    def _observe_end(self, end: str) -> None:
+    def _count_end(self, end: str) -> None:
         """Count a request's end and its time."""
         metrics = self._handler.metrics
         seconds = self._handler.now() - self._arrived_at
@@ -163,7 +163,7 @@
         if self._waited_seconds:
             metrics.model_wait_seconds.observe(self._waited_seconds)
 
-    def _out_of_time(self) -> Exception:
+    def _timeout_error(self) -> Exception:
         if self._exchange.started:
             return StreamTruncated("the time is over")
         if self._may_have_run or self._outcome_pending:
@@ -173,7 +173,7 @@
 
     async def _try_servers(self) -> None:
         while True:
-            self._refuse_if_banned()
+            self._raise_if_banned()
             if self._peers.are_better():
                 if await self._serve_by_peer():
                     return
@@ -187,11 +187,11 @@
             except SendFailed as failure:
                 self._note_failure(entry, failure)
                 if not self._may_retry(failure):
-                    raise self._give_up(str(failure)) from failure
+                    raise self._final_error(str(failure)) from failure
                 if not failure.ran:
                     await asyncio.sleep(REFUSAL_RETRY_DELAY_SECONDS)
 
-    def _refuse_if_banned(self) -> None:
+    def _raise_if_banned(self) -> None:
         """End a request that would crash the next server.
 
         :raises Refused: it has a part that has crashed several.
@@ -199,7 +199,7 @@
         banned_ms = self._handler.prompts.banned_for_ms(self._caller)
         if banned_ms > 0:
             reason = "a part of the prompt has ended several servers"
-            raise self._give_up(reason, banned_ms / MS_PER_SECOND)
+            raise self._final_error(reason, banned_ms / MS_PER_SECOND)
 
     def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._outcome_pending = False
@@ -242,15 +242,17 @@
             return False
         if self._sends >= self._route.max_attempts + MAX_EXTRA_SENDS:
             return False
-        return self._may_repeat()
+        return self._spend_retry()
 
-    def _may_repeat(self) -> bool:
+    def _spend_retry(self) -> bool:
         """Take one repeat out of the budget, if it has room."""
         allowed = self._pool.budget(self._service).try_spend(self._handler.now())
         self._handler.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
         return allowed
 
-    def _give_up(self, reason: str, retry_after_seconds: float = RETRY_SOON_SECONDS) -> Exception:
+    def _final_error(
+        self, reason: str, retry_after_seconds: float = RETRY_SOON_SECONDS
+    ) -> Exception:
         """Return the final answer: only a request that has not run is told to come back."""
         if self._exchange.started:
             return StreamTruncated(reason)
@@ -263,7 +265,7 @@
     async def _wait_for_server(self) -> ServerEntry | None:
         """Return a server; None when this daemon has lost its way to the servers meanwhile."""
         target = self._caller.target
-        entry = self._choose_paid()
+        entry = self._choose_within_budget()
         if target is None:
             if entry is None:
                 raise Refused(503, "no server of the service is known", RETRY_SOON_SECONDS)
@@ -282,12 +284,12 @@
         try:
             with wait:
                 while entry is None and not self._peers.are_better():
-                    self._refuse_if_leaving()
-                    self._refuse_if_banned()
+                    self._raise_if_leaving()
+                    self._raise_if_banned()
                     await wait.look_again(self._has_not_run())
-                    entry = self._choose_paid()
+                    entry = self._choose_within_budget()
         except ModelUnavailable as error:
-            raise self._give_up(str(error), error.ready_in_seconds) from error
+            raise self._final_error(str(error), error.ready_in_seconds) from error
         finally:
             self._handler.metrics.waiting_for_model.dec()
             self._waited_seconds += self._handler.now() - began
@@ -298,21 +300,21 @@
         """Whether a refusal is true: nothing has run, and no answer has begun."""
         return not (self._may_have_run or self._exchange.started)
 
-    def _refuse_if_leaving(self) -> None:
+    def _raise_if_leaving(self) -> None:
         """End a wait while its caller can still go elsewhere.
 
         :raises Refused: this daemon leaves.
         :raises StreamTruncated: this daemon leaves, and the answer has begun.
         """
         if self._handler.rejects_waiting:
-            raise self._give_up("this daemon is leaving")
+            raise self._final_error("this daemon is leaving")
 
-    def _choose_paid(self) -> ServerEntry | None:
+    def _choose_within_budget(self) -> ServerEntry | None:
         """Return a server, if the budget has room for the repeat that this send may be."""
         entry = self._selector.choose(self._handler.now())
         if entry is None or not self._retry_unpaid:
             return entry
-        if not self._may_repeat():
+        if not self._spend_retry():
             return None
         self._retry_unpaid = False
         return entry
@@ -330,7 +332,7 @@
         if target is not None:
             self._pool.demand.begin_run(entry.instance, target)
         try:
-            await self._exchange_with(entry)
+            await self._exchange_with_server(entry)
         finally:
             health.note_ended()
             if target is not None:
@@ -338,7 +340,7 @@
         health.note_success()
         self._handler.count_send(entry, SERVED)
 
-    async def _exchange_with(self, entry: ServerEntry) -> None:
+    async def _exchange_with_server(self, entry: ServerEntry) -> None:
         forwarder = self._handler.forwarder
         resume_from = self._stream.last_event_id
         connection = await forwarder.connect(entry)
@@ -346,7 +348,7 @@
         self._outcome_pending = True
         try:
             async with asyncio.timeout(silence):
-                with self._doubt_when_silent():
+                with self._probe_when_silent():
                     answer = await forwarder.send(
                         connection, self._request, entry, self._handler.now(), resume_from
                     )
@@ -359,10 +361,10 @@
             self._handler.prompts.note_answered(self._caller)
             forwarder.release(answer.connection)
         else:
-            await self._answer_whole(entry, answer, body)
+            await self._send_full_response(entry, answer, body)
 
     @contextlib.contextmanager
-    def _doubt_when_silent(self) -> Iterator[None]:
+    def _probe_when_silent(self) -> Iterator[None]:
         """Let the way to the servers be probed when an answer does not begin for a while."""
         reach = self._pool.reach_of(self._service)
         timer = asyncio.get_running_loop().call_later(
@@ -378,7 +380,9 @@
         has_other = self._selector.has_other(entry, self._handler.now())
         return inactivity_timeout_seconds(self._route, self._runs, has_other)
 
-    async def _answer_whole(self, entry: ServerEntry, answer: OpenResponse, body: bytes) -> None:
+    async def _send_full_response(
+        self, entry: ServerEntry, answer: OpenResponse, body: bytes
+    ) -> None:
         status = answer.head.status
         if status in SERVER_ERROR_STATUSES:
             failure = SendFailed(f"{entry.instance}: status {status}", ran=True)
@@ -404,7 +408,7 @@
             return False
         self._server = peer.address
         try:
-            await self._peers.exchange_with(peer, self._runs, self._note_handed_over)
+            await self._peers.exchange_with(peer, self._runs, self._note_sent_to_peer)
         except RelayDeclined as declined:
             self._outcome_pending = False
             self._peers.log("relay-declined", peer, str(declined))
@@ -415,22 +419,22 @@
             self._may_have_run = True
             self._peers.log("relay-failed", peer, str(failure))
             if not self._may_retry(failure):
-                raise self._give_up(str(failure)) from failure
+                raise self._final_error(str(failure)) from failure
             return False
         except Refused as refusal:
             self._outcome_pending = False
             self._peers.log("relay-refused", peer, str(refusal))
-            raise self._final(refusal) from refusal
+            raise self._to_final_error(refusal) from refusal
         return True
 
-    def _note_handed_over(self) -> None:
+    def _note_sent_to_peer(self) -> None:
         self._sends += 1
         self._outcome_pending = True
 
-    def _final(self, refusal: Refused) -> Exception:
+    def _to_final_error(self, refusal: Refused) -> Exception:
         """Return a peer's refusal as this daemon's own: it may not know what has run before."""
         if refusal.status in NOT_RUN_STATUSES and not self._has_not_run():
-            return self._give_up(str(refusal))
+            return self._final_error(str(refusal))
         if self._exchange.started:
             return StreamTruncated(str(refusal))
         return refusal
