--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -16,8 +16,8 @@
 
 CONNECT_TIMEOUT_SECONDS = 0.4
 EVENT_STREAM = "text/event-stream"
-MAX_SURPLUS_ANSWERS = 2
-MAX_HELD_BYTES = 16 * constants.MEBIBYTE
+MAX_STALE_RESPONSES = 2
+MAX_BUFFERED_BYTES = 16 * constants.MEBIBYTE
 SUCCESS_STATUSES = range(200, 300)
 
 
@@ -42,8 +42,8 @@
     @property
     def streamed(self) -> bool:
         """Whether the body is a stream of events."""
-        good = self.head.status in SUCCESS_STATUSES
-        return good and (self.head.header("content-type") or "").startswith(EVENT_STREAM)
+        success = self.head.status in SUCCESS_STATUSES
+        return success and (self.head.header("content-type") or "").startswith(EVENT_STREAM)
 
 
 class Forwarder:
@@ -91,12 +91,12 @@
 
         :raises SendFailed: there is no answer of this server to this request.
         """
-        request = self._as_sent(outgoing, entry, now, last_event_id)
+        request = self._server_request(outgoing, entry, now, last_event_id)
         try:
             connection.send_request(request)
-            head, verdict = await self._read_own_head(connection, request, outgoing, entry)
+            head, verdict = await self._read_matching_head(connection, request, outgoing, entry)
             if not verdict.ran:
-                await self._finish_refused(connection)
+                await self._drain_refusal(connection)
         except HttpError as error:
             connection.close()
             raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
@@ -104,7 +104,7 @@
             connection.close()
             raise
         if not verdict.ran:
-            raise _refused(entry, head, verdict)
+            raise _refusal_error(entry, head, verdict)
         return OpenResponse(connection, head)
 
     async def open_connection(self, entry: ServerEntry) -> ClientConnection:
@@ -121,7 +121,7 @@
         reach.note_connected(self._clock.now_ms())
         return connection
 
-    def _as_sent(
+    def _server_request(
         self, outgoing: OutgoingRequest, entry: ServerEntry, now: float, last_event_id: str | None
     ) -> HttpRequest:
         request = outgoing.request
@@ -131,7 +131,7 @@
         )
         return HttpRequest(request.method, request.target, headers, request.body)
 
-    async def _read_own_head(
+    async def _read_matching_head(
         self,
         connection: ClientConnection,
         request: HttpRequest,
@@ -140,22 +140,24 @@
     ) -> tuple[HttpResponse, AnswerVerdict]:
         """Read heads until one answers this request; a late surplus answer is skipped."""
         request_id = outgoing.caller.request_id
-        for _ in range(1 + MAX_SURPLUS_ANSWERS):
+        for _ in range(1 + MAX_STALE_RESPONSES):
             head = await connection.read_head()
             verdict = self._dialect.judge(request_id, entry.name, head)
             connection.note_keep_alive(head)
             if verdict.ours:
-                return self._checked(head, verdict, entry), verdict
+                return self._check_genuine(head, verdict, entry), verdict
             await connection.skip_answer(request)
         raise SendFailed(f"{entry.instance}: answers to other requests only", ran=True)
 
     @staticmethod
-    def _checked(head: HttpResponse, verdict: AnswerVerdict, entry: ServerEntry) -> HttpResponse:
+    def _check_genuine(
+        head: HttpResponse, verdict: AnswerVerdict, entry: ServerEntry
+    ) -> HttpResponse:
         if verdict.ran and not verdict.genuine:
             raise SendFailed(f"{entry.instance}: an answer without the server's mark", ran=True)
         return head
 
-    async def _finish_refused(self, connection: ClientConnection) -> None:
+    async def _drain_refusal(self, connection: ClientConnection) -> None:
         """Read the rest of a refusal, so that its connection can be used again."""
         while await connection.read_body():
             pass
@@ -169,9 +171,9 @@
         body = bytearray()
         connection = answer.connection
         try:
-            while piece := await connection.read_body():
-                body += piece
-                if len(body) > MAX_HELD_BYTES:
+            while chunk := await connection.read_body():
+                body += chunk
+                if len(body) > MAX_BUFFERED_BYTES:
                     raise SendFailed("the answer is too large", ran=True)
         except HttpError as error:
             connection.close()
@@ -191,7 +193,7 @@
         self._client.release(connection)
 
 
-def _refused(entry: ServerEntry, head: HttpResponse, verdict: AnswerVerdict) -> SendFailed:
+def _refusal_error(entry: ServerEntry, head: HttpResponse, verdict: AnswerVerdict) -> SendFailed:
     return SendFailed(
         f"{entry.instance}: refused unstarted with {head.status}",
         ran=False,
