--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -65,36 +65,36 @@
             if not self._exchange.started:
                 headers = self._dialect.answer_headers(answer.head)
                 await self._exchange.start(answer.head.status, headers)
-            gaps = StreamGaps()
-            while piece := await self._next_piece(entry, answer):
+            stream_gaps = StreamGaps()
+            while chunk := await self._next_chunk(entry, answer):
                 now = self._now()
                 health.note_received(now)
-                gaps.note_event(now * MS_PER_SECOND)
+                stream_gaps.note_event(now * MS_PER_SECOND)
                 first = self.events == 0
-                await self._exchange.send(self._cutter.feed(piece))
+                await self._exchange.send(self._cutter.feed(chunk))
                 if first and self.events:
                     self._on_first_event(entry)
-            await self._exchange.send(self._end(entry, answer))
+            await self._exchange.send(self._finish_body(entry, answer))
             await self._exchange.finish()
-            self._note_pause(entry, gaps, health)
+            self._log_long_gap(entry, stream_gaps, health)
         except BaseException:
             answer.connection.close()
             self._cutter.drop_rest()
             raise
 
-    async def _next_piece(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
-        silence = self._inactivity_timeout(entry)
-        if silence is not None and self.events:
-            silence = EVENT_GAP_TIMEOUT_SECONDS
+    async def _next_chunk(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
+        timeout = self._inactivity_timeout(entry)
+        if timeout is not None and self.events:
+            timeout = EVENT_GAP_TIMEOUT_SECONDS
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(timeout):
                 return await answer.connection.read_body()
         except TimeoutError as error:
-            raise SendFailed(f"{entry.instance}: stream silent for {silence} s", True) from error
+            raise SendFailed(f"{entry.instance}: stream silent for {timeout} s", True) from error
         except HttpError as error:
             raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
 
-    def _end(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
+    def _finish_body(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
         """Take in that a stream's body has ended, as its framing says; returns what is left.
 
         :raises SendFailed: it ended inside an event.
@@ -107,17 +107,19 @@
             detail = f"{entry.instance}: {error}, framed by {framing}"
             raise SendFailed(detail, ran=True, broken=True) from error
 
-    def _note_pause(self, entry: ServerEntry, gaps: StreamGaps, health: ServerHealth) -> None:
+    def _log_long_gap(
+        self, entry: ServerEntry, stream_gaps: StreamGaps, health: ServerHealth
+    ) -> None:
         """Say that a whole stream has paused for longer than its route allows."""
         allowed_ms = self._route.gap_objective_seconds * MS_PER_SECOND
-        if not 0 < allowed_ms < gaps.longest_ms:
+        if not 0 < allowed_ms < stream_gaps.longest_ms:
             return
         log_decision(
             "paused",
             self._caller.request_id,
             server=entry.instance,
             target=str(self._caller.target),
-            longest_gap_ms=round(gaps.longest_ms, 1),
+            longest_gap_ms=round(stream_gaps.longest_ms, 1),
             allowed_ms=allowed_ms,
             in_flight=health.in_flight,
             prompt_tokens=self._caller.prompt_tokens,
