--- a/loomwind/serving/budget.py
+++ b/loomwind/serving/budget.py
@@ -19,9 +19,9 @@
         """
         self._ratio = ratio
         self._allowance = allowance
-        self._window = window_seconds
-        self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._window_seconds = window_seconds
+        self._request_times: deque[float] = deque()
+        self._retry_times: deque[float] = deque()
 
     def set_allowance(self, allowance: float) -> None:
         """Change the free part, when the number of daemons has changed."""
@@ -31,22 +31,22 @@
         """Change everything that bounds the repeats; see :meth:`__init__`."""
         self._ratio = ratio
         self._allowance = allowance
-        self._window = window_seconds
+        self._window_seconds = window_seconds
 
     def note_request(self, now: float) -> None:
         """Count a caller's request."""
-        self._requests.append(now)
-        self._trim(now)
+        self._request_times.append(now)
+        self._evict_expired(now)
 
     def try_spend(self, now: float) -> bool:
         """Count a repeated send if there is room for it."""
-        self._trim(now)
-        if len(self._repeats) + 1 > self._ratio * len(self._requests) + self._allowance:
+        self._evict_expired(now)
+        if len(self._retry_times) + 1 > self._ratio * len(self._request_times) + self._allowance:
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
 
-    def _trim(self, now: float) -> None:
-        for times in (self._requests, self._repeats):
-            while times and times[0] <= now - self._window:
+    def _evict_expired(self, now: float) -> None:
+        for times in (self._request_times, self._retry_times):
+            while times and times[0] <= now - self._window_seconds:
                 times.popleft()
