--- a/loomwind/serving/routes.py
+++ b/loomwind/serving/routes.py
@@ -10,19 +10,21 @@
     """
 
     def __init__(self) -> None:
-        self._credits: dict[str, float] = {}
+        self._current_weights: dict[str, float] = {}
 
     def next(self, route: RouteRule) -> str:
         """Return the service of the next request."""
         if len(route.parts) == 1:
             return route.parts[0].service
         total = sum(part.weight for part in route.parts)
-        credits = {part.service: self._credits.get(part.service, 0.0) for part in route.parts}
+        weights_now = {
+            part.service: self._current_weights.get(part.service, 0.0) for part in route.parts
+        }
         for part in route.parts:
-            credits[part.service] += part.weight
-        chosen = max(credits, key=lambda service: credits[service])
-        credits[chosen] -= total
-        self._credits = credits
+            weights_now[part.service] += part.weight
+        chosen = max(weights_now, key=lambda service: weights_now[service])
+        weights_now[chosen] -= total
+        self._current_weights = weights_now
         return chosen
 
 
@@ -38,7 +40,9 @@
         self._by_host: dict[str, list[RouteRule]] = {}
         for route in sorted(configuration.routes, key=lambda r: len(r.prefix), reverse=True):
             self._by_host.setdefault(route.host.lower(), []).append(route)
-        self._turns: dict[str, WeightedRoundRobin] = previous._turns if previous else {}
+        self._round_robins: dict[str, WeightedRoundRobin] = (
+            previous._round_robins if previous else {}
+        )
 
     def match(self, host: str, path: str) -> RouteRule | None:
         """Return the route of a request, or None.
@@ -54,4 +58,4 @@
 
     def next_service(self, route: RouteRule) -> str:
         """Return the service that the route's next request goes to."""
-        return self._turns.setdefault(route.name, WeightedRoundRobin()).next(route)
+        return self._round_robins.setdefault(route.name, WeightedRoundRobin()).next(route)
