--- a/loomwind/serving/inactivity.py
+++ b/loomwind/serving/inactivity.py
@@ -15,7 +15,7 @@
     """
     if not route.repeatable or runs + 1 >= route.max_attempts or not has_other:
         return None
-    silence = TIMEOUT_PER_OBJECTIVE * route.objective_seconds
+    timeout = TIMEOUT_PER_OBJECTIVE * route.objective_seconds
     if route.kind is RequestKind.STREAMING:
-        return max(silence, MIN_STREAM_TIMEOUT_SECONDS)
-    return max(silence, MIN_TIMEOUT_SECONDS)
+        return max(timeout, MIN_STREAM_TIMEOUT_SECONDS)
+    return max(timeout, MIN_TIMEOUT_SECONDS)
--- a/loomwind/serving/server_cost.py
+++ b/loomwind/serving/server_cost.py
@@ -37,12 +37,12 @@
 
     def describe(self) -> str:
         """Return what speaks for or against the server, in short."""
-        marks = [f"{self.in_flight} in flight", f"{self.load:.0f} of others"]
-        marks += ["breaker open"] if self.breaker_open else []
-        marks += ["tried"] if self.tried else []
-        marks += [] if self.connected else ["no connection"]
-        marks += [f"{self.error_rate:.2f} failed"] if self.error_rate else []
-        return ", ".join(marks)
+        notes = [f"{self.in_flight} in flight", f"{self.load:.0f} of others"]
+        notes += ["breaker open"] if self.breaker_open else []
+        notes += ["tried"] if self.tried else []
+        notes += [] if self.connected else ["no connection"]
+        notes += [f"{self.error_rate:.2f} failed"] if self.error_rate else []
+        return ", ".join(notes)
 
 
 def rendezvous_score(key: str, instance: str) -> float:
@@ -50,7 +50,7 @@
     return float(xxhash.xxh64_intdigest(f"{key}|{instance}".encode())) / HASH_RANGE
 
 
-def cost(candidate: Candidate, zone: str, key: str, now_noise: float) -> float:
+def cost(candidate: Candidate, zone: str, key: str, noise: float) -> float:
     """Return what it costs to send a request to a server, in requests waiting there."""
     slots = max(1, candidate.entry.slots)
     total = (candidate.in_flight + candidate.load) * 8.0 / slots
@@ -61,7 +61,7 @@
     total += 0.0 if candidate.connected else NEW_CONNECTION_COST
     if key:
         total += CACHE_COST * rendezvous_score(key, candidate.entry.instance)
-    return total + now_noise * 0.1
+    return total + noise * 0.1
 
 
 def lowest_cost(
@@ -75,8 +75,8 @@
     """
     if not candidates:
         return None
-    priced = [
+    costs = [
         (cost(candidate, zone, key, number), index)
         for index, (candidate, number) in enumerate(zip(candidates, noise, strict=True))
     ]
-    return candidates[min(priced)[1]]
+    return candidates[min(costs)[1]]
