--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""One request from its head to its final answer: wait for a server, send, try again, relay.
+"""Serves one request: waits for a server, sends, retries, and relays the response.
 
-What each failure allows is decided in :meth:`RequestRun._may_retry` alone.
+:meth:`RequestLifecycle._may_retry` alone decides whether a failed attempt may be retried.
 """
 
 import asyncio
@@ -39,18 +39,18 @@
 MAX_EXTRA_SENDS = 3
 REFUSAL_RETRY_DELAY_SECONDS = 0.03
 SERVED = "served"
-# What a server may have sent before it ends by the prompt that it answers.
-MAX_EVENTS_BEFORE_CRASH = 16
+# The prompt is suspected of a crash only when the server sent fewer events than this.
+EARLY_CRASH_EVENTS = 16
 NOT_RUN_STATUSES = frozenset({503})
 SERVER_ERROR_STATUSES = range(500, 600)
 
 
 class RequestLifecycle:
-    """One request from its head to its final answer."""
+    """Serves one request with as many attempts as its route and the retry budget allow."""
 
     def __init__(
         self,
-        serving: "RequestHandler",
+        handler: "RequestHandler",
         exchange: Exchange,
         request: HttpRequest,
         caller: CallerRequest,
@@ -58,17 +58,17 @@
         service: str,
         relayed: RelayTerms | None = None,
     ) -> None:
-        """Make a run.
+        """Prepare to serve a request.
 
-        :param relayed: given for a request that a peer could not serve itself.
+        :param relayed: terms of the relaying peer; None for a request that came from a caller.
         """
-        self._handler = serving
-        self._pool = serving.pool
+        self._handler = handler
+        self._pool = handler.pool
         self._exchange = exchange
         self._route = route
         self._service = service
         self._caller = caller
-        self._arrived_at = serving.now()
+        self._arrived_at = handler.now()
         timeout = route.timeout_seconds
         if caller.remaining_seconds is not None:
             timeout = min(timeout, caller.remaining_seconds)
@@ -84,19 +84,19 @@
         self._retry_unpaid = False
         self._server = ""
         self._selector = ServerSelector(
-            serving.pool, serving.forwarder, serving.zone, service, caller
+            handler.pool, handler.forwarder, handler.zone, service, caller
         )
         self._stream = StreamRelay(
             exchange,
             caller,
             route,
-            serving.dialect,
-            serving.metrics,
+            handler.dialect,
+            handler.metrics,
             self._inactivity_timeout,
             self._note_first_event,
         )
         self._peers = PeerAttempts(
-            serving,
+            handler,
             exchange,
             self._request,
             service,
@@ -105,12 +105,12 @@
             allowed=relayed is None,
         )
 
-    # The request as a whole.
+    # Overall outcome of the request.
 
     async def serve(self) -> None:
-        """Answer the request.
+        """Serve the request and send its response.
 
-        :raises Refused: it gets a daemon's own answer.
+        :raises Refused: no server has served it; the daemon itself has to respond.
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
@@ -134,7 +134,7 @@
             self._handler.timeouts.discard(timeout)
 
     def _log_end(self, end: str) -> None:
-        """Say how a request that was not served whole has ended, and what decided it."""
+        """Log how a request that was not served completely has ended, and what led to it."""
         self._count_end(end)
         log_decision(
             end,
@@ -156,7 +156,7 @@
         )
 
     def _count_end(self, end: str) -> None:
-        """Count a request's end and its time."""
+        """Record the outcome and duration of the request in the metrics."""
         metrics = self._handler.metrics
         seconds = self._handler.now() - self._arrived_at
         metrics.request_seconds.labels(self._route.kind.value, end).observe(seconds)
@@ -192,9 +192,10 @@
                     await asyncio.sleep(REFUSAL_RETRY_DELAY_SECONDS)
 
     def _raise_if_banned(self) -> None:
-        """End a request that would crash the next server.
+        """Reject a request whose prompt has a banned part.
 
-        :raises Refused: it has a part that has crashed several.
+        :raises Refused: a part of the prompt has crashed several servers.
+        :raises StreamTruncated: the same, and the response has begun.
         """
         banned_ms = self._handler.prompts.banned_for_ms(self._caller)
         if banned_ms > 0:
@@ -203,10 +204,7 @@
 
     def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._outcome_pending = False
-        if (
-            failure.broken
-            and self._stream.events - self._events_before_send < MAX_EVENTS_BEFORE_CRASH
-        ):
+        if failure.broken and self._stream.events - self._events_before_send < EARLY_CRASH_EVENTS:
             self._handler.prompts.note_crash(self._caller, entry.instance)
         self._selector.tried.add(entry.instance)
         self._runs += failure.ran
@@ -224,9 +222,10 @@
         )
 
     def _may_retry(self, failure: SendFailed) -> bool:
-        """Whether the request may be sent once more, and the budget has room for it.
+        """Whether the request may be sent again; spends a retry from the budget where one is due.
 
-        One that waits for a model pays when a server can take it: until then it waits as others do.
+        A request that has not run and needs a model goes back to waiting. Its retry is charged only
+        when a server can take it, so that it stays visible in the demand meanwhile.
         """
         if failure.unreachable or failure.unsent:
             self._sends -= 1
@@ -245,7 +244,7 @@
         return self._spend_retry()
 
     def _spend_retry(self) -> bool:
-        """Take one repeat out of the budget, if it has room."""
+        """Spend one retry; returns False when the budget is exhausted."""
         allowed = self._pool.budget(self._service).try_spend(self._handler.now())
         self._handler.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
         return allowed
@@ -253,17 +252,21 @@
     def _final_error(
         self, reason: str, retry_after_seconds: float = RETRY_SOON_SECONDS
     ) -> Exception:
-        """Return the final answer: only a request that has not run is told to come back."""
+        """Return the error that ends the request: 503 with Retry-After only if it has not run."""
         if self._exchange.started:
             return StreamTruncated(reason)
         if self._may_have_run:
             return Refused(502, reason)
         return Refused(503, reason, retry_after_seconds)
 
-    # A server for it.
+    # Waiting for a server.
 
     async def _wait_for_server(self) -> ServerEntry | None:
-        """Return a server; None when this daemon has lost its way to the servers meanwhile."""
+        """Wait for a server; returns None when none can be reached and a peer should be asked.
+
+        :raises Refused: no server will be available in time, or this daemon is shutting down.
+        :raises StreamTruncated: the same, and the response has begun.
+        """
         target = self._caller.target
         entry = self._choose_within_budget()
         if target is None:
@@ -297,20 +300,20 @@
         return entry
 
     def _has_not_run(self) -> bool:
-        """Whether a refusal is true: nothing has run, and no answer has begun."""
+        """Whether no server can have run the request and no response has begun."""
         return not (self._may_have_run or self._exchange.started)
 
     def _raise_if_leaving(self) -> None:
-        """End a wait while its caller can still go elsewhere.
+        """Stop waiting when this daemon shuts down, so that the caller can try another daemon.
 
-        :raises Refused: this daemon leaves.
-        :raises StreamTruncated: this daemon leaves, and the answer has begun.
+        :raises Refused: this daemon is shutting down.
+        :raises StreamTruncated: the same, and the response has begun.
         """
         if self._handler.rejects_waiting:
             raise self._final_error("this daemon is leaving")
 
     def _choose_within_budget(self) -> ServerEntry | None:
-        """Return a server, if the budget has room for the repeat that this send may be."""
+        """Return a server; None when there is none, or a retry is due and the budget is exhausted."""
         entry = self._selector.choose(self._handler.now())
         if entry is None or not self._retry_unpaid:
             return entry
@@ -319,7 +322,7 @@
         self._retry_unpaid = False
         return entry
 
-    # One server.
+    # One attempt at a server.
 
     async def _try_server(self, entry: ServerEntry) -> None:
         self._sends += 1
@@ -365,7 +368,7 @@
 
     @contextlib.contextmanager
     def _probe_when_silent(self) -> Iterator[None]:
-        """Let the way to the servers be probed when an answer does not begin for a while."""
+        """Have the connectivity to the servers probed when no response begins for a while."""
         reach = self._pool.reach_of(self._service)
         timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_SECONDS, reach.note_silence, self._handler.now()
@@ -376,7 +379,7 @@
             timer.cancel()
 
     def _inactivity_timeout(self, entry: ServerEntry) -> float | None:
-        """Return how long a server may say nothing before the request goes elsewhere."""
+        """Return the inactivity timeout for a server; None when the request has to wait for it."""
         has_other = self._selector.has_other(entry, self._handler.now())
         return inactivity_timeout_seconds(self._route, self._runs, has_other)
 
@@ -395,12 +398,12 @@
         headers = self._handler.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
-    # A peer in place of the servers.
+    # Attempts at a peer, while no server can be reached.
 
     async def _serve_by_peer(self) -> bool:
-        """Let a peer serve the request; returns whether it has.
+        """Relay the request to a peer; returns whether the peer has served it.
 
-        :raises Refused: the peer has refused it.
+        :raises Refused: the peer has refused it, or failed and no retry is allowed.
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         peer = self._peers.next_peer()
@@ -432,7 +435,7 @@
         self._outcome_pending = True
 
     def _to_final_error(self, refusal: Refused) -> Exception:
-        """Return a peer's refusal as this daemon's own: it may not know what has run before."""
+        """Convert a peer's refusal: the peer does not know of earlier attempts that may have run."""
         if refusal.status in NOT_RUN_STATUSES and not self._has_not_run():
             return self._final_error(str(refusal))
         if self._exchange.started:
@@ -440,7 +443,7 @@
         return refusal
 
     def _note_first_event(self, entry: ServerEntry) -> None:
-        """Say what a late first event was waiting for."""
+        """Record the time to the first event, and log it when it exceeds the objective."""
         seconds = self._handler.now() - self._arrived_at
         self._handler.metrics.first_event_seconds.observe(seconds)
         if seconds > self._route.objective_seconds:
