--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -1,7 +1,7 @@
-"""Answers callers: finds the route of each request, and turns its end into one final answer.
+"""Routes requests of callers and turns each outcome into exactly one response.
 
-The filters of a request in order: read (HTTP layer), route, and then
-:class:`loomwind.serving.request_lifecycle.RequestRun`: wait for a server, send, relay.
+The HTTP layer parses a request, this module routes it, and
+:class:`loomwind.serving.request_lifecycle.RequestLifecycle` serves it.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class RequestHandler:
-    """Gives every request that reaches this daemon one final answer."""
+    """Serves requests, from this daemon's callers and from relaying peers."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         relay: PeerRelay,
         prompts: PromptGuard,
     ) -> None:
-        """Make a handler.
+        """Create a handler.
 
-        :param zone: the daemon's own zone.
+        :param zone: the zone of this daemon.
         """
         self.zone = zone
         self.pool = pool
@@ -60,15 +60,15 @@
 
     @staticmethod
     def now() -> float:
-        """Return the loop's steady time in seconds."""
+        """Return the monotonic time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force; 0 for none."""
+        """Return the version of the active configuration; 0 when there is none."""
         return self._beliefs.configuration_version
 
     def expected_load_ms(self, key: DemandKey) -> float:
-        """Return how long a load of a target's model takes when nothing stands before it."""
+        """Return how long a model load takes when no other load is queued before it."""
         configuration = self._beliefs.configuration
         service = configuration.service(key.service) if configuration else None
         engine = service.engine if service else None
@@ -76,27 +76,27 @@
         return model.load_seconds * MS_PER_SECOND if model else DEFAULT_LOAD_MS
 
     def observe_list_age(self) -> None:
-        """Note how old the list of servers is as one is chosen from it."""
+        """Record the age of the server list in the metrics when a server is chosen from it."""
         age_ms = self._beliefs.list_age_ms
         if math.isfinite(age_ms):
             self.metrics.server_list_age_seconds.observe(age_ms / MS_PER_SECOND)
 
     def count_send(self, entry: ServerEntry, end: str) -> None:
-        """Count what became of a send to a server."""
+        """Count the outcome of a send to a server."""
         self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
 
     def reject_waiting(self) -> None:
-        """Refuse requests that wait for a model, now and from now on: this daemon leaves."""
+        """Reject all requests that wait for a model, also later ones: this daemon is shutting down."""
         self.rejects_waiting = True
         self.pool.demand.wake()
 
     def end_all_requests(self) -> None:
-        """Give each request that is in progress its final answer now."""
+        """Time out every request in progress, so that each gets its final response now."""
         for timeout in self.timeouts:
             timeout.reschedule(self.now())
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Serve the request of an exchange, and account for it in the metrics."""
         self.open_requests += 1
         self.metrics.accepted.inc()
         self.metrics.waiting.inc()
@@ -137,11 +137,11 @@
         caller: CallerRequest,
         relayed: RelayTerms | None = None,
     ) -> None:
-        """Find a request's route, and serve it.
+        """Find the route of a request and serve it.
 
-        :param relayed: given for a request that a peer could not serve itself.
-        :raises Refused: it gets a daemon's own answer.
-        :raises RelayDeclined: another daemon may serve a peer's request better.
+        :param relayed: terms of the relaying peer; None for a request that came from a caller.
+        :raises Refused: no server has served it; the daemon itself has to respond.
+        :raises RelayDeclined: this daemon cannot serve the peer's request; another one may.
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         routes = self._beliefs.routes
