--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -313,7 +313,7 @@
             raise self._final_error("this daemon is leaving")
 
     def _choose_within_budget(self) -> ServerEntry | None:
-        """Return a server; None when there is none, or a retry is due and the budget is exhausted."""
+        """Return a server; None when there is none or the retry budget is exhausted."""
         entry = self._selector.choose(self._handler.now())
         if entry is None or not self._retry_unpaid:
             return entry
@@ -435,7 +435,7 @@
         self._outcome_pending = True
 
     def _to_final_error(self, refusal: Refused) -> Exception:
-        """Convert a peer's refusal: the peer does not know of earlier attempts that may have run."""
+        """Convert a peer's refusal: earlier attempts, unknown to the peer, may have run."""
         if refusal.status in NOT_RUN_STATUSES and not self._has_not_run():
             return self._final_error(str(refusal))
         if self._exchange.started:
