--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -1,7 +1,7 @@
-"""Immutable views of what a daemon is told: configuration, servers, and requests.
+"""Immutable data types for configuration, servers and requests.
 
-These are the product's own terms; an adapter turns whatever a deployment speaks into them. Read
-this module first. Times are in seconds, memory is in MB (10**6 bytes) unless a name says otherwise.
+They do not depend on the deployment's formats; an adapter converts these. Times are in seconds and
+memory is in MB (10**6 bytes) unless a name says otherwise.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request of a route when its fate is unknown."""
+    """Whether requests of a route may be retried after a failure with an unknown outcome."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -20,7 +20,7 @@
 
 
 class WeightedService(Struct, frozen=True):
-    """One part of a split route."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -29,14 +29,14 @@
 class RouteRule(Struct, frozen=True):
     """Sends requests of a host whose path starts with ``prefix`` to a service.
 
-    :param parts: the services, with the weight of each; at least one.
-    :param timeout_seconds: the longest that a request may be held.
-    :param objective_seconds: the time within which an answer (a stream: its first event) counts.
-    :param max_attempts: the largest number of servers that may run one request.
+    :param parts: the services and their weights; at least one.
+    :param timeout_seconds: the maximum time from the arrival of a request to its response.
+    :param objective_seconds: latency objective for the response, or for a stream's first event.
+    :param max_attempts: the maximum number of servers that may run one request.
     :param priority: 0 is the most urgent.
-    :param resumable: whether a stream that was cut may be continued at another server.
-    :param gap_objective_seconds: the longest pause between events; 0 when none is given.
-    :param patience_seconds: how long its callers wait for the next event of a stream.
+    :param resumable: whether an interrupted stream may be continued at another server.
+    :param gap_objective_seconds: objective for the gap between events of a stream; 0 for none.
+    :param event_timeout_seconds: how long callers wait for the next event of a stream.
     """
 
     name: str
@@ -62,13 +62,14 @@
 
 
 class ModelProfile(Struct, frozen=True):
-    """A model of a service.
-
-    :param memory_mb: accelerator memory of its weights.
-    :param load_seconds: a load from the weight store.
-    :param memory_load_seconds: a load from a copy in the server's host memory.
-    :param disk_load_seconds: a load from a copy on the server's disk.
-    :param adapters: how many adapters it has.
+    """Size and load times of a model.
+
+    :param memory_mb: accelerator memory for its weights.
+    :param load_seconds: load time from the weight store.
+    :param memory_load_seconds: load time from a copy in the server's host memory.
+    :param disk_load_seconds: load time from a copy on the server's disk.
+    :param adapters: the number of its adapters.
+    :param adapter_mb: accelerator memory for one adapter.
     """
 
     name: str
@@ -81,12 +82,12 @@
 
 
 class EngineProfile(Struct, frozen=True, dict=True):
-    """What each model server of a service can hold.
+    """Capacity of each model server of a service, and the models that it can load.
 
     :param memory_mb: accelerator memory for weights and adapters together.
-    :param adapter_slots: how many adapters may be loaded at once.
-    :param loads_per_second: what the weight store allows over all servers.
-    :param models: in the configuration's order.
+    :param adapter_slots: the maximum number of loaded adapters.
+    :param loads_per_second: rate limit of the weight store over all servers.
+    :param models: in the order of the configuration.
     """
 
     memory_mb: float
@@ -101,19 +102,19 @@
 
     @cached_property
     def positions(self) -> dict[str, int]:
-        """Return the place of each model in the configuration's order, by its name."""
+        """Return the index of each model in the order of the configuration, by name."""
         return {model.name: position for position, model in enumerate(self.models)}
 
     def model(self, name: str) -> ModelProfile | None:
-        """Return the model of that name, or None."""
+        """Return the model with a name, or None."""
         return self._by_name.get(name)
 
 
 class ServiceProfile(Struct, frozen=True):
-    """A service: servers that answer the same requests.
+    """A group of interchangeable servers.
 
-    :param max_connections: how many connections each server accepts from all callers together.
-    :param engine: given when its servers load models.
+    :param max_connections: the maximum number of connections that each server accepts.
+    :param engine: None when its servers do not load models.
     """
 
     name: str
@@ -123,7 +124,7 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """What the configuration allows callers."""
+    """Size and time limits for the connections of callers."""
 
     max_head_bytes: int
     max_body_bytes: int
@@ -132,7 +133,7 @@
 
 
 class Configuration(Struct, frozen=True):
-    """One version of the configuration, in whole."""
+    """A complete version of the configuration."""
 
     version: int
     routes: tuple[RouteRule, ...]
@@ -140,25 +141,25 @@
     limits: CallerLimits
 
     def service(self, name: str) -> ServiceProfile | None:
-        """Return the service of that name, or None."""
+        """Return the service with a name, or None."""
         return next((service for service in self.services if service.name == name), None)
 
 
 class ServerState(enum.Enum):
-    """What a server says of itself."""
+    """The state that a server publishes in its directory entry."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class ServerEntry(Struct, frozen=True):
-    """A server as the directory lists it.
+    """A server's entry in the directory.
 
-    :param name: stays when the server's process starts again.
-    :param revision: how many orders it has taken in this life.
-    :param held: the models it holds, with their adapters.
-    :param remaining_seconds: for one that leaves at short notice: the time until it is gone.
-    :param born_ms: when its process started, since 1970; None where servers do not say.
+    :param name: stable across restarts of the server's process.
+    :param revision: the number of orders that this process has accepted.
+    :param held: the loaded models, with their adapters.
+    :param remaining_seconds: time until a preempted server stops; None for any other.
+    :param started_at_ms: start of its process, in Unix time; None when servers do not publish it.
     """
 
     name: str
@@ -174,31 +175,31 @@
 
     @property
     def instance(self) -> str:
-        """Return what names this one life of the server's process."""
+        """Return the identifier of this process of the server, which changes at a restart."""
         return self.name if self.started_at_ms is None else f"{self.name}@{self.started_at_ms}"
 
     def is_older_than(self, other: "ServerEntry") -> bool:
-        """Whether this is an earlier life of the same server."""
+        """Whether this is an earlier process of the same server."""
         if self.started_at_ms is None or other.started_at_ms is None:
             return False
         return self.name == other.name and self.started_at_ms < other.started_at_ms
 
 
 class HeldModel(Struct, frozen=True, array_like=True):
-    """A model that a server holds, ready to run."""
+    """A model that is loaded and ready at a server, with its loaded adapters."""
 
     name: str
     adapters: tuple[str, ...] = ()
 
 
 class ServerReport(Struct, frozen=True):
-    """What a model server says when it is asked.
+    """A model server's response to a state query.
 
-    :param busy: whether it carries out an order.
-    :param pending_adapters: adapters on their way, as ``(model, adapter)``.
+    :param busy: whether it is executing an order.
+    :param pending_adapters: adapters that are being loaded.
     :param in_memory: models with a copy in host memory.
     :param on_disk: models with a copy on its disk.
-    :param born_ms: when its process started, since 1970; None where servers do not say.
+    :param started_at_ms: start of its process, in Unix time; None when servers do not publish it.
     """
 
     revision: int
@@ -215,7 +216,7 @@
 
 
 class ModelKey(Struct, frozen=True, order=True, array_like=True):
-    """A model, or one of its adapters."""
+    """Identifies a model, or one of its adapters when ``adapter`` is not empty."""
 
     model: str
     adapter: str = ""
@@ -225,18 +226,18 @@
 
 
 class PromptPart(Struct, frozen=True):
-    """A part of a prompt; the same identity means the same text."""
+    """A part of a prompt; parts with equal identities have equal text."""
 
     identity: str
     tokens: int
 
 
 class CallerRequest(Struct, frozen=True):
-    """What a request's headers say, in the product's terms.
+    """The parsed headers of a request.
 
-    :param remaining_seconds: how long the caller will wait; None when it does not say.
-    :param target: the model that it needs; None on services without models.
-    :param last_event_id: where a resumed stream goes on; None for a new one.
+    :param remaining_seconds: the caller's timeout; None when it sends none.
+    :param target: the model or adapter that it needs; None for services without models.
+    :param last_event_id: the event after which a stream resumes; None for a new stream.
     """
 
     request_id: str
@@ -250,25 +251,26 @@
 
     @property
     def unique_part(self) -> str:
-        """Return what names the part of the prompt that no other request has; empty for none.
+        """Return the identity of the last part of the prompt, which no other request shares.
 
-        It stays when the caller asks again.
+        It is the same when the caller retries, and empty when there is no prompt.
         """
         return self.prompt[-1].identity if self.prompt else ""
 
 
 class OrderKind(enum.Enum):
-    """What a model server is told to do."""
+    """The operation of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class Order(Struct, frozen=True):
-    """An order to one life of a model server.
+    """An order to one process of a model server to load or unload a model or adapter.
 
-    :param fence: rises with each change of the leader; a server refuses a lower one.
-    :param expected_revision: carried out only while the server is at this revision.
+    :param holder: the leader that issues it.
+    :param fence: fencing token, which rises with each change of leader; a server rejects lower ones.
+    :param expected_revision: the server executes it only at this revision.
     """
 
     kind: OrderKind
@@ -280,7 +282,7 @@
 
 
 class OrderAnswer(enum.Enum):
-    """What a model server says to an order."""
+    """A model server's response to an order."""
 
     ACCEPTED = "accepted"
     ALREADY = "already"
