--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -18,12 +18,12 @@
     :ivar heard_at: when something came from the server last, in seconds.
     """
 
-    def __init__(self, on_heard: Callable[[float], None] = lambda now: None) -> None:
+    def __init__(self, on_received: Callable[[float], None] = lambda now: None) -> None:
         """Make the health of a server.
 
         :param on_heard: called with the time, in seconds, when something has come from it.
         """
-        self._on_heard = on_heard
+        self._on_heard = on_received
         self.in_flight = 0
         self.last_received_at = float("-inf")
         self.error_rate = 0.0
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -86,7 +86,7 @@
         self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
 
     def reject_waiting(self) -> None:
-        """Reject all requests that wait for a model, now and later: this daemon is shutting down."""
+        """Reject all requests that wait for a model, now and later, as this daemon shuts down."""
         self.rejects_waiting = True
         self.pool.demand.wake()
 
--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -158,7 +158,7 @@
     :param name: stable across restarts of the server's process.
     :param revision: the number of orders that this process has accepted.
     :param held: the loaded models, with their adapters.
-    :param remaining_seconds: time until a preempted server stops; None for any other.
+    :param remaining_seconds: time until a server that leaves at short notice is gone; None otherwise.
     :param started_at_ms: start of its process, in Unix time; None when servers do not publish it.
     """
 
@@ -269,7 +269,7 @@
     """An order to one process of a model server to load or unload a model or adapter.
 
     :param holder: the leader that issues it.
-    :param fence: fencing token, which rises with each change of leader; a server rejects lower ones.
+    :param fence: fencing token that rises with each change of leader; servers reject lower ones.
     :param expected_revision: the server executes it only at this revision.
     """
 
