--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a request to one server and reads the answer's head, or its whole body."""
+"""Sends requests to servers and reads the heads and bodies of their responses."""
 
 from collections.abc import Callable
 
@@ -22,9 +22,9 @@
 
 
 class OutgoingRequest(Struct, frozen=True):
-    """A request on its way to servers.
+    """A request to be sent to servers.
 
-    :param deadline: loop time at which its caller stops waiting.
+    :param deadline: event loop time at which its caller stops waiting.
     """
 
     request: HttpRequest
@@ -34,7 +34,7 @@
 
 
 class OpenResponse(Struct, frozen=True):
-    """An answer whose head was read and belongs to the request."""
+    """A response whose head was read and matches the request; its body is still unread."""
 
     connection: ClientConnection
     head: HttpResponse
@@ -47,7 +47,7 @@
 
 
 class Forwarder:
-    """Speaks to servers in the deployment's dialect."""
+    """Exchanges requests and responses with servers, in the deployment's dialect."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         reach_of: Callable[[str], ServerReach],
         gets_work: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
-        """Make a forwarder.
+        """Create a forwarder.
 
-        :param reach_of: returns what is told of each new connection to a service, made or failed.
-        :param gets_work: whether a server may still get work, asked once it is connected.
+        :param reach_of: returns the tracker of a service that records the result of each connect.
+        :param gets_work: whether a server may still get requests; checked after it is connected.
         """
         self._client = client
         self._dialect = dialect
@@ -68,9 +68,9 @@
         self._clock = Clock()
 
     async def connect(self, entry: ServerEntry) -> ClientConnection:
-        """Return a connection to a server, on which nothing has been sent yet.
+        """Return an idle or new connection to a server.
 
-        :raises SendFailed: there is none, or the server gets no more work.
+        :raises SendFailed: no connection can be made, or the server may not get requests any more.
         """
         connection = self._client.take_idle(entry.address) or await self.open_connection(entry)
         if not self._gets_work(entry):
@@ -87,9 +87,9 @@
         now: float,
         last_event_id: str | None,
     ) -> OpenResponse:
-        """Send a request and return the answer's head.
+        """Send a request and read the head of its response.
 
-        :raises SendFailed: there is no answer of this server to this request.
+        :raises SendFailed: the server refused the request, or sent no valid response to it.
         """
         request = self._server_request(outgoing, entry, now, last_event_id)
         try:
@@ -108,9 +108,9 @@
         return OpenResponse(connection, head)
 
     async def open_connection(self, entry: ServerEntry) -> ClientConnection:
-        """Return a new connection to a server.
+        """Open a new connection to a server.
 
-        :raises SendFailed: the server accepts none.
+        :raises SendFailed: no connection can be made.
         """
         reach = self._reach_of(entry.service)
         try:
@@ -138,7 +138,7 @@
         outgoing: OutgoingRequest,
         entry: ServerEntry,
     ) -> tuple[HttpResponse, AnswerVerdict]:
-        """Read heads until one answers this request; a late surplus answer is skipped."""
+        """Read response heads until one matches the request, skipping stale responses."""
         request_id = outgoing.caller.request_id
         for _ in range(1 + MAX_STALE_RESPONSES):
             head = await connection.read_head()
@@ -158,15 +158,15 @@
         return head
 
     async def _drain_refusal(self, connection: ClientConnection) -> None:
-        """Read the rest of a refusal, so that its connection can be used again."""
+        """Read and discard the body of a refusal, so that the connection can be reused."""
         while await connection.read_body():
             pass
         self._client.release(connection)
 
     async def read_full_body(self, answer: OpenResponse) -> bytes:
-        """Return the whole body of an answer and give its connection back.
+        """Read the full body of a response and release its connection.
 
-        :raises SendFailed: the body was cut short.
+        :raises SendFailed: the body was truncated or exceeds the size limit.
         """
         body = bytearray()
         connection = answer.connection
@@ -185,11 +185,11 @@
         return bytes(body)
 
     def has_idle_connection(self, entry: ServerEntry) -> bool:
-        """Whether a request to a server needs no new connection."""
+        """Whether an idle connection to a server is open."""
         return self._client.has_idle(entry.address)
 
     def release(self, connection: ClientConnection) -> None:
-        """Give a connection back; one with an unfinished exchange is closed."""
+        """Return a connection to the pool; one with an unfinished exchange is closed."""
         self._client.release(connection)
 
 
