--- a/loomwind/serving/stream_gaps.py
+++ b/loomwind/serving/stream_gaps.py
@@ -1,10 +1,10 @@
-"""The pauses of one stream, as its daemon sees them. Pure; time is passed in."""
+"""Tracks the gaps between events of a stream. Does no I/O; the caller passes the time."""
 
 
 class StreamGaps:
-    """The longest time between two events of a stream.
+    """Tracks the longest gap between two events of a stream.
 
-    :ivar longest_ms: 0 before the second event.
+    :ivar longest_ms: the longest gap; 0 before the second event.
     """
 
     def __init__(self) -> None:
@@ -12,7 +12,7 @@
         self._last_ms: float | None = None
 
     def note_event(self, now_ms: float) -> None:
-        """Events have come."""
+        """Record that one or more events have arrived."""
         if self._last_ms is not None:
             self.longest_ms = max(self.longest_ms, now_ms - self._last_ms)
         self._last_ms = now_ms
