--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes the whole events of a stream on, over all the runs that it takes."""
+"""Relays complete events of a stream to the caller, across resumptions at other servers."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class StreamRelay:
-    """The stream of one request."""
+    """Relays the event stream of one request to its caller."""
 
     def __init__(
         self,
@@ -32,10 +32,11 @@
         inactivity_timeout: Callable[[ServerEntry], float | None],
         on_first_event: Callable[[ServerEntry], None],
     ) -> None:
-        """Make a relay.
+        """Create a relay.
 
-        :param allowed_silence: returns how many seconds a server may say nothing before the request
-            goes elsewhere; None when it has to wait.
+        :param inactivity_timeout: returns the seconds without data from a server after which the
+            request is retried elsewhere; None when it has to wait for this server.
+        :param on_first_event: called when the first event of the request was relayed.
         """
         self._exchange = exchange
         self._caller = caller
@@ -48,18 +49,18 @@
 
     @property
     def last_event_id(self) -> str | None:
-        """Return the id of the last event that was passed on; None before the first."""
+        """Return the id of the last relayed event; None before the first."""
         return self._cutter.last_event_id
 
     @property
     def events(self) -> int:
-        """Return how many events were passed on."""
+        """Return the number of relayed events."""
         return self._cutter.events
 
     async def relay(self, entry: ServerEntry, answer: OpenResponse, health: ServerHealth) -> None:
-        """Pass whole events on as they come.
+        """Relay complete events as they arrive, until the stream ends.
 
-        :raises SendFailed: the stream ended before its proper end; its connection is closed.
+        :raises SendFailed: the stream was interrupted; its connection is closed.
         """
         try:
             if not self._exchange.started:
@@ -95,7 +96,7 @@
             raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
 
     def _finish_body(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
-        """Take in that a stream's body has ended, as its framing says; returns what is left.
+        """Finish a body that has ended by its framing; returns the data still to be relayed.
 
         :raises SendFailed: it ended inside an event.
         """
@@ -110,7 +111,7 @@
     def _log_long_gap(
         self, entry: ServerEntry, stream_gaps: StreamGaps, health: ServerHealth
     ) -> None:
-        """Say that a whole stream has paused for longer than its route allows."""
+        """Log a completed stream whose longest gap exceeds the objective of its route."""
         allowed_ms = self._route.gap_objective_seconds * MS_PER_SECOND
         if not 0 < allowed_ms < stream_gaps.longest_ms:
             return
