--- a/loomwind/serving/inactivity.py
+++ b/loomwind/serving/inactivity.py
@@ -1,4 +1,4 @@
-"""How long a server may be silent before a request goes elsewhere. Pure."""
+"""Inactivity timeouts: when a request stops waiting for a server that sends nothing. No I/O."""
 
 from loomwind.serving.views import RequestKind, RouteRule
 
@@ -8,9 +8,11 @@
 
 
 def inactivity_timeout_seconds(route: RouteRule, runs: int, has_other: bool) -> float | None:
-    """Return the longest silence before an answer; None when the request must wait.
+    """Return the time to wait for the start of a response; None for no timeout.
 
-    :param runs: how often the request may have run already.
+    There is none when the request cannot be retried at another server.
+
+    :param runs: how many attempts at the request may have run.
     :param has_other: whether another server could run it.
     """
     if not route.repeatable or runs + 1 >= route.max_attempts or not has_other:
