--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -1,4 +1,4 @@
-"""What one daemon has seen of each server lately: errors, silence, work under way. Pure."""
+"""Circuit breaker and passive health checks of a server. Does no I/O; callers pass the time."""
 
 from collections.abc import Callable
 
@@ -11,17 +11,17 @@
 
 
 class ServerHealth:
-    """Errors of one life of a server, as this daemon sees them.
+    """Health of one server process, as this daemon observes it.
 
-    :ivar in_flight: requests that this daemon has there now.
-    :ivar error_share: moving share of sends that failed, 0 to 1.
-    :ivar heard_at: when something came from the server last, in seconds.
+    :ivar in_flight: the number of this daemon's requests in progress at the server.
+    :ivar error_rate: moving average of failed sends, 0 to 1.
+    :ivar last_received_at: when data last came from the server, in seconds.
     """
 
     def __init__(self, on_received: Callable[[float], None] = lambda now: None) -> None:
-        """Make the health of a server.
+        """Create the health of a server.
 
-        :param on_heard: called with the time, in seconds, when something has come from it.
+        :param on_received: called with the time, in seconds, whenever data comes from the server.
         """
         self._on_heard = on_received
         self.in_flight = 0
@@ -35,30 +35,30 @@
         self._silent_since: float | None = None
 
     def note_sent(self, now: float) -> None:
-        """A request goes to the server."""
+        """Record that a request is sent to the server."""
         self.in_flight += 1
         if self._silent_since is None:
             self._silent_since = now
 
     def note_received(self, now: float) -> None:
-        """Something has come from the server."""
+        """Record that data has come from the server."""
         self.last_received_at = now
         self._on_heard(now)
         self._silent_since = now
 
     def note_ended(self) -> None:
-        """A request that was sent has ended."""
+        """Record that a request at the server has ended, with any outcome."""
         self.in_flight -= 1
         if self.in_flight == 0:
             self._silent_since = None
 
     def is_suspect(self, now: float) -> bool:
-        """Whether requests are there and nothing has come for a while, on any connection."""
+        """Whether requests are in progress and no connection has received data for a while."""
         since = self._silent_since
         return since is not None and now - since > SUSPECT_AFTER_SECONDS
 
     def note_success(self) -> None:
-        """Note a good answer."""
+        """Record a successful response, which closes the breaker."""
         self.error_rate *= FAILURE_DECAY
         self._failures = 0
         self._open_seconds = INITIAL_OPEN_SECONDS
@@ -66,7 +66,7 @@
         self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
     def note_failure(self, now: float) -> bool:
-        """Note a failure; returns whether the breaker opened by it."""
+        """Record a failure; returns whether it opened the breaker."""
         self.error_rate = self.error_rate * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self._failures += 1
         if self._failures < OPEN_AFTER_FAILURES:
@@ -74,7 +74,7 @@
         return self.open(now)
 
     def open(self, now: float) -> bool:
-        """Keep requests away for a while; returns whether it was closed before."""
+        """Open the breaker, for longer each time; returns whether it was closed before."""
         was_closed = not self.is_open(now)
         if was_closed:
             self._open_until = now + self._open_seconds
@@ -82,20 +82,20 @@
         return was_closed
 
     def note_unreachable(self, now: float) -> None:
-        """No connection could be made: send nothing at all for a while."""
+        """Record a failed connect: the server gets no requests for a while."""
         if not self.is_unreachable(now):
             self._unreachable_until = now + self._unreachable_seconds
             self._unreachable_seconds = min(2 * self._unreachable_seconds, MAX_OPEN_SECONDS)
 
     def note_reachable(self) -> None:
-        """Connections may be made again."""
+        """Record that connects may be tried again."""
         self._unreachable_until = 0.0
         self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
     def is_unreachable(self, now: float) -> bool:
-        """Whether no connection could be made a moment ago."""
+        """Whether the server gets no requests because a recent connect failed."""
         return now < self._unreachable_until
 
     def is_open(self, now: float) -> bool:
-        """Whether requests should go elsewhere if they can."""
+        """Whether the breaker is open, so that requests should prefer other servers."""
         return now < self._open_until
