--- a/loomwind/serving/budget.py
+++ b/loomwind/serving/budget.py
@@ -1,7 +1,7 @@
-"""The share of one daemon in the retry budget of all daemons. Pure; time is passed in.
+"""One daemon's share of the retry budget. Does no I/O; the caller passes the time.
 
-The budget holds over all daemons together in each window; so each daemon takes the part of the
-fixed allowance that it has when all daemons that may run are counted, and the ratio of its own
+The budget limits the retries of all daemons together in each window. Each daemon therefore gets an
+equal part of the fixed allowance, divided by all daemons that may run, plus a ratio of its own
 requests.
 """
 
@@ -9,13 +9,13 @@
 
 
 class RetryBudget:
-    """Repeated sends to one service in a sliding window."""
+    """Limits the retries to one service in a sliding window."""
 
     def __init__(self, ratio: float, allowance: float, window_seconds: float) -> None:
-        """Make a budget.
+        """Create a budget.
 
-        :param ratio: repeated sends for each request.
-        :param allowance: repeated sends that are free in each window.
+        :param ratio: retries per request.
+        :param allowance: retries per window in addition to those of the ratio.
         """
         self._ratio = ratio
         self._allowance = allowance
@@ -24,22 +24,22 @@
         self._retry_times: deque[float] = deque()
 
     def set_allowance(self, allowance: float) -> None:
-        """Change the free part, when the number of daemons has changed."""
+        """Change the allowance after the number of daemons has changed."""
         self._allowance = allowance
 
     def set_limits(self, ratio: float, allowance: float, window_seconds: float) -> None:
-        """Change everything that bounds the repeats; see :meth:`__init__`."""
+        """Change all limits; the parameters are those of :meth:`__init__`."""
         self._ratio = ratio
         self._allowance = allowance
         self._window_seconds = window_seconds
 
     def note_request(self, now: float) -> None:
-        """Count a caller's request."""
+        """Count a request from a caller, not a retry."""
         self._request_times.append(now)
         self._evict_expired(now)
 
     def try_spend(self, now: float) -> bool:
-        """Count a repeated send if there is room for it."""
+        """Count a retry and return True if the budget has room for it."""
         self._evict_expired(now)
         if len(self._retry_times) + 1 > self._ratio * len(self._request_times) + self._allowance:
             return False
