--- a/loomwind/serving/budget.py
+++ b/loomwind/serving/budget.py
@@ -1,8 +1,7 @@
 """One daemon's share of the retry budget. Does no I/O; the caller passes the time.
 
-The budget limits the retries of all daemons together in each window. Each daemon therefore gets an
-equal part of the fixed allowance, divided by all daemons that may run, plus a ratio of its own
-requests.
+The budget limits the retries of all daemons together in each window. Each daemon therefore gets the
+fixed allowance divided by the number of daemons that may run, plus a ratio of its own requests.
 """
 
 from collections import deque
--- a/loomwind/serving/views.py
+++ b/loomwind/serving/views.py
@@ -158,7 +158,7 @@
     :param name: stable across restarts of the server's process.
     :param revision: the number of orders that this process has accepted.
     :param held: the loaded models, with their adapters.
-    :param remaining_seconds: time until a server that leaves at short notice is gone; None otherwise.
+    :param remaining_seconds: time until a server leaving at short notice is gone; None otherwise.
     :param started_at_ms: start of its process, in Unix time; None when servers do not publish it.
     """
 
