--- a/loomwind/serving/server_cost.py
+++ b/loomwind/serving/server_cost.py
@@ -1,4 +1,4 @@
-"""Chooses a server among those that can run a request. Pure; lower cost is better."""
+"""Cost of sending a request to a server; the server with the lowest cost is chosen. No I/O."""
 
 from collections.abc import Sequence
 
@@ -17,14 +17,14 @@
 
 
 class Candidate(Struct, frozen=True):
-    """A server and what this daemon knows of it.
+    """A server that can run a request, with the inputs of its cost.
 
-    :param in_flight: requests that this daemon has there.
-    :param load: requests that all daemons have there, when it is known.
-    :param error_share: moving share of sends that failed.
-    :param breaker_open: whether requests should go elsewhere.
-    :param tried: whether this request was there already.
+    :param in_flight: the number of this daemon's requests in progress at the server.
+    :param error_rate: moving average of failed sends.
+    :param breaker_open: whether requests should prefer other servers.
+    :param tried: whether this request was sent to the server before.
     :param connected: whether an idle connection is open.
+    :param load: requests of other daemons in progress at the server, where known.
     """
 
     entry: ServerEntry
@@ -36,7 +36,7 @@
     load: float = 0.0
 
     def describe(self) -> str:
-        """Return what speaks for or against the server, in short."""
+        """Return a short summary of the cost inputs, for logs."""
         notes = [f"{self.in_flight} in flight", f"{self.load:.0f} of others"]
         notes += ["breaker open"] if self.breaker_open else []
         notes += ["tried"] if self.tried else []
@@ -46,12 +46,12 @@
 
 
 def rendezvous_score(key: str, instance: str) -> float:
-    """Return a number from 0 to 1 that ranks servers for a key (rendezvous hashing)."""
+    """Return the rendezvous hash of a key and a server, scaled to 0 to 1."""
     return float(xxhash.xxh64_intdigest(f"{key}|{instance}".encode())) / HASH_RANGE
 
 
 def cost(candidate: Candidate, zone: str, key: str, noise: float) -> float:
-    """Return what it costs to send a request to a server, in requests waiting there."""
+    """Return the cost of sending a request to a server, in units of requests in progress there."""
     slots = max(1, candidate.entry.slots)
     total = (candidate.in_flight + candidate.load) * 8.0 / slots
     total += ERROR_COST * candidate.error_rate
@@ -67,10 +67,10 @@
 def lowest_cost(
     candidates: Sequence[Candidate], zone: str, key: str, noise: Sequence[float]
 ) -> Candidate | None:
-    """Return the cheapest candidate, or None when there is none.
+    """Return the candidate with the lowest cost; None when there are no candidates.
 
-    :param zone: the daemon's own zone.
-    :param key: what the request's cached prompt is known by; empty for none.
+    :param zone: the zone of this daemon.
+    :param key: identity of the prompt prefix that servers may have cached; empty for none.
     :param noise: a number from 0 to 1 for each candidate, which breaks ties.
     """
     if not candidates:
