--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -1,4 +1,4 @@
-"""Chooses a server for one request, by what this daemon sees of those that can run it."""
+"""Selects a server for a request, from this daemon's observations of those that can run it."""
 
 import random
 
@@ -10,17 +10,17 @@
 
 
 class ServerSelector:
-    """The choices of one request.
+    """Selects servers for the attempts of one request.
 
-    :ivar tried: the servers that it was sent to, by instance.
+    :ivar tried: instances that the request was sent to before.
     """
 
     def __init__(
         self, pool: ServerPool, forwarder: Forwarder, zone: str, service: str, caller: CallerRequest
     ) -> None:
-        """Make a choice.
+        """Create a selector.
 
-        :param zone: this daemon's own zone.
+        :param zone: the zone of this daemon.
         """
         self._pool = pool
         self._reach = pool.reach_of(service)
@@ -32,7 +32,7 @@
         self.tried: set[str] = set()
 
     def choose(self, now: float) -> ServerEntry | None:
-        """Return a server to send to now, or None when no server can run the request."""
+        """Return the server with the lowest cost; None when no server can run the request."""
         found = [self._candidate(entry, now) for entry in self._eligible(now)]
         noise = [random.random() for _ in found]
         chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
@@ -56,13 +56,11 @@
         )
 
     def is_cut_off(self, now: float) -> bool:
-        """Whether servers accept no connection, and none of those that are open can be used."""
+        """Whether new connections to the servers fail and no idle connection is known to work."""
         return self._reach.is_cut and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
-        """Return the servers from which something has come, on connections that are idle now, since
-        new ones have failed.
-        """
+        """Return the servers with an idle connection that have sent data since connects began to fail."""
         since = self._reach.failing_since_ms / MS_PER_SECOND
         return [
             entry
@@ -72,12 +70,12 @@
         ]
 
     def has_other(self, entry: ServerEntry, now: float) -> bool:
-        """Whether another server could run the request."""
+        """Whether a server other than ``entry`` could run the request."""
         others = self._pool.able(self._service, self._caller.target, now)
         return any(other.instance != entry.instance for other in others)
 
     def passed_over(self, server: str) -> list[str]:
-        """Return the servers that were not chosen the last time, with what spoke against each."""
+        """Return the candidates other than ``server`` of the last selection, with their cost inputs."""
         return [
             f"{candidate.entry.instance}: {candidate.describe()}"
             for candidate in self._candidates
