--- a/loomwind/serving/routes.py
+++ b/loomwind/serving/routes.py
@@ -1,19 +1,19 @@
-"""Finds the route of a request and picks the service of a split. Pure but for the split's turn."""
+"""Matches requests to routes and distributes them over the services of split routes. No I/O."""
 
 from loomwind.serving.views import Configuration, RouteRule
 
 
 class WeightedRoundRobin:
-    """Smooth weighted round robin over the parts of one route.
+    """Smooth weighted round robin over the services of a route.
 
-    Each part gets its share of any run of requests, not only in the long run.
+    Each service gets its share of any sequence of consecutive requests, also of a short one.
     """
 
     def __init__(self) -> None:
         self._current_weights: dict[str, float] = {}
 
     def next(self, route: RouteRule) -> str:
-        """Return the service of the next request."""
+        """Return the service for the next request."""
         if len(route.parts) == 1:
             return route.parts[0].service
         total = sum(part.weight for part in route.parts)
@@ -29,12 +29,12 @@
 
 
 class RouteTable:
-    """The routes of one configuration, by host, with the longest prefix first."""
+    """Routes of a configuration by host, longest prefix first."""
 
     def __init__(self, configuration: Configuration, previous: "RouteTable | None" = None) -> None:
         """Index a configuration.
 
-        :param previous: the table before, whose turns in splits go on.
+        :param previous: the previous table, whose round robin state is kept.
         """
         self.configuration = configuration
         self._by_host: dict[str, list[RouteRule]] = {}
@@ -45,10 +45,10 @@
         )
 
     def match(self, host: str, path: str) -> RouteRule | None:
-        """Return the route of a request, or None.
+        """Return the route with the longest matching prefix, or None.
 
-        :param host: the host named by the request; a port is ignored.
-        :param path: the path without its query.
+        :param host: the host of the request; a port is ignored.
+        :param path: the path without the query string.
         """
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
@@ -57,5 +57,5 @@
         return None
 
     def next_service(self, route: RouteRule) -> str:
-        """Return the service that the route's next request goes to."""
+        """Return the service for the next request of a route."""
         return self._round_robins.setdefault(route.name, WeightedRoundRobin()).next(route)
