--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -1,4 +1,4 @@
-"""Errors of serving, and what each says about whether the request ran."""
+"""Errors of serving; they tell whether a request may have run."""
 
 from loomwind.errors import LoomwindError
 
@@ -6,19 +6,19 @@
 
 
 class ServingError(LoomwindError):
-    """Base class of serving's errors."""
+    """Base class of the errors of serving."""
 
 
 class SendFailed(ServingError):
-    """A server gave no usable answer to a request.
-
-    :param ran: whether it may have run, or may yet run.
-    :param missing_target: the server does not hold what the request needs.
-    :param other_instance: another life answers at the address.
-    :param at_fault: whether it speaks against the server.
-    :param unreachable: whether nothing listens at its address, or nothing answers there.
-    :param unsent: whether nothing was sent, because the server began to leave before.
-    :param broken: whether the connection ended before the answer did.
+    """A server sent no usable response to a request.
+
+    :param ran: whether the request may have run, or may still run.
+    :param missing_target: the server has not loaded the model or adapter of the request.
+    :param other_instance: the server's process has restarted, so the address has a new instance.
+    :param at_fault: whether the failure counts against the server.
+    :param unreachable: whether no connection could be made.
+    :param unsent: whether nothing was sent, because the server started to leave.
+    :param broken: whether the connection failed before the response was complete.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
 
 
 class RelayDeclined(ServingError):
-    """A peer has not taken a request, and nothing of it has run there."""
+    """A peer did not accept a relayed request, which has not run there."""
 
 
 class ModelUnavailable(ServingError):
-    """A request's model is at no server, and will not be before its caller leaves.
+    """No server has loaded the model of a request, nor will one before its deadline.
 
-    :param ready_in_seconds: when it should be there.
+    :param ready_in_seconds: the expected time until the model is loaded.
     """
 
     def __init__(self, ready_in_seconds: float) -> None:
@@ -58,14 +58,14 @@
 
 
 class StreamTruncated(ServingError):
-    """A stream ended before its proper end."""
+    """A stream to the caller has begun but cannot be completed."""
 
 
 class Refused(ServingError):
-    """A request gets a daemon's own answer.
+    """The daemon itself responds to a request with an error.
 
-    :param status: HTTP status; 503 promises that the request has not run and never will.
-    :param retry_after_seconds: when to come back.
+    :param status: HTTP status; 503 guarantees that the request has not run and never will.
+    :param retry_after_seconds: when the caller may retry.
     """
 
     def __init__(self, status: int, detail: str, retry_after_seconds: float | None = None) -> None:
