--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -1,8 +1,8 @@
-"""Keeps requests away from servers whose prompts have a part that crashes these.
+"""Stops requests whose prompts have a part that crashes servers.
 
-Daemons share what they see: which servers ended under which parts, and which of these parts were
-answered whole after all. What is news goes on to the fingers at once; a daemon that has missed it,
-or has just started, is sent all of it when its digest shows so.
+Daemons share their observations: the parts under which servers crashed, and those of them that were
+later answered completely. New observations are gossiped to the fingers at once. A daemon that has
+missed some, or has just started, gets all of them from anti-entropy when its digest differs.
 """
 
 from collections.abc import Iterable
@@ -19,9 +19,9 @@
 
 
 class PromptGuard:
-    """One daemon's knowledge of prompts that crash servers.
+    """Collects and shares observations of prompts that crash servers.
 
-    :param own_address: ``host:port`` of this daemon for peers.
+    :param own_address: ``host:port`` at which peers reach this daemon.
     """
 
     def __init__(self, own_address: str, transport: PeerTransport, peers: PeerTable) -> None:
@@ -31,18 +31,18 @@
         self._suspicions = PromptSuspicions()
         self._clock = Clock()
 
-    # Requests of this daemon.
+    # Requests at this daemon.
 
     def banned_for_ms(self, caller: CallerRequest) -> float:
-        """Return for how long a request is sent to no server; 0 if it may be sent."""
+        """Return how long a request remains banned, in milliseconds; 0 when it is not."""
         return self._suspicions.banned_for_ms(_shared_parts(caller), self._clock.now_ms())
 
     def may_retry(self, caller: CallerRequest) -> bool:
-        """Whether a request that was cut off may be sent to another server."""
+        """Whether a request that was interrupted may be retried at another server."""
         return self._suspicions.may_retry(_shared_parts(caller))
 
     def note_crash(self, caller: CallerRequest, instance: str) -> None:
-        """A server ended as it began to answer a request."""
+        """Record that a server crashed when it began to respond to a request."""
         crashes = (
             PromptCrash(identity, position, instance, 0.0)
             for position, identity in enumerate(_shared_parts(caller))
@@ -50,13 +50,13 @@
         self._add_crashes(crashes)
 
     def note_answered(self, caller: CallerRequest) -> None:
-        """A request was answered whole."""
+        """Record that a request was answered completely."""
         self._add_answered(_shared_parts(caller))
 
-    # What peers tell.
+    # Messages from peers.
 
     def on_crashes(self, message: PromptCrashes) -> None:
-        """Take in a peer's word of crashes; the peer is told which parts are good after all."""
+        """Add crashes that a peer reports; reply with those parts that were answered recently."""
         now_ms = self._clock.now_ms()
         identities = {crash.identity for crash in message.crashes}
         answered = tuple(
@@ -69,11 +69,11 @@
         self._add_crashes(message.crashes)
 
     def on_answered(self, message: PromptsAnswered) -> None:
-        """Take in a peer's word of parts that were answered whole."""
+        """Clear parts that a peer reports as answered completely."""
         self._add_answered(message.identities)
 
     def digest(self) -> int:
-        """Return a number that is the same where the same crashes are known; 0 for none."""
+        """Return a hash of the known crashes, to compare with peers; 0 when there are none."""
         known = sorted(
             f"{each.part.identity} {instance}"
             for each in self._suspicions.suspected()
@@ -82,7 +82,7 @@
         return xxhash.xxh64_intdigest("\n".join(known).encode()) if known else 0
 
     def all_crashes(self) -> PromptCrashes:
-        """Return all that is known of crashes, for a peer whose digest differs."""
+        """Return all known crashes, for a peer whose digest differs."""
         now_ms = self._clock.now_ms()
         return PromptCrashes(
             self._own_address,
@@ -95,7 +95,7 @@
             ),
         )
 
-    # What is news.
+    # New observations.
 
     def _add_crashes(self, crashes: Iterable[PromptCrash]) -> None:
         now_ms = self._clock.now_ms()
@@ -129,5 +129,5 @@
 
 
 def _shared_parts(caller: CallerRequest) -> tuple[str, ...]:
-    """Return the parts of a request's prompt that other requests may share: all but the last."""
+    """Return the identities of all parts but the last, which other requests may share."""
     return tuple(part.identity for part in caller.prompt[:-1])
