--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -1,9 +1,9 @@
-"""Which parts of prompts are suspected to crash servers. Pure; time is passed in, in milliseconds.
+"""Detects parts of prompts that crash servers. Does no I/O; the caller passes the time.
 
-A server that ends takes all its requests along. A part that crashes servers ends each one that
-begins to answer on it, so it is cut off at several lives of servers and is never answered whole;
-any other part soon is. Crashes at nearly the same moment have one cause, such as a lost rack, and
-count as one. What a more special part explains does not speak against the parts before it.
+A crash interrupts all requests at the server. A part that causes crashes is interrupted at several
+server instances and never answered completely, while any other part soon is. Crashes at nearly the
+same time have one cause, such as a power loss of a rack, and count as one. Crashes that a later,
+more specific part explains do not count against the parts before it.
 """
 
 import itertools
@@ -12,7 +12,7 @@
 
 from attrs import define, field, frozen
 
-# Crashes with different causes under a part that was not answered whole.
+# Numbers of separate causes of crashes, of a part that was not answered completely since.
 NO_RETRY_CAUSES = 2
 BAN_CAUSES = 3
 SAME_CAUSE_MS = 100.0
@@ -26,9 +26,9 @@
 
 @frozen
 class SharedPart:
-    """A part that other requests may share.
+    """A part of a prompt that other requests may share.
 
-    :ivar position: its place in the prompt, from 0; later parts are more special.
+    :ivar position: its index in the prompt; later parts are more specific.
     """
 
     identity: str
@@ -37,9 +37,9 @@
 
 @frozen
 class Crash:
-    """A life of a server that ended while it began to answer.
+    """A crash of a server instance when it began to respond.
 
-    :ivar instance: names the life.
+    :ivar instance: identifies the server process.
     """
 
     instance: str
@@ -48,9 +48,10 @@
 
 @define
 class Suspicion:
-    """What speaks against one part.
+    """The crashes and the ban of a suspected part.
 
     :ivar crashes: by instance.
+    :ivar ban_ms: duration of the next ban.
     """
 
     part: SharedPart
@@ -60,23 +61,23 @@
 
 
 def count_causes(crashes: Iterable[Crash]) -> int:
-    """Return how many crashes there were, those at nearly the same moment as one."""
+    """Return the number of separate causes: crashes at nearly the same time count as one."""
     times = sorted(crash.at_ms for crash in crashes)
     merged = sum(later - earlier < SAME_CAUSE_MS for earlier, later in itertools.pairwise(times))
     return len(times) - merged
 
 
 class PromptSuspicions:
-    """The parts that are suspected, and those that were answered whole lately."""
+    """Suspected parts, and parts that were recently answered completely."""
 
     def __init__(self) -> None:
         self._suspected: OrderedDict[str, Suspicion] = OrderedDict()
         self._last_answered_ms: OrderedDict[str, float] = OrderedDict()
 
     def note_crash(self, part: SharedPart, crash: Crash, now_ms: float) -> bool:
-        """Take in that a server ended as it began to answer on a part; returns whether it is news.
+        """Record a crash under a part; returns whether the crash is new.
 
-        One that was answered whole a short while ago is not suspected.
+        A part that was recently answered completely is not suspected.
         """
         self._evict_expired(now_ms)
         if self.was_answered_recently(part.identity, now_ms):
@@ -91,7 +92,7 @@
         return True
 
     def ban_suspects(self, now_ms: float) -> tuple[SharedPart, ...]:
-        """Ban the parts against which enough speaks; returns those that were not banned before."""
+        """Ban the parts with enough unexplained crashes; returns the newly banned ones."""
         banned = []
         for suspicion in self._suspected.values():
             if now_ms < suspicion.banned_until_ms or self._ban_surplus(suspicion) < 1:
@@ -105,7 +106,7 @@
         return tuple(banned)
 
     def _ban_surplus(self, suspicion: Suspicion) -> int:
-        """Return how many crashes above those of a ban, less one, more special parts leave over."""
+        """Return 1 or more when enough causes for a ban are not explained by more specific parts."""
         explained: set[str] = set()
         for other in self._suspected.values():
             more_specific = other.part.position > suspicion.part.position
@@ -115,7 +116,7 @@
         return count_causes(unexplained) - BAN_CAUSES + 1
 
     def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
-        """A request was answered whole; returns its parts that were suspected until now."""
+        """Record parts that were answered completely; returns those that were suspected until now."""
         cleared = []
         for identity in identities:
             self._last_answered_ms[identity] = now_ms
@@ -127,15 +128,15 @@
         return tuple(cleared)
 
     def was_answered_recently(self, identity: str, now_ms: float) -> bool:
-        """Whether a part was answered whole a short while ago."""
+        """Whether a part was recently answered completely."""
         return now_ms - self._last_answered_ms.get(identity, float("-inf")) < ANSWERED_VALID_MS
 
     def suspected(self) -> list[Suspicion]:
-        """Return what speaks against all parts that are suspected."""
+        """Return all suspected parts, with their crashes."""
         return list(self._suspected.values())
 
     def may_retry(self, identities: Iterable[str]) -> bool:
-        """Whether a request that was cut off may be sent to another server."""
+        """Whether a request with these parts that was interrupted may be retried."""
         return all(self._count_causes(identity) < NO_RETRY_CAUSES for identity in identities)
 
     def _count_causes(self, identity: str) -> int:
@@ -143,13 +144,13 @@
         return count_causes(suspicion.crashes.values()) if suspicion else 0
 
     def banned_for_ms(self, identities: Iterable[str], now_ms: float) -> float:
-        """Return for how long requests with any of the parts are sent to no server; 0 if not."""
+        """Return how long requests with any of the parts remain banned; 0 when none is."""
         suspicions = (self._suspected.get(identity) for identity in identities)
         until = (each.banned_until_ms for each in suspicions if each is not None)
         return max(0.0, max(until, default=0.0) - now_ms)
 
     def _evict_expired(self, now_ms: float) -> None:
-        """Forget parts whose last crash is long ago, and whose ban is over."""
+        """Evict parts whose last crash is long ago and whose ban has expired."""
         for identity, suspicion in list(self._suspected.items()):
             last_ms = max(crash.at_ms for crash in suspicion.crashes.values())
             if max(last_ms + FORGET_AFTER_MS, suspicion.banned_until_ms) < now_ms:
