--- a/loomwind/serving/__init__.py
+++ b/loomwind/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving requests by route on a pool of servers that others own: views, routing, forwarding."""
+"""Serves requests on a pool of externally managed servers: state, routing and forwarding."""
