--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -14,7 +14,7 @@
 
     :param ran: whether the request may have run, or may still run.
     :param missing_target: the server has not loaded the model or adapter of the request.
-    :param other_instance: the server's process has restarted, so the address has a new instance.
+    :param other_instance: another instance of the server responds at its address.
     :param at_fault: whether the failure counts against the server.
     :param unreachable: whether no connection could be made.
     :param unsent: whether nothing was sent, because the server started to leave.
--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -106,7 +106,7 @@
         return tuple(banned)
 
     def _ban_surplus(self, suspicion: Suspicion) -> int:
-        """Return 1 or more when enough causes for a ban are not explained by more specific parts."""
+        """Return at least 1 when the causes not explained by more specific parts suffice for a ban."""
         explained: set[str] = set()
         for other in self._suspected.values():
             more_specific = other.part.position > suspicion.part.position
@@ -116,7 +116,7 @@
         return count_causes(unexplained) - BAN_CAUSES + 1
 
     def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
-        """Record parts that were answered completely; returns those that were suspected until now."""
+        """Record parts that were answered completely; returns those that were suspected."""
         cleared = []
         for identity in identities:
             self._last_answered_ms[identity] = now_ms
--- a/loomwind/serving/server_cost.py
+++ b/loomwind/serving/server_cost.py
@@ -24,7 +24,7 @@
     :param breaker_open: whether requests should prefer other servers.
     :param tried: whether this request was sent to the server before.
     :param connected: whether an idle connection is open.
-    :param load: requests of other daemons in progress at the server, where known.
+    :param load: requests of all daemons in progress at the server, when it is known.
     """
 
     entry: ServerEntry
--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -60,7 +60,7 @@
         return self._reach.is_cut and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
-        """Return the servers with an idle connection that have sent data since connects began to fail."""
+        """Return servers with an idle connection that have sent data since connects began to fail."""
         since = self._reach.failing_since_ms / MS_PER_SECOND
         return [
             entry
