--- a/loomwind/serving/routes.py
+++ b/loomwind/serving/routes.py
@@ -17,14 +17,14 @@
         if len(route.parts) == 1:
             return route.parts[0].service
         total = sum(part.weight for part in route.parts)
-        weights_now = {
+        weights = {
             part.service: self._current_weights.get(part.service, 0.0) for part in route.parts
         }
         for part in route.parts:
-            weights_now[part.service] += part.weight
-        chosen = max(weights_now, key=lambda service: weights_now[service])
-        weights_now[chosen] -= total
-        self._current_weights = weights_now
+            weights[part.service] += part.weight
+        chosen = max(weights, key=lambda service: weights[service])
+        weights[chosen] -= total
+        self._current_weights = weights
         return chosen
 
 
