--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -60,7 +60,7 @@
         return self._reach.is_cut and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
-        """Return servers with an idle connection that have sent data since connects began to fail."""
+        """Return servers with an idle connection that sent data after connects began to fail."""
         since = self._reach.failing_since_ms / MS_PER_SECOND
         return [
             entry
@@ -75,7 +75,7 @@
         return any(other.instance != entry.instance for other in others)
 
     def passed_over(self, server: str) -> list[str]:
-        """Return the candidates other than ``server`` of the last selection, with their cost inputs."""
+        """Return the other candidates of the last selection, with their cost inputs."""
         return [
             f"{candidate.entry.instance}: {candidate.describe()}"
             for candidate in self._candidates
