--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -9,7 +9,7 @@
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_pace import FinishedLoad, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, StorePace
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ServerEntry, ServerReport, ServerState
 
--- a/features/steps/store_pace_steps.py
+++ b/features/steps/store_pace_steps.py
@@ -5,7 +5,7 @@
 import attrs
 from behave import given, then, when
 
-from loomwind.placement.store_pace import FinishedLoad, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, StorePace
 
 STEP_MS = 50.0
 MS = 1000.0
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -14,7 +14,7 @@
 from features.support.made_pool import MadePool
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.store_pace import FinishedLoad, LoadInProgress, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress, StorePace
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
 from loomwind.serving.views import (
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -14,7 +14,7 @@
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_pace import StorePace
+from loomwind.placement.store_concurrency import StorePace
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
 from loomwind.serving.views import (
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -15,7 +15,7 @@
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
-from loomwind.placement.store_pace import StorePace
+from loomwind.placement.store_concurrency import StorePace
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.peer_exchange import PeerExchange
--- a/loomwind/placement/ledger.py
+++ b/loomwind/placement/ledger.py
@@ -12,7 +12,7 @@
 from loomwind.placement.late_orders import LateOrders
 from loomwind.placement.report_changes import with_adapter, with_adapter_order, with_loaded
 from loomwind.placement.server_state import has_copy, load_seconds, used_mb
-from loomwind.placement.store_pace import FinishedLoad, LoadInProgress
+from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress
 from loomwind.serving.residency import LoadUnderWay, holds
 from loomwind.serving.views import (
     EngineProfile,
