--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -9,7 +9,7 @@
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_concurrency import FinishedLoad, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, StoreConcurrencyLimit
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ServerEntry, ServerReport, ServerState
 
@@ -58,7 +58,7 @@
 
 @given("a leader that has learned that the weight store serves {served:d} loads at once")
 def step_learned(context: Any, served: int) -> None:
-    pace = StorePace()
+    pace = StoreConcurrencyLimit()
     began_ms = 0.0
     while pace.limit > served:
         under_way = pace.limit
@@ -76,7 +76,7 @@
 
 @when("another daemon leads")
 def step_other_leads(context: Any) -> None:
-    context.pace = StorePace(context.residency.paces.get(SERVICE), context.now_ms)
+    context.pace = StoreConcurrencyLimit(context.residency.paces.get(SERVICE), context.now_ms)
 
 
 @then("it has {served:d} loads under way at once, and does not grow for a while")
--- a/features/steps/store_pace_steps.py
+++ b/features/steps/store_pace_steps.py
@@ -5,7 +5,7 @@
 import attrs
 from behave import given, then, when
 
-from loomwind.placement.store_concurrency import FinishedLoad, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, StoreConcurrencyLimit
 
 STEP_MS = 50.0
 MS = 1000.0
@@ -26,7 +26,7 @@
 
 @when("a leader keeps as many under way as it may on {servers:d} servers, for {seconds:d} s")
 def step_keep(context: Any, servers: int, seconds: int) -> None:
-    pace = StorePace()
+    pace = StoreConcurrencyLimit()
     loads: list[MadeLoad] = []
     context.under_way, context.done, context.seconds = [], 0, seconds
     for step in range(int(seconds * MS / STEP_MS)):
@@ -62,7 +62,7 @@
 
 @when("every third load takes twice as long for another reason")
 def step_every_third(context: Any) -> None:
-    context.pace = StorePace()
+    context.pace = StoreConcurrencyLimit()
     for number in range(24):
         began_ms = number * context.load_ms
         factor = 2.0 if number % 3 == 0 else 1.0
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -14,7 +14,7 @@
 from features.support.made_pool import MadePool
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress, StoreConcurrencyLimit
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
 from loomwind.serving.views import (
@@ -97,7 +97,7 @@
     "and none has ended by {seconds:d} s"
 )
 def step_overdue(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StorePace(LearnedPace(SERVICE, limit, False))
+    context.pace = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
     loads = [LoadInProgress(0.0, context.load_ms)] * count
     for second in range(seconds + 1):
         context.pace.observe(count, second * MS)
@@ -108,7 +108,7 @@
     "a leader with a limit of {limit:d} has {count:d} loads under way at a time for {seconds:d} s"
 )
 def step_unused(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StorePace(LearnedPace(SERVICE, limit, False))
+    context.pace = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
     for began_ms in range(0, seconds * 1000, int(context.load_ms)):
         context.pace.observe(count, began_ms)
         done_ms = began_ms + context.load_ms
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -14,7 +14,7 @@
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_concurrency import StorePace
+from loomwind.placement.store_concurrency import StoreConcurrencyLimit
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
 from loomwind.serving.views import (
@@ -118,7 +118,7 @@
             self.add_server()
         self.now = 10.0
         self.turns: list[StoreTurn] = []
-        self._pace = StorePace()
+        self._pace = StoreConcurrencyLimit()
         self.change_leader()
 
     # What may happen.
@@ -144,7 +144,7 @@
             if server.loading
         }
         learned: LearnedPace = self._pace.learned(SERVICE)
-        self._pace = StorePace(learned, self.now * MS_PER_SECOND)
+        self._pace = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
         self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -15,7 +15,7 @@
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
-from loomwind.placement.store_concurrency import StorePace
+from loomwind.placement.store_concurrency import StoreConcurrencyLimit
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.peer_exchange import PeerExchange
@@ -66,7 +66,7 @@
         self._windows: dict[str, LoadWindow] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
-        self._paces: dict[str, StorePace] = {}
+        self._paces: dict[str, StoreConcurrencyLimit] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._wake = exchange.inbox.arrived
         self._told_all_at = -1e9
@@ -308,11 +308,11 @@
                 self._ledgers[planned.instance].staged += 1
             self._begin_order(planned)
 
-    def _pace_of(self, service: str, now: float) -> StorePace:
+    def _pace_of(self, service: str, now: float) -> StoreConcurrencyLimit:
         """Return the weight store's pace; the first is what the leader before has learned."""
         if service not in self._paces:
             learned = self._residency.paces.get(service)
-            self._paces[service] = StorePace(learned, now * MS_PER_SECOND)
+            self._paces[service] = StoreConcurrencyLimit(learned, now * MS_PER_SECOND)
         return self._paces[service]
 
     def _tell_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -80,7 +80,7 @@
     at_once: float
 
 
-class StorePace:
+class StoreConcurrencyLimit:
     """The number of loads at once that is worth having."""
 
     def __init__(self, learned: LearnedPace | None = None, now_ms: float = 0.0) -> None:
