--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -6,7 +6,7 @@
 
 from loomwind.http.event_stream import EventCutter
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
-from loomwind.placement.load_window import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadWindow
 from loomwind.serving.budget import RetryBudget
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.routes import RouteTable, WeightedTurns
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -11,7 +11,7 @@
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.load_window import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.store_concurrency import StoreConcurrencyLimit
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -11,7 +11,7 @@
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.expectation_notices import ExpectationNotices
 from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerLedger, store_load_of
-from loomwind.placement.load_window import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
