--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -6,7 +6,7 @@
 
 from loomwind.http.event_stream import EventCutter
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
-from loomwind.placement.load_rate_limiter import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.serving.budget import RetryBudget
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.routes import RouteTable, WeightedTurns
@@ -79,13 +79,13 @@
 
 @when("one leader begins all the loads it may, and the next one that was told of them does too")
 def step_two_leaders(context: Any) -> None:
-    first = LoadWindow(context.rate, context.window, 0.0)
+    first = LoadRateLimiter(context.rate, context.window, 0.0)
     context.loads = []
     for step in range(400):
         now = step * STEP_SECONDS
         if step == 200:
             seen = [t for t in context.loads if t >= now - context.window]
-            first = LoadWindow(context.rate, context.window, now, seen)
+            first = LoadRateLimiter(context.rate, context.window, now, seen)
         while first.allows(now):
             first.note(now)
             context.loads.append(now)
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -11,7 +11,7 @@
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.load_rate_limiter import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.store_concurrency import StoreConcurrencyLimit
@@ -145,7 +145,7 @@
         }
         learned: LearnedPace = self._pace.learned(SERVICE)
         self._pace = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
-        self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
+        self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
         self._heard = told
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -11,7 +11,7 @@
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.expectation_notices import ExpectationNotices
 from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerLedger, store_load_of
-from loomwind.placement.load_rate_limiter import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
@@ -63,7 +63,7 @@
         self._metrics = metrics
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
-        self._windows: dict[str, LoadWindow] = {}
+        self._windows: dict[str, LoadRateLimiter] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
         self._paces: dict[str, StoreConcurrencyLimit] = {}
@@ -266,7 +266,7 @@
         if window is None:
             seconds = self._bounds.load_window_seconds
             seen = self._residency.loads_since(now - seconds)
-            window = LoadWindow(loads_per_second, seconds, now, seen)
+            window = LoadRateLimiter(loads_per_second, seconds, now, seen)
             self._windows[service] = window
         pace = self._pace_of(service, now)
         servers = [
--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -7,7 +7,7 @@
 UNSEEN_LOADS = 2
 
 
-class LoadWindow:
+class LoadRateLimiter:
     """Loads begun lately, by this leader and by the one before."""
 
     def __init__(
