--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from loomwind.placement.adapters import AdapterPlanner
+from loomwind.placement.adapter_planner import AdapterPlanner
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.placement.valuation import LoadChoice, Valuation
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -2,11 +2,11 @@
 
 What is waited for comes first, the most urgent first. A model goes to the server where it costs
 least: the time until it is loaded there, from the nearest copy, and the worth of what has to make
-way. See :mod:`loomwind.placement.model_planner` and :mod:`loomwind.placement.adapters`.
+way. See :mod:`loomwind.placement.model_planner` and :mod:`loomwind.placement.adapter_planner`.
 """
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.adapters import AdapterPlanner
+from loomwind.placement.adapter_planner import AdapterPlanner
 from loomwind.placement.demand_view import Want
 from loomwind.placement.model_planner import ModelPlanner
 from loomwind.placement.outlook import Outlook
