--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -9,9 +9,9 @@
 from loomwind.placement.adapter_planner import AdapterPlanner
 from loomwind.placement.demand_view import Want
 from loomwind.placement.model_planner import ModelPlanner
-from loomwind.placement.outlook import Outlook
 from loomwind.placement.overload import callers_without_place
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
+from loomwind.placement.readiness import Outlook
 from loomwind.placement.valuation import Valuation
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.views import ModelKey
