--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -11,7 +11,7 @@
 from loomwind.placement.model_planner import ModelPlanner
 from loomwind.placement.overload import callers_without_place
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
-from loomwind.placement.readiness import Outlook
+from loomwind.placement.readiness import ReadinessEstimator
 from loomwind.placement.valuation import Valuation
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.views import ModelKey
@@ -59,7 +59,7 @@
 
     def expectations(self) -> tuple[ExpectedTarget, ...]:
         """Return when what requests wait for should be ready, by the plan that was made."""
-        outlook = Outlook(self._given, self._draft, self._models.queue())
+        outlook = ReadinessEstimator(self._given, self._draft, self._models.queue())
         expected = []
         for want in self._wants:
             ready_in = outlook.ready_in(want.key.target) if want.waiting else None
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -13,7 +13,7 @@
 UNKNOWN_LOAD_SECONDS = 3.0
 
 
-class Outlook:
+class ReadinessEstimator:
     """Tells the time until targets are ready.
 
     :param queued: models whose loads wait for the weight store, in their order.
