--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Sequence
 
+from loomwind.placement.cost_model import Valuation
 from loomwind.placement.demand_view import Want
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
-from loomwind.placement.valuation import Valuation
 from loomwind.serving.views import ModelKey, ModelProfile
 
 ADAPTERS_AHEAD_RATE = 0.2
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from loomwind.placement.adapter_planner import AdapterPlanner
+from loomwind.placement.cost_model import LoadChoice, Valuation
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
-from loomwind.placement.valuation import LoadChoice, Valuation
 from loomwind.serving.views import ModelKey
 
 COPIES_WANTED_RATE = 0.25
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -7,12 +7,12 @@
 
 from loomwind.clock import MS_PER_SECOND
 from loomwind.placement.adapter_planner import AdapterPlanner
+from loomwind.placement.cost_model import Valuation
 from loomwind.placement.demand_view import Want
 from loomwind.placement.model_planner import ModelPlanner
 from loomwind.placement.overload import callers_without_place
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
 from loomwind.placement.readiness import ReadinessEstimator
-from loomwind.placement.valuation import Valuation
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.views import ModelKey
 
