--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -62,8 +62,8 @@
     began_ms = 0.0
     while pace.limit > served:
         under_way = pace.limit
-        slowness = max(1.0, under_way / served)
-        done_ms = began_ms + LOAD_MS * slowness
+        slowdown = max(1.0, under_way / served)
+        done_ms = began_ms + LOAD_MS * slowdown
         pace.observe(under_way, began_ms)
         pace.observe(under_way, done_ms)
         for _ in range(under_way):
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -374,7 +374,7 @@
 
 @then("the load was seen to take {times:f} times as long")
 def step_slowness(context: Any, times: float) -> None:
-    assert abs(context.finished.slowness - times) < 0.05, context.finished
+    assert abs(context.finished.slowdown - times) < 0.05, context.finished
 
 
 @then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -240,7 +240,7 @@
                 "weight-store",
                 "paced",
                 loads_at_once=pace.limit,
-                slowness=round(finished.slowness, 2),
+                slowness=round(finished.slowdown, 2),
             )
 
     def _tell_holdings(self, ledgers: list[ServerLedger]) -> None:
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -39,7 +39,7 @@
     expected_ms: float
 
     @property
-    def slowness(self) -> float:
+    def slowdown(self) -> float:
         """Return the time it took as a multiple of what it should take; 1 or more."""
         return max(1.0, (self.done_ms - self.began_ms) / max(1.0, self.expected_ms))
 
@@ -55,7 +55,7 @@
     began_ms: float
     expected_ms: float
 
-    def slowness(self, now_ms: float) -> float:
+    def slowdown(self, now_ms: float) -> float:
         """Return the time it has taken by now as a multiple of what it should take."""
         return (now_ms - self.began_ms) / max(1.0, self.expected_ms)
 
@@ -76,7 +76,7 @@
     :ivar at_once: loads that were under way with it on the whole, itself among them.
     """
 
-    slowness: float
+    slowdown: float
     at_once: float
 
 
@@ -125,14 +125,14 @@
     def note(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
         at_once = self._mean_under_way(load)
-        self._recent.append(_Seen(load.slowness, at_once))
-        slowness = min(seen.slowness for seen in self._recent)
-        if len(self._recent) == ALIKE_LOADS and slowness > SLOW_FACTOR:
-            served = max(seen.at_once / seen.slowness for seen in self._recent)
+        self._recent.append(_Seen(load.slowdown, at_once))
+        slowdown = min(seen.slowdown for seen in self._recent)
+        if len(self._recent) == ALIKE_LOADS and slowdown > SLOW_FACTOR:
+            served = max(seen.at_once / seen.slowdown for seen in self._recent)
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
             self._recent.clear()
-        elif load.slowness <= SLOW_FACTOR and at_once >= USED_PART * self._limit_at(load.began_ms):
+        elif load.slowdown <= SLOW_FACTOR and at_once >= USED_PART * self._limit_at(load.began_ms):
             self._grow(now_ms)
 
     def _limit_at(self, at_ms: float) -> float:
@@ -146,7 +146,7 @@
         Where all are slow, none may end for long. Once a load's time, since what began before the
         limit fell goes on being slow.
         """
-        overdue = [load for load in loads if load.slowness(now_ms) > OVERDUE_FACTOR]
+        overdue = [load for load in loads if load.slowdown(now_ms) > OVERDUE_FACTOR]
         if len(overdue) < ALIKE_LOADS:
             return
         if now_ms - self._halved_ms < min(load.expected_ms for load in overdue):
