--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -67,7 +67,7 @@
         pace.observe(under_way, began_ms)
         pace.observe(under_way, done_ms)
         for _ in range(under_way):
-            pace.note(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
+            pace.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
     context.residency.paces[SERVICE] = pace.learned(SERVICE)
@@ -86,5 +86,5 @@
     done_ms = context.now_ms + LOAD_MS
     context.pace.observe(served, done_ms)
     for _ in range(served):
-        context.pace.note(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
+        context.pace.record_finished(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
     assert context.pace.limit == served
--- a/features/steps/store_pace_steps.py
+++ b/features/steps/store_pace_steps.py
@@ -41,7 +41,7 @@
             loads.remove(load)
             context.done += 1
             done_ms = now_ms + STEP_MS
-            pace.note(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
+            pace.record_finished(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
         context.under_way.append((now_ms, min(pace.limit, servers)))
     context.servers = servers
 
@@ -68,7 +68,7 @@
         factor = 2.0 if number % 3 == 0 else 1.0
         context.pace.observe(context.pace.limit, began_ms)
         done_ms = began_ms + factor * context.load_ms
-        context.pace.note(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
+        context.pace.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
 
 
 @then("the leader may have {count:d} or more under way")
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -114,7 +114,7 @@
         done_ms = began_ms + context.load_ms
         context.pace.observe(count, done_ms)
         for _ in range(count):
-            context.pace.note(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
+            context.pace.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
 
 
 @then("the leader may have {count:d} or fewer under way")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -181,7 +181,7 @@
                 ledger.note_report(server.report(), self.now)
             finished = ledger.take_finished()
             if finished is not None:
-                self._pace.note(finished, self.now * MS_PER_SECOND)
+                self._pace.record_finished(finished, self.now * MS_PER_SECOND)
 
     def _plan(self) -> None:
         servers = list(self._ledgers.values())
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -234,7 +234,7 @@
         if finished is None or pace is None:
             return
         before = pace.limit
-        pace.note(finished, self._now() * MS_PER_SECOND)
+        pace.record_finished(finished, self._now() * MS_PER_SECOND)
         if pace.limit != before:
             log_state(
                 "weight-store",
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -122,7 +122,7 @@
         first, last = inside[0], inside[-1]
         return max(1.0, (last.load_ms - first.load_ms) / max(1.0, last.at_ms - first.at_ms))
 
-    def note(self, load: FinishedLoad, now_ms: float) -> None:
+    def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
         at_once = self._mean_under_way(load)
         self._recent.append(_Seen(load.slowdown, at_once))
