--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -101,7 +101,7 @@
     loads = [LoadInProgress(0.0, context.load_ms)] * count
     for second in range(seconds + 1):
         context.pace.observe(count, second * MS)
-        context.pace.note_under_way(loads, second * MS)
+        context.pace.check_overdue(loads, second * MS)
 
 
 @when(
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -276,7 +276,7 @@
         ]
         store_loads = sum(server.uses_store(now) for server in servers)
         pace.observe(store_loads, now * MS_PER_SECOND)
-        pace.note_under_way(
+        pace.check_overdue(
             [load for load in map(store_load_of, servers) if load is not None],
             now * MS_PER_SECOND,
         )
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -140,7 +140,7 @@
         since = (sample.limit for sample in self._samples if sample.at_ms >= at_ms)
         return next(since, self._limit)
 
-    def note_under_way(self, loads: Sequence[LoadInProgress], now_ms: float) -> None:
+    def check_overdue(self, loads: Sequence[LoadInProgress], now_ms: float) -> None:
         """Learn from loads that have not ended yet: halve the limit while several are overdue.
 
         Where all are slow, none may end for long. Once a load's time, since what began before the
