--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -70,7 +70,7 @@
             pace.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
-    context.residency.paces[SERVICE] = pace.learned(SERVICE)
+    context.residency.paces[SERVICE] = pace.snapshot(SERVICE)
     context.now_ms = began_ms
 
 
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -143,7 +143,7 @@
             for name, server in self._servers.items()
             if server.loading
         }
-        learned: LearnedPace = self._pace.learned(SERVICE)
+        learned: LearnedPace = self._pace.snapshot(SERVICE)
         self._pace = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
         self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -255,7 +255,7 @@
             if ledger.report is not None
         )
         if holdings:
-            paces = tuple(pace.learned(service) for service, pace in self._paces.items())
+            paces = tuple(pace.snapshot(service) for service, pace in self._paces.items())
             self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
 
     # Orders.
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -101,7 +101,7 @@
         """Return how many loads may be under way at once."""
         return max(1, round(self._limit))
 
-    def learned(self, service: str) -> LearnedPace:
+    def snapshot(self, service: str) -> LearnedPace:
         """Return what the next leader should begin with."""
         return LearnedPace(service, self.limit, self._last_slow_ms is not None)
 
