--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -201,7 +201,7 @@
         for order in Planner(given).plan():
             self._note_turn(order, wanted)
             if order.from_store:
-                self._window.note(self.now)
+                self._window.record(self.now)
             self._give(order)
         self._demand.note_available(SERVICE, given.index.holders)
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -302,7 +302,7 @@
             if planned.from_store:
                 if not window.allows(now):
                     continue
-                window.note(now)
+                window.record(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
             if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
                 self._ledgers[planned.instance].staged += 1
--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -29,6 +29,6 @@
             self._begun.popleft()
         return len(self._begun) < self._limit
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """A load begins."""
         self._begun.append(now)
