--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -100,7 +100,7 @@
     planned = plan(context)[0]
     ledger: ServerLedger = context.ledgers[planned.instance]
     order = _order(ledger, planned.kind, planned.target.model)
-    ledger.reserve_room(planned.makes_way_for, now)
+    ledger.reserve_room(planned.evicts_for, now)
     ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
     context.now, context.given_order = now, planned
 
@@ -332,7 +332,7 @@
 
 @then("the plan brings {count:d} models")
 def step_brings(context: Any, count: int) -> None:
-    brought = {order.makes_way_for or order.target.model for order in plan(context)}
+    brought = {order.evicts_for or order.target.model for order in plan(context)}
     assert len(brought) == count, brought
 
 
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -207,8 +207,8 @@
 
     def _note_turn(self, order: PlannedOrder, wanted: set[str]) -> None:
         """Note a load from the weight store, as it begins or as another model makes way for it."""
-        name = order.makes_way_for or order.target.model
-        loads = order.kind is OrderKind.LOAD or bool(order.makes_way_for)
+        name = order.evicts_for or order.target.model
+        loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
         from_store = name not in self._servers[order.instance].on_disk
         if not loads or not from_store or self._room(order.instance) == name:
             return
@@ -243,8 +243,8 @@
         ledger = self._ledgers[order.instance]
         report = ledger.report
         assert report is not None
-        if order.makes_way_for:
-            ledger.reserve_room(order.makes_way_for, self.now)
+        if order.evicts_for:
+            ledger.reserve_room(order.evicts_for, self.now)
         given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -350,8 +350,8 @@
             report.revision,
         )
         ledger.in_flight = order
-        if planned.makes_way_for:
-            ledger.reserve_room(planned.makes_way_for, self._now())
+        if planned.evicts_for:
+            ledger.reserve_room(planned.evicts_for, self._now())
         self._spawn(self._give(ledger, order, planned))
 
     async def _give(self, ledger: ServerLedger, order: Order, planned: PlannedOrder) -> None:
@@ -369,7 +369,7 @@
             target=str(order.target),
             purpose=planned.purpose.value,
             from_store=planned.from_store,
-            makes_way_for=planned.makes_way_for,
+            makes_way_for=planned.evicts_for,
             fence=order.fence,
             revision=order.expected_revision,
         )
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -96,7 +96,7 @@
             return
         if choice.victims:
             victim = ModelKey(choice.victims[0])
-            self._draft.unload(server, victim, purpose, makes_way_for=name)
+            self._draft.unload(server, victim, purpose, evicts_for=name)
         else:
             self._draft.load(server, ModelKey(name), purpose)
 
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -39,7 +39,7 @@
     target: ModelKey
     purpose: OrderPurpose
     from_store: bool = False
-    makes_way_for: str = ""
+    evicts_for: str = ""
 
 
 @attrs.frozen
@@ -140,14 +140,12 @@
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
     def unload(
-        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, makes_way_for: str = ""
+        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, evicts_for: str = ""
     ) -> None:
         """Order a model or an adapter to be unloaded."""
         instance = server.entry.instance
-        order = PlannedOrder(
-            instance, OrderKind.UNLOAD, target, purpose, makes_way_for=makes_way_for
-        )
-        if makes_way_for and server.loads_from_store(makes_way_for):
+        order = PlannedOrder(instance, OrderKind.UNLOAD, target, purpose, evicts_for=evicts_for)
+        if evicts_for and server.loads_from_store(evicts_for):
             self._admission.take_place()
         self._add(order)
 
@@ -178,9 +176,9 @@
         if order.kind is OrderKind.LOAD:
             self._ordered.add(order.target)
             self._admission.leave_out(order.target.model)
-        if order.makes_way_for:
-            self._making_way.add(order.makes_way_for)
-            self._admission.leave_out(order.makes_way_for)
+        if order.evicts_for:
+            self._making_way.add(order.evicts_for)
+            self._admission.leave_out(order.evicts_for)
         self.orders.append(order)
 
     def reserve(self, server: ServerLedger, name: str) -> None:
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -56,7 +56,7 @@
 
     def _orders_for(self, name: str) -> list[PlannedOrder]:
         key = ModelKey(name)
-        return [o for o in self._draft.orders if o.makes_way_for == name or _loads(o, key)]
+        return [o for o in self._draft.orders if o.evicts_for == name or _loads(o, key)]
 
     def _ordered_in(self, instance: str, name: str) -> float:
         server = self._given.index.server(instance)
