--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -294,7 +294,7 @@
         orders = planner.plan()
         loading = (server for server in servers if server.loads_from_store_now)
         self._shortages.note_store_use(
-            service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
+            service, loading, pace.limit, planner.models_needing_copy(), now * MS_PER_SECOND
         )
         self._demand.note_available(service, given.index.holders)
         self._tell_expectations(service, planner.expectations())
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -134,7 +134,7 @@
     def queue(self) -> list[str]:
         """Return the models that wait for the weight store; the one that is next comes first."""
         queued = set(self.queued)
-        return [name for name in self._draft.lacking() if name in queued]
+        return [name for name in self._draft.models_needing_copy() if name in queued]
 
     def _plan_copy(self, name: str, rate: float) -> None:
         """Bring one more copy of a model, if what makes way is asked for much less."""
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -157,7 +157,7 @@
         """Leave a model's place to the next one: no server can take it now."""
         self._admission.leave_out(name)
 
-    def lacking(self) -> tuple[str, ...]:
+    def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
         return self._admission.waiting()
 
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -53,9 +53,9 @@
             self._models.stage()
         return self._draft.orders
 
-    def lacking(self) -> tuple[str, ...]:
+    def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
-        return self._draft.lacking()
+        return self._draft.models_needing_copy()
 
     def expectations(self) -> tuple[ExpectedTarget, ...]:
         """Return when what requests wait for should be ready, by the plan that was made."""
