--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -304,7 +304,11 @@
                     continue
                 window.record(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
-            if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
+            if (
+                given.staging_allowed
+                and planned.kind is OrderKind.LOAD
+                and not planned.target.adapter
+            ):
                 self._ledgers[planned.instance].staged += 1
             self._begin_order(planned)
 
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -60,7 +60,7 @@
     running: dict[tuple[str, ModelKey], int]
     now: float
     store_load_allowed: bool
-    may_stage: bool = False
+    staging_allowed: bool = False
     store_loads_left: int = NO_LIMIT
     index: PlacementIndex = attrs.field(init=False)
 
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -49,7 +49,7 @@
         self._models.bring_queued()
         self._models.plan_second_copies()
         self._adapters.fill_all()
-        if self._given.may_stage:
+        if self._given.staging_allowed:
             self._models.stage()
         return self._draft.orders
 
