--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -8,7 +8,7 @@
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.plan import NO_LIMIT, PlanInput, PlannedOrder
+from loomwind.placement.plan import UNLIMITED_STORE_LOADS, PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.views import (
@@ -119,7 +119,7 @@
     """Return the plan of this moment."""
     servers = list(context.ledgers.values())
     allowed = getattr(context, "store_load_allowed", True)
-    left = getattr(context, "store_loads_left", NO_LIMIT)
+    left = getattr(context, "store_loads_left", UNLIMITED_STORE_LOADS)
     running = getattr(context, "running", {})
     given = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
     return Planner(given).plan()
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -13,7 +13,7 @@
 
 NOTICE_SECONDS = 0.2
 UNKNOWN_BUSY_SECONDS = 0.5
-NO_LIMIT = 1_000_000
+UNLIMITED_STORE_LOADS = 1_000_000
 
 
 class OrderPurpose(enum.Enum):
@@ -61,7 +61,7 @@
     now: float
     store_load_allowed: bool
     staging_allowed: bool = False
-    store_loads_left: int = NO_LIMIT
+    store_loads_left: int = UNLIMITED_STORE_LOADS
     index: PlacementIndex = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
