--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -138,8 +138,8 @@
             for artifact in {demand.artifact.base, demand.artifact}:
                 key = _urgency(view.catalog, memory, demand, artifact)
                 urgency[artifact] = min(key, urgency.get(artifact, key))
-    models_needing_copy = [a for a in urgency if draft.replicas(a) < draft.wanted.get(a, 0)]
-    ordered = sorted(models_needing_copy, key=lambda artifact: urgency[artifact])
+    lacking = [a for a in urgency if draft.replicas(a) < draft.wanted.get(a, 0)]
+    ordered = sorted(lacking, key=lambda artifact: urgency[artifact])
     preloads = [
         artifact
         for artifact, usage in sorted(view.usage.items())
