--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -87,7 +87,7 @@
             seen = [t for t in context.loads if t >= now - context.window]
             first = LoadRateLimiter(context.rate, context.window, now, seen)
         while first.allows(now):
-            first.note(now)
+            first.record(now)
             context.loads.append(now)
 
 
