--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -35,7 +35,7 @@
         now: float,
     ) -> None:
         self.holders = ServersByModel()
-        self.arriving = ServersByModel()
+        self.loading = ServersByModel()
         self.copies = ServersByModel()
         self.available: set[ModelKey] = set()
         self.reserved: set[str] = set()
@@ -65,7 +65,7 @@
         for target in _coming(server):
             self.available.add(target)
             if not target.adapter:
-                self.arriving.add(target.model, server)
+                self.loading.add(target.model, server)
 
     def server(self, instance: str) -> ServerLedger:
         """Return the server of that name."""
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -110,7 +110,7 @@
             if rate < COPIES_WANTED_RATE or self._draft.plans_load_of(model.name):
                 continue
             index = self._inputs.index
-            copies = len(index.holders[model.name]) + len(index.arriving[model.name])
+            copies = len(index.holders[model.name]) + len(index.loading[model.name])
             if 0 < copies < COPIES_WANTED:
                 self._plan_copy(model.name, rate)
 
@@ -120,7 +120,7 @@
         :param overloaded: how many callers of each are beyond the places of its servers.
         """
         for name in sorted(overloaded, key=lambda name: -overloaded[name]):
-            if not self._inputs.index.arriving[name] and not self._draft.plans_load_of(name):
+            if not self._inputs.index.loading[name] and not self._draft.plans_load_of(name):
                 self._plan_copy(name, self._inputs.rate(ModelKey(name)))
             if not self._draft.plans_load_of(name):
                 self._draft.pass_over(name)
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -126,7 +126,7 @@
         missing |= {
             name: count
             for name, count in (overloaded or {}).items()
-            if not inputs.index.arriving[name] and not self.has_reserved_room(name)
+            if not inputs.index.loading[name] and not self.has_reserved_room(name)
         }
         places = inputs.store_loads_left if inputs.store_load_allowed else 0
         self._admission = StoreAdmission(places, missing)
@@ -168,7 +168,7 @@
         """
         if not server.loads_from_store(name):
             return True
-        elsewhere = self._inputs.index.arriving[name] or ModelKey(name) in self._ordered
+        elsewhere = self._inputs.index.loading[name] or ModelKey(name) in self._ordered
         return self._inputs.store_load_allowed and not elsewhere
 
     def _add(self, order: PlannedOrder) -> None:
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -40,7 +40,7 @@
         index = self._inputs.index
         if index.holders[name]:
             return 0.0
-        times = [self._until_done(server) for server in index.arriving[name]]
+        times = [self._until_done(server) for server in index.loading[name]]
         times += [self._ordered_in(order.instance, name) for order in self._orders_for(name)]
         times += [
             server.load_seconds(name) + UNLOAD_SECONDS
