--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -42,10 +42,10 @@
         self._servers = {server.entry.instance: server for server in servers}
         for server in servers:
             self._add(server, now)
-        self._runs: dict[tuple[str, str], int] = defaultdict(int)
+        self._running: dict[tuple[str, str], int] = defaultdict(int)
         self._runs_of: Counter[str] = Counter()
         for (instance, target), count in running.items():
-            self._runs[(instance, target.model)] += count
+            self._running[(instance, target.model)] += count
             self._runs_of[instance] += count
 
     def _add(self, server: ServerLedger, now: float) -> None:
@@ -73,7 +73,7 @@
 
     def runs(self, instance: str, name: str) -> int:
         """Return how many requests run at a server for a model and its adapters."""
-        return self._runs.get((instance, name), 0)
+        return self._running.get((instance, name), 0)
 
     def runs_of(self, instance: str) -> int:
         """Return how many requests run at a server, or wait there."""
@@ -81,7 +81,7 @@
 
     def running_models(self) -> set[str]:
         """Return the models for which requests run."""
-        return {name for _, name in self._runs}
+        return {name for _, name in self._running}
 
     def adapters_of(self, name: str) -> set[str]:
         """Return the adapters of a model that some server has."""
