--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -43,10 +43,10 @@
         for server in servers:
             self._add(server, now)
         self._running: dict[tuple[str, str], int] = defaultdict(int)
-        self._runs_of: Counter[str] = Counter()
+        self._total_running: Counter[str] = Counter()
         for (instance, target), count in running.items():
             self._running[(instance, target.model)] += count
-            self._runs_of[instance] += count
+            self._total_running[instance] += count
 
     def _add(self, server: ServerLedger, now: float) -> None:
         room = server.room_reserved_for(now)
@@ -77,7 +77,7 @@
 
     def runs_of(self, instance: str) -> int:
         """Return how many requests run at a server, or wait there."""
-        return self._runs_of[instance]
+        return self._total_running[instance]
 
     def running_models(self) -> set[str]:
         """Return the models for which requests run."""
