--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -75,7 +75,7 @@
         """Return how many requests run at a server for a model and its adapters."""
         return self._running.get((instance, name), 0)
 
-    def runs_of(self, instance: str) -> int:
+    def total_requests(self, instance: str) -> int:
         """Return how many requests run at a server, or wait there."""
         return self._total_running[instance]
 
--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -22,7 +22,7 @@
 def _share_beyond(inputs: PlanInput, instance: str, name: str) -> float:
     """Return how many of a model's requests at a server are beyond its places."""
     server = inputs.index.server(instance)
-    running = inputs.index.runs_of(instance)
+    running = inputs.index.total_requests(instance)
     beyond = running - server.profile.slots
     if beyond <= 0:
         return 0.0
