--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -62,7 +62,7 @@
         self.available.update(report.pending_adapters)
         for name in report.in_memory | report.on_disk:
             self.copies.add(name, server)
-        for target in _coming(server):
+        for target in _load_targets(server):
             self.available.add(target)
             if not target.adapter:
                 self.loading.add(target.model, server)
@@ -93,7 +93,7 @@
     return () if server.report is None else server.report.held
 
 
-def _coming(server: ServerLedger) -> Iterable[ModelKey]:
+def _load_targets(server: ServerLedger) -> Iterable[ModelKey]:
     """Yield what a server is loading, or was just told to load."""
     order, operation = server.in_flight, server.operation
     if order is not None and order.kind is OrderKind.LOAD:
