--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -85,11 +85,11 @@
 
     def adapters_of(self, name: str) -> set[str]:
         """Return the adapters of a model that some server has."""
-        held = (model for server in self.holders[name] for model in _held(server))
+        held = (model for server in self.holders[name] for model in _held_models(server))
         return {adapter for model in held if model.name == name for adapter in model.adapters}
 
 
-def _held(server: ServerLedger) -> Iterable[HeldModel]:
+def _held_models(server: ServerLedger) -> Iterable[HeldModel]:
     return () if server.report is None else server.report.held
 
 
