--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -161,7 +161,7 @@
             if model is None or not model.adapters:
                 continue
             holders = self._inputs.holders(name)
-            missing = 1.0 - min(1.0, len(self._inputs.index.adapters_of(name)) / model.adapters)
+            missing = 1.0 - min(1.0, len(self._inputs.index.loaded_adapters(name)) / model.adapters)
             idle = sum(1 for holder in holders if holder.idle)
             pressure += missing * self._valuation.expected_rate(name) / max(1, idle)
         return pressure
--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -83,7 +83,7 @@
         """Return the models for which requests run."""
         return {name for _, name in self._running}
 
-    def adapters_of(self, name: str) -> set[str]:
+    def loaded_adapters(self, name: str) -> set[str]:
         """Return the adapters of a model that some server has."""
         held = (model for server in self.holders[name] for model in _held_models(server))
         return {adapter for model in held if model.name == name for adapter in model.adapters}
