--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.holders = ServersByModel()
         self.loading = ServersByModel()
-        self.copies = ServersByModel()
+        self.cached_copies = ServersByModel()
         self.available: set[ModelKey] = set()
         self.reserved: set[str] = set()
         self._servers = {server.entry.instance: server for server in servers}
@@ -61,7 +61,7 @@
             self.available.update(ModelKey(held.name, adapter) for adapter in held.adapters)
         self.available.update(report.pending_adapters)
         for name in report.in_memory | report.on_disk:
-            self.copies.add(name, server)
+            self.cached_copies.add(name, server)
         for target in _load_targets(server):
             self.available.add(target)
             if not target.adapter:
