--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -113,7 +113,7 @@
         """
         self.orders: list[PlannedOrder] = []
         self._inputs = inputs
-        self._taken: set[str] = set()
+        self._assigned: set[str] = set()
         self._reserved: dict[str, float] = {}
         self._turns: dict[str, float] = {}
         self._ordered: set[ModelKey] = set()
@@ -172,7 +172,7 @@
         return self._inputs.store_load_allowed and not elsewhere
 
     def _add(self, order: PlannedOrder) -> None:
-        self._taken.add(order.instance)
+        self._assigned.add(order.instance)
         if order.kind is OrderKind.LOAD:
             self._ordered.add(order.target)
             self._admission.leave_out(order.target.model)
@@ -199,7 +199,7 @@
 
     def is_free(self, server: ServerLedger) -> bool:
         """Whether a server can take an order now."""
-        if not server.idle or server.entry.instance in self._taken:
+        if not server.idle or server.entry.instance in self._assigned:
             return False
         return server.quiet_until <= self._inputs.now
 
