--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -114,7 +114,7 @@
         self.orders: list[PlannedOrder] = []
         self._inputs = inputs
         self._assigned: set[str] = set()
-        self._reserved: dict[str, float] = {}
+        self._reserved_seconds: dict[str, float] = {}
         self._turns: dict[str, float] = {}
         self._ordered: set[ModelKey] = set()
         self._making_way: set[str] = set()
@@ -187,7 +187,7 @@
         seconds = server.load_seconds(name)
         self._admission.leave_out(name)
         self._turns[name] = self.busy_seconds(server) + seconds
-        self._reserved[instance] = self._reserved.get(instance, 0.0) + seconds
+        self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
     def turn_in(self, name: str) -> float | None:
         """Return the time until a model is loaded for which a turn is kept; None without one."""
@@ -209,7 +209,7 @@
 
     def busy_seconds(self, server: ServerLedger) -> float:
         """Return the time until a server can begin another load."""
-        reserved = self._reserved.get(server.entry.instance, 0.0)
+        reserved = self._reserved_seconds.get(server.entry.instance, 0.0)
         if self.is_free(server):
             return reserved
         operation = server.operation
