--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -115,7 +115,7 @@
         self._inputs = inputs
         self._assigned: set[str] = set()
         self._reserved_seconds: dict[str, float] = {}
-        self._turns: dict[str, float] = {}
+        self._reserved_ready_in: dict[str, float] = {}
         self._ordered: set[ModelKey] = set()
         self._making_way: set[str] = set()
         missing = {
@@ -186,12 +186,12 @@
         instance = server.entry.instance
         seconds = server.load_seconds(name)
         self._admission.leave_out(name)
-        self._turns[name] = self.busy_seconds(server) + seconds
+        self._reserved_ready_in[name] = self.busy_seconds(server) + seconds
         self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
     def turn_in(self, name: str) -> float | None:
         """Return the time until a model is loaded for which a turn is kept; None without one."""
-        return self._turns.get(name)
+        return self._reserved_ready_in.get(name)
 
     def plans_load_of(self, name: str) -> bool:
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
