--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -189,7 +189,7 @@
         self._reserved_ready_in[name] = self.busy_seconds(server) + seconds
         self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
-    def turn_in(self, name: str) -> float | None:
+    def reserved_load_ready_in(self, name: str) -> float | None:
         """Return the time until a model is loaded for which a turn is kept; None without one."""
         return self._reserved_ready_in.get(name)
 
