--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -116,7 +116,7 @@
         self._assigned: set[str] = set()
         self._reserved_seconds: dict[str, float] = {}
         self._reserved_ready_in: dict[str, float] = {}
-        self._ordered: set[ModelKey] = set()
+        self._ordered_loads: set[ModelKey] = set()
         self._making_way: set[str] = set()
         missing = {
             name: count
@@ -168,13 +168,13 @@
         """
         if not server.loads_from_store(name):
             return True
-        elsewhere = self._inputs.index.loading[name] or ModelKey(name) in self._ordered
+        elsewhere = self._inputs.index.loading[name] or ModelKey(name) in self._ordered_loads
         return self._inputs.store_load_allowed and not elsewhere
 
     def _add(self, order: PlannedOrder) -> None:
         self._assigned.add(order.instance)
         if order.kind is OrderKind.LOAD:
-            self._ordered.add(order.target)
+            self._ordered_loads.add(order.target)
             self._admission.leave_out(order.target.model)
         if order.evicts_for:
             self._making_way.add(order.evicts_for)
@@ -195,7 +195,7 @@
 
     def plans_load_of(self, name: str) -> bool:
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
-        return ModelKey(name) in self._ordered or self.has_reserved_room(name)
+        return ModelKey(name) in self._ordered_loads or self.has_reserved_room(name)
 
     def is_free(self, server: ServerLedger) -> bool:
         """Whether a server can take an order now."""
@@ -219,7 +219,7 @@
 
     def is_available(self, target: ModelKey) -> bool:
         """Whether a target is held somewhere, or on its way."""
-        if target in self._inputs.index.available or target in self._ordered:
+        if target in self._inputs.index.available or target in self._ordered_loads:
             return True
         return not target.adapter and self.has_reserved_room(target.model)
 
