--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -117,7 +117,7 @@
         self._reserved_seconds: dict[str, float] = {}
         self._reserved_ready_in: dict[str, float] = {}
         self._ordered_loads: set[ModelKey] = set()
-        self._making_way: set[str] = set()
+        self._evicted_for: set[str] = set()
         missing = {
             name: count
             for name, count in (callers or {}).items()
@@ -177,7 +177,7 @@
             self._ordered_loads.add(order.target)
             self._admission.leave_out(order.target.model)
         if order.evicts_for:
-            self._making_way.add(order.evicts_for)
+            self._evicted_for.add(order.evicts_for)
             self._admission.leave_out(order.evicts_for)
         self.orders.append(order)
 
@@ -225,4 +225,4 @@
 
     def has_reserved_room(self, name: str) -> bool:
         """Whether another model makes way for one, or will by this plan."""
-        return name in self._making_way or name in self._inputs.index.reserved
+        return name in self._evicted_for or name in self._inputs.index.reserved
