--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -62,7 +62,7 @@
         best = _cheapest(choices, self._cost_with_wait)
         if best is None:
             if self._draft.may_load_from_store(name):
-                self._draft.pass_over(name)
+                self._draft.skip(name)
             else:
                 self.queued.append(name)
             return
@@ -123,7 +123,7 @@
             if not self._inputs.index.loading[name] and not self._draft.plans_load_of(name):
                 self._plan_copy(name, self._inputs.rate(ModelKey(name)))
             if not self._draft.plans_load_of(name):
-                self._draft.pass_over(name)
+                self._draft.skip(name)
 
     def bring_queued(self) -> None:
         """Try once more what was behind models that no server could take."""
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -153,7 +153,7 @@
         """Whether one more load from the weight store may be planned."""
         return self._admission.admits(name)
 
-    def pass_over(self, name: str) -> None:
+    def skip(self, name: str) -> None:
         """Leave a model's place to the next one: no server can take it now."""
         self._admission.leave_out(name)
 
