--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -42,7 +42,7 @@
             model = server.profile.model(name) if name is not None else None
             if name is None or model is None or server.free_mb() < model.memory_mb:
                 continue
-            if self._draft.may_use_room(server, name):
+            if self._draft.can_use_reserved_memory(server, name):
                 purpose = (
                     OrderPurpose.FURTHER_COPY if self._inputs.holders(name) else OrderPurpose.WANTED
                 )
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -161,7 +161,7 @@
         """Return the models that lack a copy; the one that is brought next comes first."""
         return self._admission.waiting()
 
-    def may_use_room(self, server: ServerLedger, name: str) -> bool:
+    def can_use_reserved_memory(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may be loaded where another one has made way for it.
 
         Its place has been taken already. One that is on its way elsewhere does not need it.
