--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -126,7 +126,7 @@
         missing |= {
             name: count
             for name, count in (overloaded or {}).items()
-            if not inputs.index.loading[name] and not self.has_reserved_room(name)
+            if not inputs.index.loading[name] and not self.has_reserved_memory(name)
         }
         places = inputs.store_loads_left if inputs.store_load_allowed else 0
         self._admission = StoreAdmission(places, missing)
@@ -195,7 +195,7 @@
 
     def plans_load_of(self, name: str) -> bool:
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
-        return ModelKey(name) in self._ordered_loads or self.has_reserved_room(name)
+        return ModelKey(name) in self._ordered_loads or self.has_reserved_memory(name)
 
     def is_free(self, server: ServerLedger) -> bool:
         """Whether a server can take an order now."""
@@ -221,8 +221,8 @@
         """Whether a target is held somewhere, or on its way."""
         if target in self._inputs.index.available or target in self._ordered_loads:
             return True
-        return not target.adapter and self.has_reserved_room(target.model)
+        return not target.adapter and self.has_reserved_memory(target.model)
 
-    def has_reserved_room(self, name: str) -> bool:
+    def has_reserved_memory(self, name: str) -> bool:
         """Whether another model makes way for one, or will by this plan."""
         return name in self._evicted_for or name in self._inputs.index.reserved
