--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -107,7 +107,7 @@
         for model in self._inputs.models():
             key = ModelKey(model.name)
             rate = self._inputs.rate(key)
-            if rate < COPIES_WANTED_RATE or self._draft.plans_load_of(model.name):
+            if rate < COPIES_WANTED_RATE or self._draft.plans_load(model.name):
                 continue
             index = self._inputs.index
             copies = len(index.holders[model.name]) + len(index.loading[model.name])
@@ -120,9 +120,9 @@
         :param overloaded: how many callers of each are beyond the places of its servers.
         """
         for name in sorted(overloaded, key=lambda name: -overloaded[name]):
-            if not self._inputs.index.loading[name] and not self._draft.plans_load_of(name):
+            if not self._inputs.index.loading[name] and not self._draft.plans_load(name):
                 self._plan_copy(name, self._inputs.rate(ModelKey(name)))
-            if not self._draft.plans_load_of(name):
+            if not self._draft.plans_load(name):
                 self._draft.skip(name)
 
     def bring_queued(self) -> None:
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -193,7 +193,7 @@
         """Return the time until a model is loaded for which a turn is kept; None without one."""
         return self._reserved_ready_in.get(name)
 
-    def plans_load_of(self, name: str) -> bool:
+    def plans_load(self, name: str) -> bool:
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
         return ModelKey(name) in self._ordered_loads or self.has_reserved_memory(name)
 
