--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -107,7 +107,7 @@
     def _next(self, server: ServerLedger) -> ModelKey | None:
         """Return the adapter most asked for that no server has, of a model held here."""
         best: tuple[float, ModelKey] | None = None
-        for name in self._inputs.held_by(server):
+        for name in self._inputs.held_models(server):
             model = server.profile.model(name)
             if model is None or not model.adapters or server.free_mb() < model.adapter_mb:
                 continue
@@ -156,7 +156,7 @@
 
     def _pressure(self, server: ServerLedger) -> float:
         pressure = 0.0
-        for name in self._inputs.held_by(server):
+        for name in self._inputs.held_models(server):
             model = server.profile.model(name)
             if model is None or not model.adapters:
                 continue
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -91,7 +91,7 @@
         """Return the servers that hold a model now."""
         return self.index.holders[name]
 
-    def held_by(self, server: ServerLedger) -> Iterator[str]:
+    def held_models(self, server: ServerLedger) -> Iterator[str]:
         """Yield the models that a server holds."""
         if server.report is not None:
             yield from (held.name for held in server.report.held)
