--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -7,7 +7,7 @@
 from loomwind.serving.views import ModelKey, OrderKind
 
 # Until an order is taken, and until the daemons know that it is done.
-NOTICE_SECONDS = 0.15
+ORDER_LATENCY_SECONDS = 0.15
 UNLOAD_SECONDS = 0.25
 ADAPTER_SECONDS = 0.1
 UNKNOWN_LOAD_SECONDS = 3.0
@@ -49,7 +49,7 @@
         ]
         turn_in = self._draft.turn_in(name)
         if turn_in is not None:
-            times.append(turn_in + NOTICE_SECONDS)
+            times.append(turn_in + ORDER_LATENCY_SECONDS)
         if name in self._queued:
             times.append(self._queue_in(name))
         return min(times, default=None)
@@ -61,14 +61,16 @@
     def _ordered_in(self, instance: str, name: str) -> float:
         server = self._inputs.index.server(instance)
         making_way = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
-        return server.load_seconds(name) + making_way + NOTICE_SECONDS
+        return server.load_seconds(name) + making_way + ORDER_LATENCY_SECONDS
 
     def _until_done(self, server: ServerLedger) -> float:
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             order = server.in_flight
-            return NOTICE_SECONDS + (server.load_seconds(order.target.model) if order else 0.0)
-        return max(0.0, operation.done_at - self._inputs.now) + NOTICE_SECONDS
+            return ORDER_LATENCY_SECONDS + (
+                server.load_seconds(order.target.model) if order else 0.0
+            )
+        return max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
 
     # The weight store's queue.
 
@@ -89,7 +91,7 @@
         load = self._store_load_seconds(name)
         at_once = max(1, len(self._loads_end))
         begins = self._loads_end[place % at_once] if self._loads_end else load
-        return begins + (place // at_once) * load + load + NOTICE_SECONDS
+        return begins + (place // at_once) * load + load + ORDER_LATENCY_SECONDS
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
