--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -12,7 +12,7 @@
 from loomwind.serving.views import ModelKey, ModelProfile, OrderKind
 
 ORDER_LATENCY_SECONDS = 0.2
-UNKNOWN_BUSY_SECONDS = 0.5
+DEFAULT_BUSY_SECONDS = 0.5
 UNLIMITED_STORE_LOADS = 1_000_000
 
 
@@ -214,7 +214,7 @@
             return reserved
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
-            return reserved + UNKNOWN_BUSY_SECONDS
+            return reserved + DEFAULT_BUSY_SECONDS
         return reserved + max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
 
     def is_available(self, target: ModelKey) -> bool:
