--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -155,7 +155,7 @@
 
     def skip(self, name: str) -> None:
         """Leave a model's place to the next one: no server can take it now."""
-        self._admission.leave_out(name)
+        self._admission.discard(name)
 
     def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
@@ -175,17 +175,17 @@
         self._assigned.add(order.instance)
         if order.kind is OrderKind.LOAD:
             self._ordered_loads.add(order.target)
-            self._admission.leave_out(order.target.model)
+            self._admission.discard(order.target.model)
         if order.evicts_for:
             self._evicted_for.add(order.evicts_for)
-            self._admission.leave_out(order.evicts_for)
+            self._admission.discard(order.evicts_for)
         self.orders.append(order)
 
     def reserve(self, server: ServerLedger, name: str) -> None:
         """Keep a turn of a busy server for a load of a model."""
         instance = server.entry.instance
         seconds = server.load_seconds(name)
-        self._admission.leave_out(name)
+        self._admission.discard(name)
         self._reserved_ready_in[name] = self.busy_seconds(server) + seconds
         self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -34,7 +34,7 @@
         """Return the models that lack a copy, the next one first."""
         return tuple(self._missing)
 
-    def leave_out(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Keep no place for a model: it is on its way, by whichever copy, or cannot be taken."""
         self._missing.pop(name, None)
 
