--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -136,7 +136,7 @@
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
         if from_store and server.room_reserved_for(self._inputs.now) != target.model:
-            self._admission.take_place()
+            self._admission.acquire_slot()
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
     def unload(
@@ -146,7 +146,7 @@
         instance = server.entry.instance
         order = PlannedOrder(instance, OrderKind.UNLOAD, target, purpose, evicts_for=evicts_for)
         if evicts_for and server.loads_from_store(evicts_for):
-            self._admission.take_place()
+            self._admission.acquire_slot()
         self._add(order)
 
     def can_load_from_store(self, name: str) -> bool:
--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -38,6 +38,6 @@
         """Keep no place for a model: it is on its way, by whichever copy, or cannot be taken."""
         self._missing.pop(name, None)
 
-    def take_place(self) -> None:
+    def acquire_slot(self) -> None:
         """A load from the weight store begins, or another model makes way for one."""
         self.places -= 1
