--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -128,8 +128,8 @@
             for name, count in (overloaded or {}).items()
             if not inputs.index.loading[name] and not self.has_reserved_memory(name)
         }
-        places = inputs.store_loads_left if inputs.store_load_allowed else 0
-        self._admission = StoreAdmission(places, missing)
+        slots = inputs.store_loads_left if inputs.store_load_allowed else 0
+        self._admission = StoreAdmission(slots, missing)
 
     def load(self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose) -> None:
         """Order a model or an adapter to be loaded."""
--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -14,21 +14,21 @@
     :ivar places: how many more loads may begin.
     """
 
-    def __init__(self, places: int, missing: Mapping[str, float]) -> None:
+    def __init__(self, slots: int, missing: Mapping[str, float]) -> None:
         """Begin a plan.
 
         :param places: how many more loads may be under way.
         :param missing: the models that lack a copy, with the callers that a copy would serve.
         """
-        self.places = places
+        self.slots = slots
         self._missing = dict.fromkeys(sorted(missing, key=lambda name: -missing[name]))
 
     def admits(self, name: str) -> bool:
         """Whether a load of a model may begin: no model that goes before it needs the place."""
         if name not in self._missing:
-            return self.places > len(self._missing)
+            return self.slots > len(self._missing)
         before = list(self._missing).index(name)
-        return self.places > before
+        return self.slots > before
 
     def waiting(self) -> tuple[str, ...]:
         """Return the models that lack a copy, the next one first."""
@@ -40,4 +40,4 @@
 
     def acquire_slot(self) -> None:
         """A load from the weight store begins, or another model makes way for one."""
-        self.places -= 1
+        self.slots -= 1
