--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -30,7 +30,7 @@
         before = list(self._missing).index(name)
         return self.slots > before
 
-    def waiting(self) -> tuple[str, ...]:
+    def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy, the next one first."""
         return tuple(self._missing)
 
