--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -27,8 +27,8 @@
         """Whether a load of a model may begin: no model that goes before it needs the place."""
         if name not in self._missing:
             return self.slots > len(self._missing)
-        before = list(self._missing).index(name)
-        return self.slots > before
+        position = list(self._missing).index(name)
+        return self.slots > position
 
     def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy, the next one first."""
