--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -171,7 +171,7 @@
         for model in self._inputs.models():
             if self._draft.is_available(ModelKey(model.name)):
                 continue
-            if not self._inputs.index.copies[model.name]:
+            if not self._inputs.index.cached_copies[model.name]:
                 return model.name
         return None
 
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -159,7 +159,7 @@
 
     def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
-        return self._admission.waiting()
+        return self._admission.models_needing_copy()
 
     def can_use_reserved_memory(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may be loaded where another one has made way for it.
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -47,7 +47,7 @@
             for server in self._inputs.servers
             if server.room_reserved_for(self._inputs.now) == name
         ]
-        turn_in = self._draft.turn_in(name)
+        turn_in = self._draft.reserved_load_ready_in(name)
         if turn_in is not None:
             times.append(turn_in + ORDER_LATENCY_SECONDS)
         if name in self._queued:
