--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -70,7 +70,7 @@
     def _plan_want(self, want: Want) -> None:
         target = want.key.target
         if not self._draft.is_available(ModelKey(target.model)):
-            self._models.bring(target.model, self._may_wait(want))
+            self._models.bring(target.model, self._can_wait(want))
         elif target.adapter and not self._draft.is_available(target):
             self._adapters.bring(target)
 
@@ -82,7 +82,7 @@
                 return model.load_seconds
         return 0.0
 
-    def _may_wait(self, want: Want) -> bool:
+    def _can_wait(self, want: Want) -> bool:
         """Whether a want's objective can be met by a load that begins a while later."""
         return want.slack_seconds >= self._load_seconds(want) + SPARE_SECONDS
 
