--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -44,7 +44,7 @@
         if len(self._draft.free_servers()) >= FREE_FOR_COPIES:
             self._models.plan_second_copies()
         relaxed = [want for want in self._wants if not self._is_urgent(want)]
-        for want in sorted(relaxed, key=self._relaxed_order):
+        for want in sorted(relaxed, key=self._deferrable_sort_key):
             self._plan_want(want)
         self._models.bring_queued()
         self._models.plan_second_copies()
@@ -90,7 +90,7 @@
         """Whether a load is longer than the objective: each moment of it counts."""
         return want.urgency_seconds < self._load_seconds(want)
 
-    def _relaxed_order(self, want: Want) -> tuple[bool, float]:
+    def _deferrable_sort_key(self, want: Want) -> tuple[bool, float]:
         """Order wants whose objective can still be met before the others, the oldest first."""
         in_time = want.slack_seconds >= self._load_seconds(want)
         return (not in_time, want.slack_seconds)
