--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -43,8 +43,8 @@
                 self._plan_want(want)
         if len(self._draft.free_servers()) >= FREE_FOR_COPIES:
             self._models.plan_second_copies()
-        relaxed = [want for want in self._wants if not self._is_urgent(want)]
-        for want in sorted(relaxed, key=self._deferrable_sort_key):
+        deferrable = [want for want in self._wants if not self._is_urgent(want)]
+        for want in sorted(deferrable, key=self._deferrable_sort_key):
             self._plan_want(want)
         self._models.bring_queued()
         self._models.plan_second_copies()
