--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -16,7 +16,7 @@
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.views import ModelKey
 
-FREE_FOR_COPIES = 2
+MIN_FREE_SERVERS_FOR_COPIES = 2
 SPARE_SECONDS = 0.8
 
 
@@ -41,7 +41,7 @@
         for want in self._wants:
             if self._is_urgent(want):
                 self._plan_want(want)
-        if len(self._draft.free_servers()) >= FREE_FOR_COPIES:
+        if len(self._draft.free_servers()) >= MIN_FREE_SERVERS_FOR_COPIES:
             self._models.plan_second_copies()
         deferrable = [want for want in self._wants if not self._is_urgent(want)]
         for want in sorted(deferrable, key=self._deferrable_sort_key):
