--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -17,7 +17,7 @@
 from loomwind.serving.views import ModelKey
 
 MIN_FREE_SERVERS_FOR_COPIES = 2
-SPARE_SECONDS = 0.8
+SLACK_MARGIN_SECONDS = 0.8
 
 
 class Planner:
@@ -84,7 +84,7 @@
 
     def _can_wait(self, want: Want) -> bool:
         """Whether a want's objective can be met by a load that begins a while later."""
-        return want.slack_seconds >= self._load_seconds(want) + SPARE_SECONDS
+        return want.slack_seconds >= self._load_seconds(want) + SLACK_MARGIN_SECONDS
 
     def _is_urgent(self, want: Want) -> bool:
         """Whether a load is longer than the objective: each moment of it counts."""
