--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -5,7 +5,7 @@
 from loomwind.placement.plan import PlanInput
 
 
-def callers_without_place(inputs: PlanInput, names: Iterable[str]) -> dict[str, float]:
+def excess_callers(inputs: PlanInput, names: Iterable[str]) -> dict[str, float]:
     """Return, of some models, those whose servers are all full, with the callers beyond the places.
 
     Models of one server share its places, and so what it has too few of.
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -10,7 +10,7 @@
 from loomwind.placement.cost_model import CostModel
 from loomwind.placement.demand_view import Want
 from loomwind.placement.model_planner import ModelPlanner
-from loomwind.placement.overload import callers_without_place
+from loomwind.placement.overload import excess_callers
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
 from loomwind.placement.readiness import ReadinessEstimator
 from loomwind.serving.expectations import ExpectedTarget
@@ -27,7 +27,7 @@
         wants = [w for w in inputs.demand.wants(inputs.now) if w.key.service == inputs.service]
         self._inputs = inputs
         self._wants = wants
-        self._overloaded = callers_without_place(inputs, inputs.index.running_models())
+        self._overloaded = excess_callers(inputs, inputs.index.running_models())
         callers = inputs.demand.callers(wants, inputs.now)
         self._draft = DraftPlan(inputs, callers, self._overloaded)
         valuation = CostModel(inputs, wants, self._draft)
