--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -13,13 +13,13 @@
     found: dict[str, float] = {}
     for name in names:
         holders = inputs.holders(name)
-        shares = [_share_beyond(inputs, server.entry.instance, name) for server in holders]
+        shares = [_excess_requests(inputs, server.entry.instance, name) for server in holders]
         if shares and min(shares) > 0:
             found[name] = sum(shares)
     return found
 
 
-def _share_beyond(inputs: PlanInput, instance: str, name: str) -> float:
+def _excess_requests(inputs: PlanInput, instance: str, name: str) -> float:
     """Return how many of a model's requests at a server are beyond its places."""
     server = inputs.index.server(instance)
     running = inputs.index.total_requests(instance)
