--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -23,7 +23,7 @@
     """Return how many of a model's requests at a server are beyond its places."""
     server = inputs.index.server(instance)
     running = inputs.index.total_requests(instance)
-    beyond = running - server.profile.slots
-    if beyond <= 0:
+    excess = running - server.profile.slots
+    if excess <= 0:
         return 0.0
-    return beyond * inputs.index.running_requests(instance, name) / running
+    return excess * inputs.index.running_requests(instance, name) / running
