--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -10,13 +10,13 @@
 
     Models of one server share its places, and so what it has too few of.
     """
-    found: dict[str, float] = {}
+    excess_by_model: dict[str, float] = {}
     for name in names:
         holders = inputs.holders(name)
         shares = [_excess_requests(inputs, server.entry.instance, name) for server in holders]
         if shares and min(shares) > 0:
-            found[name] = sum(shares)
-    return found
+            excess_by_model[name] = sum(shares)
+    return excess_by_model
 
 
 def _excess_requests(inputs: PlanInput, instance: str, name: str) -> float:
