--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -35,7 +35,7 @@
         self._adapters = adapters
         self.queued: list[str] = []
 
-    def use_reserved_room(self) -> None:
+    def load_into_reserved_memory(self) -> None:
         """Load what other models have made way for."""
         for server in self._draft.free_servers():
             name = server.room_reserved_for(self._inputs.now)
