--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -29,7 +29,7 @@
         self._pressures: dict[str, float] = {}
         self._missing: dict[str, list[ModelKey]] = {}
 
-    def bring(self, target: ModelKey) -> None:
+    def plan_load(self, target: ModelKey) -> None:
         """Bring an adapter to a server that holds its model."""
         best: tuple[float, ServerLedger] | None = None
         for server in self._draft.free_servers():
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -50,7 +50,7 @@
 
     # What requests wait for.
 
-    def bring(self, name: str, may_wait: bool) -> None:
+    def plan_load(self, name: str, may_wait: bool) -> None:
         """Bring a model to the server where it is ready soonest at the least cost.
 
         A server that is busy may still be the best, since it has a copy nearby: then its turn is
@@ -129,7 +129,7 @@
         """Try once more what was behind models that no server could take."""
         queued, self.queued = self.queued, []
         for name in queued:
-            self.bring(name, may_wait=True)
+            self.plan_load(name, may_wait=True)
 
     def queue(self) -> list[str]:
         """Return the models that wait for the weight store; the one that is next comes first."""
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -70,9 +70,9 @@
     def _plan_want(self, want: Want) -> None:
         target = want.key.target
         if not self._draft.is_available(ModelKey(target.model)):
-            self._models.bring(target.model, self._can_wait(want))
+            self._models.plan_load(target.model, self._can_wait(want))
         elif target.adapter and not self._draft.is_available(target):
-            self._adapters.bring(target)
+            self._adapters.plan_load(target)
 
     def _load_seconds(self, want: Want) -> float:
         """Return the longest time that a load for a want takes."""
