--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -125,7 +125,7 @@
             if not self._draft.plans_load(name):
                 self._draft.skip(name)
 
-    def bring_queued(self) -> None:
+    def retry_queued(self) -> None:
         """Try once more what was behind models that no server could take."""
         queued, self.queued = self.queued, []
         for name in queued:
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -46,7 +46,7 @@
         deferrable = [want for want in self._wants if not self._is_urgent(want)]
         for want in sorted(deferrable, key=self._deferrable_sort_key):
             self._plan_want(want)
-        self._models.bring_queued()
+        self._models.retry_queued()
         self._models.plan_second_copies()
         self._adapters.fill_all()
         if self._inputs.staging_allowed:
