--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -114,7 +114,7 @@
             if 0 < copies < COPIES_WANTED:
                 self._plan_copy(model.name, rate)
 
-    def plan_copies_of(self, overloaded: Mapping[str, float]) -> None:
+    def plan_overload_copies(self, overloaded: Mapping[str, float]) -> None:
         """Bring one more copy of each model whose servers are full, most callers first.
 
         :param overloaded: how many callers of each are beyond the places of its servers.
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -37,7 +37,7 @@
     def plan(self) -> list[PlannedOrder]:
         """Return the orders, at most one for each server."""
         self._models.load_into_reserved_memory()
-        self._models.plan_copies_of(self._overloaded)
+        self._models.plan_overload_copies(self._overloaded)
         for want in self._wants:
             if self._is_urgent(want):
                 self._plan_want(want)
