--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -150,7 +150,7 @@
         if best is not None:
             self._carry_out(best, name, OrderPurpose.FURTHER_COPY)
 
-    def stage(self) -> None:
+    def plan_staging(self) -> None:
         """Load models that no server has a copy of, once: later loads come from that copy."""
         for server in self._draft.free_servers():
             if server.staged >= MOST_STAGED:
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -50,7 +50,7 @@
         self._models.plan_second_copies()
         self._adapters.fill_all()
         if self._inputs.staging_allowed:
-            self._models.stage()
+            self._models.plan_staging()
         return self._draft.orders
 
     def models_needing_copy(self) -> tuple[str, ...]:
