--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -58,7 +58,7 @@
 
         :param may_wait: whether its objective can be met by a load that begins later.
         """
-        choices = [self._choice(server, name) for server in self._candidates(name, may_wait)]
+        choices = [self._load_option(server, name) for server in self._candidates(name, may_wait)]
         best = _cheapest(choices, self._cost_with_wait)
         if best is None:
             if self._draft.can_load_from_store(name):
@@ -78,7 +78,7 @@
             return servers
         return [s for s in servers if s.has_copy(name) or not self._adapters.needs(s)]
 
-    def _choice(self, server: ServerLedger, name: str) -> LoadOption | None:
+    def _load_option(self, server: ServerLedger, name: str) -> LoadOption | None:
         return self._valuation.load_option(server, name)
 
     def _cost(self, choice: LoadOption) -> float:
@@ -139,7 +139,7 @@
     def _plan_copy(self, name: str, rate: float) -> None:
         """Bring one more copy of a model, if what makes way is asked for much less."""
         servers = [s for s in self._draft.free_servers() if not s.holds(ModelKey(name))]
-        choices = [self._choice(server, name) for server in servers]
+        choices = [self._load_option(server, name) for server in servers]
         worthwhile = [
             choice
             for choice in choices
@@ -156,7 +156,7 @@
             if server.staged >= MOST_STAGED:
                 continue
             name = self._next_to_stage()
-            choice = self._choice(server, name) if name is not None else None
+            choice = self._load_option(server, name) if name is not None else None
             if name is None or choice is None:
                 continue
             if all(self._may_be_staged_over(server, victim) for victim in choice.victims):
