--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -81,21 +81,21 @@
     def _load_option(self, server: ServerLedger, name: str) -> LoadOption | None:
         return self._valuation.load_option(server, name)
 
-    def _cost(self, choice: LoadOption) -> float:
+    def _cost(self, option: LoadOption) -> float:
         """Return what a choice costs, with what it holds up."""
-        held_up = BLOCKED_ADAPTER_SECONDS * self._adapters.pressure(choice.server)
-        return choice.cost_seconds + held_up
+        held_up = BLOCKED_ADAPTER_SECONDS * self._adapters.pressure(option.server)
+        return option.cost_seconds + held_up
 
-    def _cost_with_wait(self, choice: LoadOption) -> float:
-        return self._cost(choice) + self._draft.busy_seconds(choice.server)
+    def _cost_with_wait(self, option: LoadOption) -> float:
+        return self._cost(option) + self._draft.busy_seconds(option.server)
 
-    def _carry_out(self, choice: LoadOption, name: str, purpose: OrderPurpose) -> None:
+    def _carry_out(self, option: LoadOption, name: str, purpose: OrderPurpose) -> None:
         """Load a model; adapters first, since a server that loads weights takes no other order."""
-        server = choice.server
+        server = option.server
         if not self._adapters.is_waited_for() and self._adapters.fill(server):
             return
-        if choice.victims:
-            victim = ModelKey(choice.victims[0])
+        if option.victims:
+            victim = ModelKey(option.victims[0])
             self._draft.unload(server, victim, purpose, evicts_for=name)
         else:
             self._draft.load(server, ModelKey(name), purpose)
@@ -141,10 +141,10 @@
         servers = [s for s in self._draft.free_servers() if not s.holds(ModelKey(name))]
         choices = [self._load_option(server, name) for server in servers]
         worthwhile = [
-            choice
-            for choice in choices
-            if choice is not None
-            and self._valuation.worth_of(choice.server, choice.victims) < EVICTED_PART * rate
+            option
+            for option in choices
+            if option is not None
+            and self._valuation.worth_of(option.server, option.victims) < EVICTED_PART * rate
         ]
         best = _cheapest(worthwhile, self._cost)
         if best is not None:
@@ -156,11 +156,11 @@
             if server.staged >= MOST_STAGED:
                 continue
             name = self._next_to_stage()
-            choice = self._load_option(server, name) if name is not None else None
-            if name is None or choice is None:
+            option = self._load_option(server, name) if name is not None else None
+            if name is None or option is None:
                 continue
-            if all(self._may_be_staged_over(server, victim) for victim in choice.victims):
-                self._carry_out(choice, name, OrderPurpose.STAGED)
+            if all(self._may_be_staged_over(server, victim) for victim in option.victims):
+                self._carry_out(option, name, OrderPurpose.STAGED)
 
     def _may_be_staged_over(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
@@ -180,5 +180,5 @@
     choices: Iterable[LoadOption | None], cost: Callable[[LoadOption], float]
 ) -> LoadOption | None:
     """Return the choice of least cost; None when there is none."""
-    possible = [choice for choice in choices if choice is not None]
+    possible = [option for option in choices if option is not None]
     return min(possible, key=cost, default=None)
