--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -58,8 +58,8 @@
 
         :param may_wait: whether its objective can be met by a load that begins later.
         """
-        choices = [self._load_option(server, name) for server in self._candidates(name, may_wait)]
-        best = _cheapest(choices, self._cost_with_wait)
+        options = [self._load_option(server, name) for server in self._candidates(name, may_wait)]
+        best = _cheapest(options, self._cost_with_wait)
         if best is None:
             if self._draft.can_load_from_store(name):
                 self._draft.skip(name)
@@ -139,10 +139,10 @@
     def _plan_copy(self, name: str, rate: float) -> None:
         """Bring one more copy of a model, if what makes way is asked for much less."""
         servers = [s for s in self._draft.free_servers() if not s.holds(ModelKey(name))]
-        choices = [self._load_option(server, name) for server in servers]
+        options = [self._load_option(server, name) for server in servers]
         worthwhile = [
             option
-            for option in choices
+            for option in options
             if option is not None
             and self._valuation.worth_of(option.server, option.victims) < EVICTED_PART * rate
         ]
@@ -177,8 +177,8 @@
 
 
 def _cheapest(
-    choices: Iterable[LoadOption | None], cost: Callable[[LoadOption], float]
+    options: Iterable[LoadOption | None], cost: Callable[[LoadOption], float]
 ) -> LoadOption | None:
     """Return the choice of least cost; None when there is none."""
-    possible = [option for option in choices if option is not None]
+    possible = [option for option in options if option is not None]
     return min(possible, key=cost, default=None)
