--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -67,7 +67,7 @@
                 self.queued.append(name)
             return
         if self._draft.is_free(best.server):
-            self._carry_out(best, name, OrderPurpose.WANTED)
+            self._order_load(best, name, OrderPurpose.WANTED)
         else:
             self._draft.reserve(best.server, name)
 
@@ -89,7 +89,7 @@
     def _cost_with_wait(self, option: LoadOption) -> float:
         return self._cost(option) + self._draft.busy_seconds(option.server)
 
-    def _carry_out(self, option: LoadOption, name: str, purpose: OrderPurpose) -> None:
+    def _order_load(self, option: LoadOption, name: str, purpose: OrderPurpose) -> None:
         """Load a model; adapters first, since a server that loads weights takes no other order."""
         server = option.server
         if not self._adapters.is_waited_for() and self._adapters.fill(server):
@@ -148,7 +148,7 @@
         ]
         best = _cheapest(worthwhile, self._cost)
         if best is not None:
-            self._carry_out(best, name, OrderPurpose.FURTHER_COPY)
+            self._order_load(best, name, OrderPurpose.FURTHER_COPY)
 
     def plan_staging(self) -> None:
         """Load models that no server has a copy of, once: later loads come from that copy."""
@@ -160,7 +160,7 @@
             if name is None or option is None:
                 continue
             if all(self._may_be_staged_over(server, victim) for victim in option.victims):
-                self._carry_out(option, name, OrderPurpose.STAGED)
+                self._order_load(option, name, OrderPurpose.STAGED)
 
     def _may_be_staged_over(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
