--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -159,10 +159,10 @@
             option = self._load_option(server, name) if name is not None else None
             if name is None or option is None:
                 continue
-            if all(self._may_be_staged_over(server, victim) for victim in option.victims):
+            if all(self._can_evict_for_staging(server, victim) for victim in option.victims):
                 self._order_load(option, name, OrderPurpose.STAGED)
 
-    def _may_be_staged_over(self, server: ServerLedger, name: str) -> bool:
+    def _can_evict_for_staging(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
         return server.has_copy(name) and self._valuation.expected_rate(name) < STAGING_KEEPS_RATE
 
