--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -50,7 +50,7 @@
 
     # What requests wait for.
 
-    def plan_load(self, name: str, may_wait: bool) -> None:
+    def plan_load(self, name: str, can_wait: bool) -> None:
         """Bring a model to the server where it is ready soonest at the least cost.
 
         A server that is busy may still be the best, since it has a copy nearby: then its turn is
@@ -58,7 +58,7 @@
 
         :param may_wait: whether its objective can be met by a load that begins later.
         """
-        options = [self._load_option(server, name) for server in self._candidates(name, may_wait)]
+        options = [self._load_option(server, name) for server in self._candidates(name, can_wait)]
         best = _cheapest(options, self._cost_with_wait)
         if best is None:
             if self._draft.can_load_from_store(name):
@@ -71,10 +71,10 @@
         else:
             self._draft.reserve(best.server, name)
 
-    def _candidates(self, name: str, may_wait: bool) -> list[ServerLedger]:
+    def _candidates(self, name: str, can_wait: bool) -> list[ServerLedger]:
         """Return the servers that a model may be brought to."""
         servers = self._inputs.known_servers()
-        if not may_wait:
+        if not can_wait:
             return servers
         return [s for s in servers if s.has_copy(name) or not self._adapters.needs(s)]
 
@@ -129,7 +129,7 @@
         """Try once more what was behind models that no server could take."""
         queued, self.queued = self.queued, []
         for name in queued:
-            self.plan_load(name, may_wait=True)
+            self.plan_load(name, can_wait=True)
 
     def queue(self) -> list[str]:
         """Return the models that wait for the weight store; the one that is next comes first."""
