--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -83,8 +83,8 @@
 
     def _cost(self, option: LoadOption) -> float:
         """Return what a choice costs, with what it holds up."""
-        held_up = BLOCKED_ADAPTER_SECONDS * self._adapters.pressure(option.server)
-        return option.cost_seconds + held_up
+        adapter_delay = BLOCKED_ADAPTER_SECONDS * self._adapters.pressure(option.server)
+        return option.cost_seconds + adapter_delay
 
     def _cost_with_wait(self, option: LoadOption) -> float:
         return self._cost(option) + self._draft.busy_seconds(option.server)
