--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -8,7 +8,7 @@
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.serving.views import ModelKey
 
-COPIES_WANTED_RATE = 0.25
+SECOND_COPY_MIN_RATE = 0.25
 COPIES_WANTED = 2
 EVICTED_PART = 0.2
 MOST_STAGED = 2
@@ -107,7 +107,7 @@
         for model in self._inputs.models():
             key = ModelKey(model.name)
             rate = self._inputs.rate(key)
-            if rate < COPIES_WANTED_RATE or self._draft.plans_load(model.name):
+            if rate < SECOND_COPY_MIN_RATE or self._draft.plans_load(model.name):
                 continue
             index = self._inputs.index
             copies = len(index.holders[model.name]) + len(index.loading[model.name])
