--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -9,7 +9,7 @@
 from loomwind.serving.views import ModelKey
 
 SECOND_COPY_MIN_RATE = 0.25
-COPIES_WANTED = 2
+MIN_COPIES = 2
 EVICTED_PART = 0.2
 MOST_STAGED = 2
 STAGING_KEEPS_RATE = 0.025
@@ -111,7 +111,7 @@
                 continue
             index = self._inputs.index
             copies = len(index.holders[model.name]) + len(index.loading[model.name])
-            if 0 < copies < COPIES_WANTED:
+            if 0 < copies < MIN_COPIES:
                 self._plan_copy(model.name, rate)
 
     def plan_overload_copies(self, overloaded: Mapping[str, float]) -> None:
