--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -10,7 +10,7 @@
 
 SECOND_COPY_MIN_RATE = 0.25
 MIN_COPIES = 2
-EVICTED_PART = 0.2
+MAX_EVICTED_VALUE_RATIO = 0.2
 MOST_STAGED = 2
 STAGING_KEEPS_RATE = 0.025
 BLOCKED_ADAPTER_SECONDS = 4.0
@@ -144,7 +144,8 @@
             option
             for option in options
             if option is not None
-            and self._valuation.worth_of(option.server, option.victims) < EVICTED_PART * rate
+            and self._valuation.worth_of(option.server, option.victims)
+            < MAX_EVICTED_VALUE_RATIO * rate
         ]
         best = _cheapest(worthwhile, self._cost)
         if best is not None:
