--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -11,7 +11,7 @@
 SECOND_COPY_MIN_RATE = 0.25
 MIN_COPIES = 2
 MAX_EVICTED_VALUE_RATIO = 0.2
-MOST_STAGED = 2
+MAX_STAGED_PER_SERVER = 2
 STAGING_KEEPS_RATE = 0.025
 BLOCKED_ADAPTER_SECONDS = 4.0
 
@@ -154,7 +154,7 @@
     def plan_staging(self) -> None:
         """Load models that no server has a copy of, once: later loads come from that copy."""
         for server in self._draft.free_servers():
-            if server.staged >= MOST_STAGED:
+            if server.staged >= MAX_STAGED_PER_SERVER:
                 continue
             name = self._next_to_stage()
             option = self._load_option(server, name) if name is not None else None
