--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -12,7 +12,7 @@
 MIN_COPIES = 2
 MAX_EVICTED_VALUE_RATIO = 0.2
 MAX_STAGED_PER_SERVER = 2
-STAGING_KEEPS_RATE = 0.025
+STAGING_EVICTION_MAX_RATE = 0.025
 BLOCKED_ADAPTER_SECONDS = 4.0
 
 
@@ -165,7 +165,10 @@
 
     def _can_evict_for_staging(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
-        return server.has_copy(name) and self._valuation.expected_rate(name) < STAGING_KEEPS_RATE
+        return (
+            server.has_copy(name)
+            and self._valuation.expected_rate(name) < STAGING_EVICTION_MAX_RATE
+        )
 
     def _next_to_stage(self) -> str | None:
         """Return the first model of the list that no server holds, has a copy of, or is getting."""
