--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -13,7 +13,7 @@
 MAX_EVICTED_VALUE_RATIO = 0.2
 MAX_STAGED_PER_SERVER = 2
 STAGING_EVICTION_MAX_RATE = 0.025
-BLOCKED_ADAPTER_SECONDS = 4.0
+ADAPTER_DELAY_COST_SECONDS = 4.0
 
 
 class ModelPlanner:
@@ -83,7 +83,7 @@
 
     def _cost(self, option: LoadOption) -> float:
         """Return what a choice costs, with what it holds up."""
-        adapter_delay = BLOCKED_ADAPTER_SECONDS * self._adapters.pressure(option.server)
+        adapter_delay = ADAPTER_DELAY_COST_SECONDS * self._adapters.pressure(option.server)
         return option.cost_seconds + adapter_delay
 
     def _cost_with_wait(self, option: LoadOption) -> float:
