--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -39,9 +39,9 @@
             if cost is not None and (best is None or cost < best[0]):
                 best = (cost, server)
         if best is not None:
-            self._bring_to(best[1], target)
+            self._order_load(best[1], target)
 
-    def _bring_to(self, server: ServerLedger, target: ModelKey) -> None:
+    def _order_load(self, server: ServerLedger, target: ModelKey) -> None:
         if self._has_room(server, target.model):
             self._draft.load(server, target, OrderPurpose.WANTED)
             return
