--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -136,7 +136,7 @@
 
     # What a load of weights would hold up.
 
-    def needs(self, server: ServerLedger) -> bool:
+    def must_stay_free(self, server: ServerLedger) -> bool:
         """Whether a load here would hold up adapters, while other servers can take it soon."""
         if self.pressure(server) < MOST_PRESSURE:
             return False
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -76,7 +76,7 @@
         servers = self._inputs.known_servers()
         if not can_wait:
             return servers
-        return [s for s in servers if s.has_copy(name) or not self._adapters.needs(s)]
+        return [s for s in servers if s.has_copy(name) or not self._adapters.must_stay_free(s)]
 
     def _load_option(self, server: ServerLedger, name: str) -> LoadOption | None:
         return self._valuation.load_option(server, name)
