--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -138,13 +138,13 @@
 
     def must_stay_free(self, server: ServerLedger) -> bool:
         """Whether a load here would hold up adapters, while other servers can take it soon."""
-        if self.pressure(server) < MOST_PRESSURE:
+        if self.missing_adapter_rate(server) < MOST_PRESSURE:
             return False
         others = [other for other in self._inputs.known_servers() if other is not server]
-        fit = [other for other in others if self.pressure(other) < MOST_PRESSURE]
+        fit = [other for other in others if self.missing_adapter_rate(other) < MOST_PRESSURE]
         return len(fit) >= SERVERS_FOR_RARE
 
-    def pressure(self, server: ServerLedger) -> float:
+    def missing_adapter_rate(self, server: ServerLedger) -> float:
         """Return the rate of requests whose adapter is missing and could come only here.
 
         A server that loads weights refuses orders for adapters meanwhile.
@@ -155,7 +155,7 @@
         return self._pressures[instance]
 
     def _pressure(self, server: ServerLedger) -> float:
-        pressure = 0.0
+        missing_adapter_rate = 0.0
         for name in self._inputs.held_models(server):
             model = server.profile.model(name)
             if model is None or not model.adapters:
@@ -163,5 +163,5 @@
             holders = self._inputs.holders(name)
             missing = 1.0 - min(1.0, len(self._inputs.index.loaded_adapters(name)) / model.adapters)
             idle = sum(1 for holder in holders if holder.idle)
-            pressure += missing * self._valuation.expected_rate(name) / max(1, idle)
-        return pressure
+            missing_adapter_rate += missing * self._valuation.expected_rate(name) / max(1, idle)
+        return missing_adapter_rate
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -83,7 +83,9 @@
 
     def _cost(self, option: LoadOption) -> float:
         """Return what a choice costs, with what it holds up."""
-        adapter_delay = ADAPTER_DELAY_COST_SECONDS * self._adapters.pressure(option.server)
+        adapter_delay = ADAPTER_DELAY_COST_SECONDS * self._adapters.missing_adapter_rate(
+            option.server
+        )
         return option.cost_seconds + adapter_delay
 
     def _cost_with_wait(self, option: LoadOption) -> float:
