--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -151,10 +151,10 @@
         """
         instance = server.entry.instance
         if instance not in self._pressures:
-            self._pressures[instance] = self._pressure(server)
+            self._pressures[instance] = self._compute_missing_adapter_rate(server)
         return self._pressures[instance]
 
-    def _pressure(self, server: ServerLedger) -> float:
+    def _compute_missing_adapter_rate(self, server: ServerLedger) -> float:
         missing_adapter_rate = 0.0
         for name in self._inputs.held_models(server):
             model = server.profile.model(name)
