--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -26,7 +26,7 @@
         self._wants = wants
         self._draft = draft
         self._valuation = valuation
-        self._pressures: dict[str, float] = {}
+        self._missing_adapter_rates: dict[str, float] = {}
         self._missing: dict[str, list[ModelKey]] = {}
 
     def plan_load(self, target: ModelKey) -> None:
@@ -150,9 +150,9 @@
         A server that loads weights refuses orders for adapters meanwhile.
         """
         instance = server.entry.instance
-        if instance not in self._pressures:
-            self._pressures[instance] = self._compute_missing_adapter_rate(server)
-        return self._pressures[instance]
+        if instance not in self._missing_adapter_rates:
+            self._missing_adapter_rates[instance] = self._compute_missing_adapter_rate(server)
+        return self._missing_adapter_rates[instance]
 
     def _compute_missing_adapter_rate(self, server: ServerLedger) -> float:
         missing_adapter_rate = 0.0
