--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -10,7 +10,7 @@
 
 ADAPTERS_AHEAD_RATE = 0.2
 MAX_PENDING_ADAPTERS = 2
-MOST_PRESSURE = 0.25
+MAX_MISSING_ADAPTER_RATE = 0.25
 SERVERS_FOR_RARE = 2
 EVICTION_SCALE = 100.0
 RATE_TIE_BREAK = 1e-3
@@ -138,10 +138,12 @@
 
     def must_stay_free(self, server: ServerLedger) -> bool:
         """Whether a load here would hold up adapters, while other servers can take it soon."""
-        if self.missing_adapter_rate(server) < MOST_PRESSURE:
+        if self.missing_adapter_rate(server) < MAX_MISSING_ADAPTER_RATE:
             return False
         others = [other for other in self._inputs.known_servers() if other is not server]
-        fit = [other for other in others if self.missing_adapter_rate(other) < MOST_PRESSURE]
+        fit = [
+            other for other in others if self.missing_adapter_rate(other) < MAX_MISSING_ADAPTER_RATE
+        ]
         return len(fit) >= SERVERS_FOR_RARE
 
     def missing_adapter_rate(self, server: ServerLedger) -> float:
