--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -11,7 +11,7 @@
 ADAPTERS_AHEAD_RATE = 0.2
 MAX_PENDING_ADAPTERS = 2
 MAX_MISSING_ADAPTER_RATE = 0.25
-SERVERS_FOR_RARE = 2
+MIN_ALTERNATIVE_SERVERS = 2
 EVICTION_SCALE = 100.0
 RATE_TIE_BREAK = 1e-3
 
@@ -144,7 +144,7 @@
         fit = [
             other for other in others if self.missing_adapter_rate(other) < MAX_MISSING_ADAPTER_RATE
         ]
-        return len(fit) >= SERVERS_FOR_RARE
+        return len(fit) >= MIN_ALTERNATIVE_SERVERS
 
     def missing_adapter_rate(self, server: ServerLedger) -> float:
         """Return the rate of requests whose adapter is missing and could come only here.
