--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -8,7 +8,7 @@
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.serving.views import ModelKey, ModelProfile
 
-ADAPTERS_AHEAD_RATE = 0.2
+PREFETCH_MIN_RATE = 0.2
 MAX_PENDING_ADAPTERS = 2
 MAX_MISSING_ADAPTER_RATE = 0.25
 MIN_ALTERNATIVE_SERVERS = 2
@@ -112,7 +112,7 @@
             if model is None or not model.adapters or server.free_mb() < model.adapter_mb:
                 continue
             rate = self._valuation.expected_rate(name)
-            if rate < ADAPTERS_AHEAD_RATE:
+            if rate < PREFETCH_MIN_RATE:
                 continue
             target = self._most_wanted(model)
             if target is None:
