--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -9,7 +9,7 @@
 from loomwind.serving.views import ModelKey, ModelProfile
 
 PREFETCH_MIN_RATE = 0.2
-MAX_PENDING_ADAPTERS = 2
+MAX_PENDING_PREFETCHES = 2
 MAX_MISSING_ADAPTER_RATE = 0.25
 MIN_ALTERNATIVE_SERVERS = 2
 EVICTION_SCALE = 100.0
@@ -97,7 +97,7 @@
     def fill(self, server: ServerLedger) -> bool:
         """Order one adapter ahead of need; returns whether there was one to order."""
         room = server.free_adapter_slots() > 0
-        if not room or server.pending_adapters() >= MAX_PENDING_ADAPTERS:
+        if not room or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
             return False
         target = self._next(server)
         if target is not None:
