--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -12,7 +12,7 @@
 MAX_PENDING_PREFETCHES = 2
 MAX_MISSING_ADAPTER_RATE = 0.25
 MIN_ALTERNATIVE_SERVERS = 2
-EVICTION_SCALE = 100.0
+EVICTION_COST_PER_RATE = 100.0
 RATE_TIE_BREAK = 1e-3
 
 
@@ -62,7 +62,7 @@
         if self._has_room(server, target.model):
             return -float(server.free_adapter_slots())
         victim = self._victim(server)
-        return None if victim is None else 1.0 + EVICTION_SCALE * self._inputs.rate(victim)
+        return None if victim is None else 1.0 + EVICTION_COST_PER_RATE * self._inputs.rate(victim)
 
     def _victim(self, server: ServerLedger) -> ModelKey | None:
         """Return the adapter used longest ago that nobody uses or waits for."""
