--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -13,7 +13,7 @@
 MAX_MISSING_ADAPTER_RATE = 0.25
 MIN_ALTERNATIVE_SERVERS = 2
 EVICTION_COST_PER_RATE = 100.0
-RATE_TIE_BREAK = 1e-3
+MODEL_RATE_TIE_BREAK_WEIGHT = 1e-3
 
 
 class AdapterPlanner:
@@ -117,7 +117,7 @@
             target = self._most_wanted(model)
             if target is None:
                 continue
-            heat = self._inputs.rate(target) + rate * RATE_TIE_BREAK
+            heat = self._inputs.rate(target) + rate * MODEL_RATE_TIE_BREAK_WEIGHT
             if best is None or heat > best[0]:
                 best = (heat, target)
         return best[1] if best else None
