--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -87,7 +87,7 @@
             for want in self._wants
         )
 
-    def fill_all(self) -> None:
+    def prefetch_all(self) -> None:
         """Fill free adapter places with adapters of the models that are asked for."""
         if self.is_waited_for():
             return
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -48,7 +48,7 @@
             self._plan_want(want)
         self._models.retry_queued()
         self._models.plan_second_copies()
-        self._adapters.fill_all()
+        self._adapters.prefetch_all()
         if self._inputs.staging_allowed:
             self._models.plan_staging()
         return self._draft.orders
