--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -92,9 +92,9 @@
         if self.is_waited_for():
             return
         for server in self._draft.free_servers():
-            self.fill(server)
+            self.prefetch(server)
 
-    def fill(self, server: ServerLedger) -> bool:
+    def prefetch(self, server: ServerLedger) -> bool:
         """Order one adapter ahead of need; returns whether there was one to order."""
         room = server.free_adapter_slots() > 0
         if not room or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
