--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -99,12 +99,12 @@
         room = server.free_adapter_slots() > 0
         if not room or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
             return False
-        target = self._next(server)
+        target = self._next_prefetch(server)
         if target is not None:
             self._draft.load(server, target, OrderPurpose.AHEAD)
         return target is not None
 
-    def _next(self, server: ServerLedger) -> ModelKey | None:
+    def _next_prefetch(self, server: ServerLedger) -> ModelKey | None:
         """Return the adapter most asked for that no server has, of a model held here."""
         best: tuple[float, ModelKey] | None = None
         for name in self._inputs.held_models(server):
