--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -117,9 +117,9 @@
             target = self._most_wanted(model)
             if target is None:
                 continue
-            heat = self._inputs.rate(target) + rate * MODEL_RATE_TIE_BREAK_WEIGHT
-            if best is None or heat > best[0]:
-                best = (heat, target)
+            score = self._inputs.rate(target) + rate * MODEL_RATE_TIE_BREAK_WEIGHT
+            if best is None or score > best[0]:
+                best = (score, target)
         return best[1] if best else None
 
     def _most_wanted(self, model: ModelProfile) -> ModelKey | None:
