--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -114,7 +114,7 @@
             rate = self._valuation.expected_rate(name)
             if rate < PREFETCH_MIN_RATE:
                 continue
-            target = self._most_wanted(model)
+            target = self._most_requested_missing(model)
             if target is None:
                 continue
             score = self._inputs.rate(target) + rate * MODEL_RATE_TIE_BREAK_WEIGHT
@@ -122,7 +122,7 @@
                 best = (score, target)
         return best[1] if best else None
 
-    def _most_wanted(self, model: ModelProfile) -> ModelKey | None:
+    def _most_requested_missing(self, model: ModelProfile) -> ModelKey | None:
         """Return the adapter of a model most asked for that no server has; None when all are."""
         missing = self._missing.get(model.name)
         if missing is None:
