--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -80,7 +80,7 @@
 
     # Ahead of need.
 
-    def is_waited_for(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether a request waits for an adapter: others on their way would slow it down."""
         return any(
             want.key.target.adapter and self._draft.is_available(ModelKey(want.key.target.model))
@@ -89,7 +89,7 @@
 
     def prefetch_all(self) -> None:
         """Fill free adapter places with adapters of the models that are asked for."""
-        if self.is_waited_for():
+        if self.has_pending():
             return
         for server in self._draft.free_servers():
             self.prefetch(server)
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -94,7 +94,7 @@
     def _order_load(self, option: LoadOption, name: str, purpose: OrderPurpose) -> None:
         """Load a model; adapters first, since a server that loads weights takes no other order."""
         server = option.server
-        if not self._adapters.is_waited_for() and self._adapters.prefetch(server):
+        if not self._adapters.has_pending() and self._adapters.prefetch(server):
             return
         if option.victims:
             victim = ModelKey(option.victims[0])
