--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -67,14 +67,14 @@
     def _victim(self, server: ServerLedger) -> ModelKey | None:
         """Return the adapter used longest ago that nobody uses or waits for."""
         inputs = self._inputs
-        waited = {want.key.target for want in self._wants}
+        pending = {want.key.target for want in self._wants}
         report = server.report
         assert report is not None
         loaded = [ModelKey(held.name, a) for held in report.held for a in held.adapters]
         idle = [
             key
             for key in loaded
-            if key not in waited and not inputs.running.get((server.entry.instance, key))
+            if key not in pending and not inputs.running.get((server.entry.instance, key))
         ]
         return min(idle, key=lambda k: inputs.demand.last_used(inputs.service, k), default=None)
 
