--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -96,8 +96,8 @@
 
     def prefetch(self, server: ServerLedger) -> bool:
         """Order one adapter ahead of need; returns whether there was one to order."""
-        room = server.free_adapter_slots() > 0
-        if not room or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
+        has_free_slot = server.free_adapter_slots() > 0
+        if not has_free_slot or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
             return False
         target = self._next_prefetch(server)
         if target is not None:
