--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -42,14 +42,14 @@
             self._order_load(best[1], target)
 
     def _order_load(self, server: ServerLedger, target: ModelKey) -> None:
-        if self._has_room(server, target.model):
+        if self._has_capacity(server, target.model):
             self._draft.load(server, target, OrderPurpose.WANTED)
             return
         victim = self._victim(server)
         if victim is not None:
             self._draft.unload(server, victim, OrderPurpose.WANTED)
 
-    def _has_room(self, server: ServerLedger, name: str) -> bool:
+    def _has_capacity(self, server: ServerLedger, name: str) -> bool:
         model = server.profile.model(name)
         if model is None:
             return False
@@ -59,7 +59,7 @@
         """Return what it costs to bring an adapter to a server; None when it cannot be."""
         if server.profile.model(target.model) is None:
             return None
-        if self._has_room(server, target.model):
+        if self._has_capacity(server, target.model):
             return -float(server.free_adapter_slots())
         victim = self._victim(server)
         return None if victim is None else 1.0 + EVICTION_COST_PER_RATE * self._inputs.rate(victim)
