--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -25,7 +25,7 @@
         self._inputs = inputs
         self._wants = wants
         self._draft = draft
-        self._valuation = valuation
+        self._cost_model = valuation
         self._missing_adapter_rates: dict[str, float] = {}
         self._missing: dict[str, list[ModelKey]] = {}
 
@@ -111,7 +111,7 @@
             model = server.profile.model(name)
             if model is None or not model.adapters or server.free_mb() < model.adapter_mb:
                 continue
-            rate = self._valuation.expected_rate(name)
+            rate = self._cost_model.expected_rate(name)
             if rate < PREFETCH_MIN_RATE:
                 continue
             target = self._most_requested_missing(model)
@@ -165,5 +165,5 @@
             holders = self._inputs.holders(name)
             missing = 1.0 - min(1.0, len(self._inputs.index.loaded_adapters(name)) / model.adapters)
             idle = sum(1 for holder in holders if holder.idle)
-            missing_adapter_rate += missing * self._valuation.expected_rate(name) / max(1, idle)
+            missing_adapter_rate += missing * self._cost_model.expected_rate(name) / max(1, idle)
         return missing_adapter_rate
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._inputs = inputs
         self._draft = draft
-        self._valuation = valuation
+        self._cost_model = valuation
         self._adapters = adapters
         self.queued: list[str] = []
 
@@ -79,7 +79,7 @@
         return [s for s in servers if s.has_copy(name) or not self._adapters.must_stay_free(s)]
 
     def _load_option(self, server: ServerLedger, name: str) -> LoadOption | None:
-        return self._valuation.load_option(server, name)
+        return self._cost_model.load_option(server, name)
 
     def _cost(self, option: LoadOption) -> float:
         """Return what a choice costs, with what it holds up."""
@@ -146,7 +146,7 @@
             option
             for option in options
             if option is not None
-            and self._valuation.total_copy_value(option.server, option.victims)
+            and self._cost_model.total_copy_value(option.server, option.victims)
             < MAX_EVICTED_VALUE_RATIO * rate
         ]
         best = _cheapest(worthwhile, self._cost)
@@ -169,7 +169,7 @@
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
         return (
             server.has_copy(name)
-            and self._valuation.expected_rate(name) < STAGING_EVICTION_MAX_RATE
+            and self._cost_model.expected_rate(name) < STAGING_EVICTION_MAX_RATE
         )
 
     def _next_to_stage(self) -> str | None:
