--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -20,12 +20,12 @@
     """Adds orders for adapters to a plan."""
 
     def __init__(
-        self, inputs: PlanInput, wants: Sequence[Want], draft: DraftPlan, valuation: CostModel
+        self, inputs: PlanInput, wants: Sequence[Want], draft: DraftPlan, cost_model: CostModel
     ) -> None:
         self._inputs = inputs
         self._wants = wants
         self._draft = draft
-        self._cost_model = valuation
+        self._cost_model = cost_model
         self._missing_adapter_rates: dict[str, float] = {}
         self._missing: dict[str, list[ModelKey]] = {}
 
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -26,12 +26,12 @@
         self,
         inputs: PlanInput,
         draft: DraftPlan,
-        valuation: CostModel,
+        cost_model: CostModel,
         adapters: AdapterPlanner,
     ) -> None:
         self._inputs = inputs
         self._draft = draft
-        self._cost_model = valuation
+        self._cost_model = cost_model
         self._adapters = adapters
         self.queued: list[str] = []
 
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -30,9 +30,9 @@
         self._overloaded = excess_callers(inputs, inputs.index.running_models())
         callers = inputs.demand.callers(wants, inputs.now)
         self._draft = DraftPlan(inputs, callers, self._overloaded)
-        valuation = CostModel(inputs, wants, self._draft)
-        self._adapters = AdapterPlanner(inputs, wants, self._draft, valuation)
-        self._models = ModelPlanner(inputs, self._draft, valuation, self._adapters)
+        cost_model = CostModel(inputs, wants, self._draft)
+        self._adapters = AdapterPlanner(inputs, wants, self._draft, cost_model)
+        self._models = ModelPlanner(inputs, self._draft, cost_model, self._adapters)
 
     def plan(self) -> list[PlannedOrder]:
         """Return the orders, at most one for each server."""
