--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -59,10 +59,10 @@
 
     def expectations(self) -> tuple[ExpectedTarget, ...]:
         """Return when what requests wait for should be ready, by the plan that was made."""
-        outlook = ReadinessEstimator(self._inputs, self._draft, self._models.queue())
+        readiness = ReadinessEstimator(self._inputs, self._draft, self._models.queue())
         expected = []
         for want in self._wants:
-            ready_in = outlook.ready_in(want.key.target) if want.waiting else None
+            ready_in = readiness.ready_in(want.key.target) if want.waiting else None
             if ready_in is not None:
                 expected.append(ExpectedTarget(want.key, ready_in * MS_PER_SECOND))
         return tuple(expected)
