--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -40,7 +40,7 @@
         index = self._inputs.index
         if index.holders[name]:
             return 0.0
-        times = [self._until_done(server) for server in index.loading[name]]
+        times = [self._remaining_load_seconds(server) for server in index.loading[name]]
         times += [self._ordered_in(order.instance, name) for order in self._orders_for(name)]
         times += [
             server.load_seconds(name) + UNLOAD_SECONDS
@@ -63,7 +63,7 @@
         making_way = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
         return server.load_seconds(name) + making_way + ORDER_LATENCY_SECONDS
 
-    def _until_done(self, server: ServerLedger) -> float:
+    def _remaining_load_seconds(self, server: ServerLedger) -> float:
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             order = server.in_flight
@@ -77,7 +77,7 @@
     def _store_loads(self) -> list[float]:
         """Return when each load of the weight store should end, planned ones included."""
         ends = [
-            self._until_done(server) if server.operation else UNKNOWN_LOAD_SECONDS
+            self._remaining_load_seconds(server) if server.operation else UNKNOWN_LOAD_SECONDS
             for server in self._inputs.servers
             if server.loads_from_store_now
         ]
