--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -27,14 +27,14 @@
 
     def ready_in(self, target: ModelKey) -> float | None:
         """Return the time until a target is ready; None when that is not known."""
-        model_in = self._model_ready_in(target.model)
-        if model_in is None or not target.adapter:
-            return model_in
+        model_ready_in = self._model_ready_in(target.model)
+        if model_ready_in is None or not target.adapter:
+            return model_ready_in
         if target in self._inputs.index.available:
-            return model_in + ADAPTER_SECONDS
+            return model_ready_in + ADAPTER_SECONDS
         holders = self._inputs.holders(target.model)
         turn_in = min((self._draft.busy_seconds(s) for s in holders), default=0.0)
-        return model_in + turn_in + ADAPTER_SECONDS
+        return model_ready_in + turn_in + ADAPTER_SECONDS
 
     def _model_ready_in(self, name: str) -> float | None:
         index = self._inputs.index
