--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -41,7 +41,9 @@
         if index.holders[name]:
             return 0.0
         times = [self._remaining_load_seconds(server) for server in index.loading[name]]
-        times += [self._ordered_in(order.instance, name) for order in self._orders_for(name)]
+        times += [
+            self._ordered_load_ready_in(order.instance, name) for order in self._orders_for(name)
+        ]
         times += [
             server.load_seconds(name) + UNLOAD_SECONDS
             for server in self._inputs.servers
@@ -58,7 +60,7 @@
         key = ModelKey(name)
         return [o for o in self._draft.orders if o.evicts_for == name or _loads(o, key)]
 
-    def _ordered_in(self, instance: str, name: str) -> float:
+    def _ordered_load_ready_in(self, instance: str, name: str) -> float:
         server = self._inputs.index.server(instance)
         making_way = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
         return server.load_seconds(name) + making_way + ORDER_LATENCY_SECONDS
@@ -82,7 +84,9 @@
             if server.loads_from_store_now
         ]
         planned = [order for order in self._draft.orders if order.from_store]
-        ends += [self._ordered_in(order.instance, order.target.model) for order in planned]
+        ends += [
+            self._ordered_load_ready_in(order.instance, order.target.model) for order in planned
+        ]
         return ends
 
     def _queue_in(self, name: str) -> float:
