--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -53,7 +53,7 @@
         if turn_in is not None:
             times.append(turn_in + ORDER_LATENCY_SECONDS)
         if name in self._queued:
-            times.append(self._queue_in(name))
+            times.append(self._queued_load_ready_in(name))
         return min(times, default=None)
 
     def _orders_for(self, name: str) -> list[PlannedOrder]:
@@ -89,7 +89,7 @@
         ]
         return ends
 
-    def _queue_in(self, name: str) -> float:
+    def _queued_load_ready_in(self, name: str) -> float:
         """Return when a queued load should be done: after as many as stand before it."""
         place = self._queued[name]
         load = self._store_load_seconds(name)
