--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -23,7 +23,7 @@
         self._inputs = inputs
         self._draft = draft
         self._queued = {name: place for place, name in enumerate(queued)}
-        self._loads_end = sorted(self._store_loads())
+        self._store_load_ends = sorted(self._store_loads())
 
     def ready_in(self, target: ModelKey) -> float | None:
         """Return the time until a target is ready; None when that is not known."""
@@ -93,8 +93,8 @@
         """Return when a queued load should be done: after as many as stand before it."""
         place = self._queued[name]
         load = self._store_load_seconds(name)
-        at_once = max(1, len(self._loads_end))
-        begins = self._loads_end[place % at_once] if self._loads_end else load
+        at_once = max(1, len(self._store_load_ends))
+        begins = self._store_load_ends[place % at_once] if self._store_load_ends else load
         return begins + (place // at_once) * load + load + ORDER_LATENCY_SECONDS
 
     def _store_load_seconds(self, name: str) -> float:
