--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -23,7 +23,7 @@
         self._inputs = inputs
         self._draft = draft
         self._queued = {name: place for place, name in enumerate(queued)}
-        self._store_load_ends = sorted(self._store_loads())
+        self._store_load_ends = sorted(self._estimate_store_load_ends())
 
     def ready_in(self, target: ModelKey) -> float | None:
         """Return the time until a target is ready; None when that is not known."""
@@ -76,7 +76,7 @@
 
     # The weight store's queue.
 
-    def _store_loads(self) -> list[float]:
+    def _estimate_store_load_ends(self) -> list[float]:
         """Return when each load of the weight store should end, planned ones included."""
         ends = [
             self._remaining_load_seconds(server) if server.operation else UNKNOWN_LOAD_SECONDS
