--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -62,8 +62,8 @@
 
     def _ordered_load_ready_in(self, instance: str, name: str) -> float:
         server = self._inputs.index.server(instance)
-        making_way = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
-        return server.load_seconds(name) + making_way + ORDER_LATENCY_SECONDS
+        unload_seconds = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
+        return server.load_seconds(name) + unload_seconds + ORDER_LATENCY_SECONDS
 
     def _remaining_load_seconds(self, server: ServerLedger) -> float:
         operation = server.operation
