--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -22,7 +22,7 @@
     def __init__(self, inputs: PlanInput, draft: DraftPlan, queued: Sequence[str]) -> None:
         self._inputs = inputs
         self._draft = draft
-        self._queued = {name: place for place, name in enumerate(queued)}
+        self._queued = {name: position for position, name in enumerate(queued)}
         self._store_load_ends = sorted(self._estimate_store_load_ends())
 
     def ready_in(self, target: ModelKey) -> float | None:
@@ -91,11 +91,11 @@
 
     def _queued_load_ready_in(self, name: str) -> float:
         """Return when a queued load should be done: after as many as stand before it."""
-        place = self._queued[name]
+        position = self._queued[name]
         load = self._store_load_seconds(name)
         at_once = max(1, len(self._store_load_ends))
-        begins = self._store_load_ends[place % at_once] if self._store_load_ends else load
-        return begins + (place // at_once) * load + load + ORDER_LATENCY_SECONDS
+        begins = self._store_load_ends[position % at_once] if self._store_load_ends else load
+        return begins + (position // at_once) * load + load + ORDER_LATENCY_SECONDS
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
