--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -93,9 +93,9 @@
         """Return when a queued load should be done: after as many as stand before it."""
         position = self._queued[name]
         load = self._store_load_seconds(name)
-        at_once = max(1, len(self._store_load_ends))
-        begins = self._store_load_ends[position % at_once] if self._store_load_ends else load
-        return begins + (position // at_once) * load + load + ORDER_LATENCY_SECONDS
+        concurrency = max(1, len(self._store_load_ends))
+        begins = self._store_load_ends[position % concurrency] if self._store_load_ends else load
+        return begins + (position // concurrency) * load + load + ORDER_LATENCY_SECONDS
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
