--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -10,7 +10,7 @@
 ORDER_LATENCY_SECONDS = 0.15
 UNLOAD_SECONDS = 0.25
 ADAPTER_SECONDS = 0.1
-UNKNOWN_LOAD_SECONDS = 3.0
+DEFAULT_LOAD_SECONDS = 3.0
 
 
 class ReadinessEstimator:
@@ -79,7 +79,7 @@
     def _estimate_store_load_ends(self) -> list[float]:
         """Return when each load of the weight store should end, planned ones included."""
         ends = [
-            self._remaining_load_seconds(server) if server.operation else UNKNOWN_LOAD_SECONDS
+            self._remaining_load_seconds(server) if server.operation else DEFAULT_LOAD_SECONDS
             for server in self._inputs.servers
             if server.loads_from_store_now
         ]
@@ -99,7 +99,7 @@
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
-        return UNKNOWN_LOAD_SECONDS if model is None else model.load_seconds
+        return DEFAULT_LOAD_SECONDS if model is None else model.load_seconds
 
 
 def _loads(order: PlannedOrder, key: ModelKey) -> bool:
