--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -9,7 +9,7 @@
 # Until an order is taken, and until the daemons know that it is done.
 ORDER_LATENCY_SECONDS = 0.15
 UNLOAD_SECONDS = 0.25
-ADAPTER_SECONDS = 0.1
+ADAPTER_LOAD_SECONDS = 0.1
 DEFAULT_LOAD_SECONDS = 3.0
 
 
@@ -31,10 +31,10 @@
         if model_ready_in is None or not target.adapter:
             return model_ready_in
         if target in self._inputs.index.available:
-            return model_ready_in + ADAPTER_SECONDS
+            return model_ready_in + ADAPTER_LOAD_SECONDS
         holders = self._inputs.holders(target.model)
         turn_in = min((self._draft.busy_seconds(s) for s in holders), default=0.0)
-        return model_ready_in + turn_in + ADAPTER_SECONDS
+        return model_ready_in + turn_in + ADAPTER_LOAD_SECONDS
 
     def _model_ready_in(self, name: str) -> float | None:
         index = self._inputs.index
