--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -22,7 +22,7 @@
     def __init__(self, inputs: PlanInput, draft: DraftPlan, queued: Sequence[str]) -> None:
         self._inputs = inputs
         self._draft = draft
-        self._queued = {name: position for position, name in enumerate(queued)}
+        self._queue_positions = {name: position for position, name in enumerate(queued)}
         self._store_load_ends = sorted(self._estimate_store_load_ends())
 
     def ready_in(self, target: ModelKey) -> float | None:
@@ -52,7 +52,7 @@
         turn_in = self._draft.reserved_load_ready_in(name)
         if turn_in is not None:
             times.append(turn_in + ORDER_LATENCY_SECONDS)
-        if name in self._queued:
+        if name in self._queue_positions:
             times.append(self._queued_load_ready_in(name))
         return min(times, default=None)
 
@@ -91,7 +91,7 @@
 
     def _queued_load_ready_in(self, name: str) -> float:
         """Return when a queued load should be done: after as many as stand before it."""
-        position = self._queued[name]
+        position = self._queue_positions[name]
         load = self._store_load_seconds(name)
         concurrency = max(1, len(self._store_load_ends))
         begins = self._store_load_ends[position % concurrency] if self._store_load_ends else load
