--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -94,8 +94,8 @@
         position = self._queue_positions[name]
         load = self._store_load_seconds(name)
         concurrency = max(1, len(self._store_load_ends))
-        begins = self._store_load_ends[position % concurrency] if self._store_load_ends else load
-        return begins + (position // concurrency) * load + load + ORDER_LATENCY_SECONDS
+        starts_in = self._store_load_ends[position % concurrency] if self._store_load_ends else load
+        return starts_in + (position // concurrency) * load + load + ORDER_LATENCY_SECONDS
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
