--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -92,10 +92,17 @@
     def _queued_load_ready_in(self, name: str) -> float:
         """Return when a queued load should be done: after as many as stand before it."""
         position = self._queue_positions[name]
-        load = self._store_load_seconds(name)
+        load_seconds = self._store_load_seconds(name)
         concurrency = max(1, len(self._store_load_ends))
-        starts_in = self._store_load_ends[position % concurrency] if self._store_load_ends else load
-        return starts_in + (position // concurrency) * load + load + ORDER_LATENCY_SECONDS
+        starts_in = (
+            self._store_load_ends[position % concurrency] if self._store_load_ends else load_seconds
+        )
+        return (
+            starts_in
+            + (position // concurrency) * load_seconds
+            + load_seconds
+            + ORDER_LATENCY_SECONDS
+        )
 
     def _store_load_seconds(self, name: str) -> float:
         model = self._inputs.model(name)
