--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -33,8 +33,8 @@
         if target in self._inputs.index.available:
             return model_ready_in + ADAPTER_LOAD_SECONDS
         holders = self._inputs.holders(target.model)
-        turn_in = min((self._draft.busy_seconds(s) for s in holders), default=0.0)
-        return model_ready_in + turn_in + ADAPTER_LOAD_SECONDS
+        server_free_in = min((self._draft.busy_seconds(s) for s in holders), default=0.0)
+        return model_ready_in + server_free_in + ADAPTER_LOAD_SECONDS
 
     def _model_ready_in(self, name: str) -> float | None:
         index = self._inputs.index
@@ -49,9 +49,9 @@
             for server in self._inputs.servers
             if server.room_reserved_for(self._inputs.now) == name
         ]
-        turn_in = self._draft.reserved_load_ready_in(name)
-        if turn_in is not None:
-            times.append(turn_in + ORDER_LATENCY_SECONDS)
+        server_free_in = self._draft.reserved_load_ready_in(name)
+        if server_free_in is not None:
+            times.append(server_free_in + ORDER_LATENCY_SECONDS)
         if name in self._queue_positions:
             times.append(self._queued_load_ready_in(name))
         return min(times, default=None)
