--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -13,7 +13,7 @@
 
 from loomwind.serving.residency import LearnedPace
 
-FIRST_LIMIT = 4
+INITIAL_LIMIT = 4
 SLOW_FACTOR = 1.15
 OVERDUE_FACTOR = 1.3
 # A load that had fewer beside it than this part of the limit as it began says nothing of a higher
@@ -88,7 +88,7 @@
 
         :param learned: what an earlier leader has learned.
         """
-        self._limit = float(FIRST_LIMIT if learned is None else learned.loads_at_once)
+        self._limit = float(INITIAL_LIMIT if learned is None else learned.loads_at_once)
         was_slow = learned is not None and learned.was_slow
         self._last_slow_ms: float | None = now_ms if was_slow else None
         self._halved_ms = float("-inf")
