--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -14,7 +14,7 @@
 from loomwind.serving.residency import LearnedPace
 
 INITIAL_LIMIT = 4
-SLOW_FACTOR = 1.15
+SLOW_LOAD_FACTOR = 1.15
 OVERDUE_FACTOR = 1.3
 # A load that had fewer beside it than this part of the limit as it began says nothing of a higher
 # one.
@@ -127,12 +127,14 @@
         at_once = self._mean_under_way(load)
         self._recent.append(_Seen(load.slowdown, at_once))
         slowdown = min(seen.slowdown for seen in self._recent)
-        if len(self._recent) == ALIKE_LOADS and slowdown > SLOW_FACTOR:
+        if len(self._recent) == ALIKE_LOADS and slowdown > SLOW_LOAD_FACTOR:
             served = max(seen.at_once / seen.slowdown for seen in self._recent)
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
             self._recent.clear()
-        elif load.slowdown <= SLOW_FACTOR and at_once >= USED_PART * self._limit_at(load.began_ms):
+        elif load.slowdown <= SLOW_LOAD_FACTOR and at_once >= USED_PART * self._limit_at(
+            load.began_ms
+        ):
             self._grow(now_ms)
 
     def _limit_at(self, at_ms: float) -> float:
