--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -18,7 +18,7 @@
 OVERDUE_FACTOR = 1.3
 # A load that had fewer beside it than this part of the limit as it began says nothing of a higher
 # one.
-USED_PART = 0.75
+MIN_UTILIZATION = 0.75
 # A server that runs many requests loads slowly too: the store is slow when so many in a row are.
 ALIKE_LOADS = 3
 PROBE_AFTER_MS = 20_000.0
@@ -132,7 +132,7 @@
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
             self._recent.clear()
-        elif load.slowdown <= SLOW_LOAD_FACTOR and at_once >= USED_PART * self._limit_at(
+        elif load.slowdown <= SLOW_LOAD_FACTOR and at_once >= MIN_UTILIZATION * self._limit_at(
             load.began_ms
         ):
             self._grow(now_ms)
