--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -20,7 +20,7 @@
 # one.
 MIN_UTILIZATION = 0.75
 # A server that runs many requests loads slowly too: the store is slow when so many in a row are.
-ALIKE_LOADS = 3
+CONSECUTIVE_SLOW_LOADS = 3
 PROBE_AFTER_MS = 20_000.0
 REMEMBERED_MS = 120_000.0
 
@@ -94,7 +94,7 @@
         self._halved_ms = float("-inf")
         self._under_way = 0
         self._samples = [_Sample(0.0, 0.0, self._limit)]
-        self._recent: deque[_Seen] = deque(maxlen=ALIKE_LOADS)
+        self._recent: deque[_Seen] = deque(maxlen=CONSECUTIVE_SLOW_LOADS)
 
     @property
     def limit(self) -> int:
@@ -127,7 +127,7 @@
         at_once = self._mean_under_way(load)
         self._recent.append(_Seen(load.slowdown, at_once))
         slowdown = min(seen.slowdown for seen in self._recent)
-        if len(self._recent) == ALIKE_LOADS and slowdown > SLOW_LOAD_FACTOR:
+        if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
             served = max(seen.at_once / seen.slowdown for seen in self._recent)
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
@@ -149,7 +149,7 @@
         limit fell goes on being slow.
         """
         overdue = [load for load in loads if load.slowdown(now_ms) > OVERDUE_FACTOR]
-        if len(overdue) < ALIKE_LOADS:
+        if len(overdue) < CONSECUTIVE_SLOW_LOADS:
             return
         if now_ms - self._halved_ms < min(load.expected_ms for load in overdue):
             return
