--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -22,7 +22,7 @@
 # A server that runs many requests loads slowly too: the store is slow when so many in a row are.
 CONSECUTIVE_SLOW_LOADS = 3
 PROBE_AFTER_MS = 20_000.0
-REMEMBERED_MS = 120_000.0
+SAMPLE_RETENTION_MS = 120_000.0
 
 
 @attrs.frozen
@@ -111,7 +111,7 @@
         summed = last.load_ms + self._under_way * (now_ms - last.at_ms)
         self._samples.append(_Sample(now_ms, summed, self._limit))
         self._under_way = under_way
-        while self._samples[1].at_ms < now_ms - REMEMBERED_MS:
+        while self._samples[1].at_ms < now_ms - SAMPLE_RETENTION_MS:
             self._samples.pop(0)
 
     def _mean_under_way(self, load: FinishedLoad) -> float:
