--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen
-class _Seen:
+class _LoadMeasurement:
     """What one load has shown.
 
     :ivar at_once: loads that were under way with it on the whole, itself among them.
@@ -94,7 +94,7 @@
         self._halved_ms = float("-inf")
         self._under_way = 0
         self._samples = [_Sample(0.0, 0.0, self._limit)]
-        self._recent: deque[_Seen] = deque(maxlen=CONSECUTIVE_SLOW_LOADS)
+        self._recent: deque[_LoadMeasurement] = deque(maxlen=CONSECUTIVE_SLOW_LOADS)
 
     @property
     def limit(self) -> int:
@@ -125,7 +125,7 @@
     def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
         at_once = self._mean_under_way(load)
-        self._recent.append(_Seen(load.slowdown, at_once))
+        self._recent.append(_LoadMeasurement(load.slowdown, at_once))
         slowdown = min(seen.slowdown for seen in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
             served = max(seen.at_once / seen.slowdown for seen in self._recent)
