--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -77,7 +77,7 @@
     """
 
     slowdown: float
-    at_once: float
+    concurrency: float
 
 
 class StoreConcurrencyLimit:
@@ -124,15 +124,15 @@
 
     def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
-        at_once = self._mean_under_way(load)
-        self._recent.append(_LoadMeasurement(load.slowdown, at_once))
+        concurrency = self._mean_under_way(load)
+        self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
         slowdown = min(seen.slowdown for seen in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
-            served = max(seen.at_once / seen.slowdown for seen in self._recent)
+            served = max(seen.concurrency / seen.slowdown for seen in self._recent)
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
             self._recent.clear()
-        elif load.slowdown <= SLOW_LOAD_FACTOR and at_once >= MIN_UTILIZATION * self._limit_at(
+        elif load.slowdown <= SLOW_LOAD_FACTOR and concurrency >= MIN_UTILIZATION * self._limit_at(
             load.began_ms
         ):
             self._grow(now_ms)
