--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -65,7 +65,7 @@
     """How many loads were under way up to a time, summed over time, and the limit from then on."""
 
     at_ms: float
-    load_ms: float
+    cumulative_load_ms: float
     limit: float
 
 
@@ -108,7 +108,7 @@
     def observe(self, under_way: int, now_ms: float) -> None:
         """Take in how many loads are under way from now on."""
         last = self._samples[-1]
-        summed = last.load_ms + self._under_way * (now_ms - last.at_ms)
+        summed = last.cumulative_load_ms + self._under_way * (now_ms - last.at_ms)
         self._samples.append(_Sample(now_ms, summed, self._limit))
         self._under_way = under_way
         while self._samples[1].at_ms < now_ms - SAMPLE_RETENTION_MS:
@@ -120,7 +120,11 @@
         if len(inside) < 2:
             return float(max(1, self._under_way))
         first, last = inside[0], inside[-1]
-        return max(1.0, (last.load_ms - first.load_ms) / max(1.0, last.at_ms - first.at_ms))
+        return max(
+            1.0,
+            (last.cumulative_load_ms - first.cumulative_load_ms)
+            / max(1.0, last.at_ms - first.at_ms),
+        )
 
     def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
