--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -91,7 +91,7 @@
         self._limit = float(INITIAL_LIMIT if learned is None else learned.loads_at_once)
         was_slow = learned is not None and learned.was_slow
         self._last_slow_ms: float | None = now_ms if was_slow else None
-        self._halved_ms = float("-inf")
+        self._last_halved_ms = float("-inf")
         self._under_way = 0
         self._samples = [_Sample(0.0, 0.0, self._limit)]
         self._recent: deque[_LoadMeasurement] = deque(maxlen=CONSECUTIVE_SLOW_LOADS)
@@ -155,10 +155,10 @@
         overdue = [load for load in loads if load.slowdown(now_ms) > OVERDUE_FACTOR]
         if len(overdue) < CONSECUTIVE_SLOW_LOADS:
             return
-        if now_ms - self._halved_ms < min(load.expected_ms for load in overdue):
+        if now_ms - self._last_halved_ms < min(load.expected_ms for load in overdue):
             return
         self._limit = max(1.0, self._limit / 2)
-        self._halved_ms = self._last_slow_ms = now_ms
+        self._last_halved_ms = self._last_slow_ms = now_ms
 
     def _grow(self, now_ms: float) -> None:
         if self._last_slow_ms is None:
