--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -105,12 +105,12 @@
         """Return what the next leader should begin with."""
         return LearnedPace(service, self.limit, self._last_slow_ms is not None)
 
-    def observe(self, under_way: int, now_ms: float) -> None:
+    def observe(self, in_progress: int, now_ms: float) -> None:
         """Take in how many loads are under way from now on."""
         last = self._samples[-1]
         cumulative_load_ms = last.cumulative_load_ms + self._under_way * (now_ms - last.at_ms)
         self._samples.append(_Sample(now_ms, cumulative_load_ms, self._limit))
-        self._under_way = under_way
+        self._under_way = in_progress
         while self._samples[1].at_ms < now_ms - SAMPLE_RETENTION_MS:
             self._samples.pop(0)
 
