--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -92,7 +92,7 @@
         was_slow = learned is not None and learned.was_slow
         self._last_slow_ms: float | None = now_ms if was_slow else None
         self._last_halved_ms = float("-inf")
-        self._under_way = 0
+        self._in_progress = 0
         self._samples = [_Sample(0.0, 0.0, self._limit)]
         self._recent: deque[_LoadMeasurement] = deque(maxlen=CONSECUTIVE_SLOW_LOADS)
 
@@ -108,9 +108,9 @@
     def observe(self, in_progress: int, now_ms: float) -> None:
         """Take in how many loads are under way from now on."""
         last = self._samples[-1]
-        cumulative_load_ms = last.cumulative_load_ms + self._under_way * (now_ms - last.at_ms)
+        cumulative_load_ms = last.cumulative_load_ms + self._in_progress * (now_ms - last.at_ms)
         self._samples.append(_Sample(now_ms, cumulative_load_ms, self._limit))
-        self._under_way = in_progress
+        self._in_progress = in_progress
         while self._samples[1].at_ms < now_ms - SAMPLE_RETENTION_MS:
             self._samples.pop(0)
 
@@ -118,7 +118,7 @@
         """Return how many loads were under way while one was, itself among them, on the whole."""
         inside = [s for s in self._samples if load.began_ms <= s.at_ms <= load.done_ms]
         if len(inside) < 2:
-            return float(max(1, self._under_way))
+            return float(max(1, self._in_progress))
         first, last = inside[0], inside[-1]
         return max(
             1.0,
