--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -114,7 +114,7 @@
         while self._samples[1].at_ms < now_ms - SAMPLE_RETENTION_MS:
             self._samples.pop(0)
 
-    def _mean_under_way(self, load: FinishedLoad) -> float:
+    def _mean_concurrency(self, load: FinishedLoad) -> float:
         """Return how many loads were under way while one was, itself among them, on the whole."""
         inside = [s for s in self._samples if load.began_ms <= s.at_ms <= load.done_ms]
         if len(inside) < 2:
@@ -128,7 +128,7 @@
 
     def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
         """Learn from a load."""
-        concurrency = self._mean_under_way(load)
+        concurrency = self._mean_concurrency(load)
         self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
         slowdown = min(seen.slowdown for seen in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
