--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -130,9 +130,11 @@
         """Learn from a load."""
         concurrency = self._mean_concurrency(load)
         self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
-        slowdown = min(seen.slowdown for seen in self._recent)
+        slowdown = min(measurement.slowdown for measurement in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
-            served = max(seen.concurrency / seen.slowdown for seen in self._recent)
+            served = max(
+                measurement.concurrency / measurement.slowdown for measurement in self._recent
+            )
             self._limit = max(1.0, min(self._limit, served))
             self._last_slow_ms = now_ms
             self._recent.clear()
