--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -116,10 +116,10 @@
 
     def _mean_concurrency(self, load: FinishedLoad) -> float:
         """Return how many loads were under way while one was, itself among them, on the whole."""
-        inside = [s for s in self._samples if load.began_ms <= s.at_ms <= load.done_ms]
-        if len(inside) < 2:
+        samples = [s for s in self._samples if load.began_ms <= s.at_ms <= load.done_ms]
+        if len(samples) < 2:
             return float(max(1, self._in_progress))
-        first, last = inside[0], inside[-1]
+        first, last = samples[0], samples[-1]
         return max(
             1.0,
             (last.cumulative_load_ms - first.cumulative_load_ms)
