--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -132,10 +132,10 @@
         self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
         slowdown = min(measurement.slowdown for measurement in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
-            served = max(
+            sustained = max(
                 measurement.concurrency / measurement.slowdown for measurement in self._recent
             )
-            self._limit = max(1.0, min(self._limit, served))
+            self._limit = max(1.0, min(self._limit, sustained))
             self._last_slow_ms = now_ms
             self._recent.clear()
         elif load.slowdown <= SLOW_LOAD_FACTOR and concurrency >= MIN_UTILIZATION * self._limit_at(
