--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -141,7 +141,7 @@
         elif load.slowdown <= SLOW_LOAD_FACTOR and concurrency >= MIN_UTILIZATION * self._limit_at(
             load.began_ms
         ):
-            self._grow(now_ms)
+            self._increase_limit(now_ms)
 
     def _limit_at(self, at_ms: float) -> float:
         """Return the limit of a time."""
@@ -162,7 +162,7 @@
         self._limit = max(1.0, self._limit / 2)
         self._last_halved_ms = self._last_slow_ms = now_ms
 
-    def _grow(self, now_ms: float) -> None:
+    def _increase_limit(self, now_ms: float) -> None:
         if self._last_slow_ms is None:
             self._limit += 1.0
         elif now_ms - self._last_slow_ms >= PROBE_AFTER_MS:
