--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 # Loads that the leader before may have begun without a word having reached this daemon.
-UNSEEN_LOADS = 2
+UNREPORTED_LOADS = 2
 
 
 class LoadRateLimiter:
@@ -21,7 +21,7 @@
         self._limit = max(1, int(per_second * window_seconds))
         self._window = window_seconds
         self._begun: deque[float] = deque(sorted(seen))
-        self._begun.extend([now] * UNSEEN_LOADS)
+        self._begun.extend([now] * UNREPORTED_LOADS)
 
     def allows(self, now: float) -> bool:
         """Whether one more load may begin."""
