--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -18,7 +18,7 @@
         :param per_second: what the weight store allows.
         :param seen: when those were told.
         """
-        self._limit = max(1, int(per_second * window_seconds))
+        self._max_loads = max(1, int(per_second * window_seconds))
         self._window = window_seconds
         self._begun: deque[float] = deque(sorted(seen))
         self._begun.extend([now] * UNREPORTED_LOADS)
@@ -27,7 +27,7 @@
         """Whether one more load may begin."""
         while self._begun and self._begun[0] <= now - self._window:
             self._begun.popleft()
-        return len(self._begun) < self._limit
+        return len(self._begun) < self._max_loads
 
     def record(self, now: float) -> None:
         """A load begins."""
