--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -20,15 +20,15 @@
         """
         self._max_loads = max(1, int(per_second * window_seconds))
         self._window = window_seconds
-        self._begun: deque[float] = deque(sorted(seen))
-        self._begun.extend([now] * UNREPORTED_LOADS)
+        self._start_times: deque[float] = deque(sorted(seen))
+        self._start_times.extend([now] * UNREPORTED_LOADS)
 
     def allows(self, now: float) -> bool:
         """Whether one more load may begin."""
-        while self._begun and self._begun[0] <= now - self._window:
-            self._begun.popleft()
-        return len(self._begun) < self._max_loads
+        while self._start_times and self._start_times[0] <= now - self._window:
+            self._start_times.popleft()
+        return len(self._start_times) < self._max_loads
 
     def record(self, now: float) -> None:
         """A load begins."""
-        self._begun.append(now)
+        self._start_times.append(now)
