--- a/loomwind/placement/load_window.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 # Loads that the leader before may have begun without a word having reached this daemon.
-UNSEEN_LOADS = 2
+UNREPORTED_LOADS = 2
 
 
-class LoadWindow:
+class LoadRateLimiter:
     """Loads begun lately, by this leader and by the one before."""
 
     def __init__(
@@ -18,17 +18,17 @@
         :param per_second: what the weight store allows.
         :param seen: when those were told.
         """
-        self._limit = max(1, int(per_second * window_seconds))
+        self._max_loads = max(1, int(per_second * window_seconds))
         self._window = window_seconds
-        self._begun: deque[float] = deque(sorted(seen))
-        self._begun.extend([now] * UNSEEN_LOADS)
+        self._start_times: deque[float] = deque(sorted(seen))
+        self._start_times.extend([now] * UNREPORTED_LOADS)
 
     def allows(self, now: float) -> bool:
         """Whether one more load may begin."""
-        while self._begun and self._begun[0] <= now - self._window:
-            self._begun.popleft()
-        return len(self._begun) < self._limit
+        while self._start_times and self._start_times[0] <= now - self._window:
+            self._start_times.popleft()
+        return len(self._start_times) < self._max_loads
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """A load begins."""
-        self._begun.append(now)
+        self._start_times.append(now)
