--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -5,7 +5,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.logs import log_decision
 from loomwind.serving.demand import DemandKey, WaitingRequest
-from loomwind.serving.errors import ModelNotInTime
+from loomwind.serving.errors import ModelUnavailable
 from loomwind.serving.views import CallerRequest, RouteRule
 from loomwind.serving.wait_policy import (
     ComeBack,
@@ -47,7 +47,7 @@
         remaining = caller.remaining_seconds
         self._terms = WaitTerms(
             arrived_ms=arrived * MS_PER_SECOND,
-            patience_ms=route.patience_seconds * MS_PER_SECOND,
+            patience_ms=route.event_timeout_seconds * MS_PER_SECOND,
             objective_ms=route.objective_seconds * MS_PER_SECOND,
             deadline_ms=deadline * MS_PER_SECOND,
             first_try=is_first_try(
@@ -68,7 +68,7 @@
         """Wait until something may have changed.
 
         :param may_return: whether nothing of the request has run, so that its caller may come back.
-        :raises ModelNotInTime: it cannot be served before its caller leaves.
+        :raises ModelUnavailable: it cannot be served before its caller leaves.
         """
         now = self._serving.now()
         until = self._until(now, may_return)
@@ -77,11 +77,11 @@
     def _until(self, now: float, may_return: bool) -> float:
         """Return when to look again at the latest.
 
-        :raises ModelNotInTime: it cannot be served before its caller leaves.
+        :raises ModelUnavailable: it cannot be served before its caller leaves.
         """
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
-        usual_ms = self._serving.usual_load_ms(self._key)
+        usual_ms = self._serving.expected_load_ms(self._key)
         verdict = decide(self._terms, now_ms, ready_in_ms, usual_ms)
         if isinstance(verdict, Wait):
             return verdict.until_ms / MS_PER_SECOND
@@ -92,7 +92,7 @@
             back = now + verdict.returns_in_ms / MS_PER_SECOND + self._objective
             returning = WaitingRequest(back, self._objective)
             self._pool.demand.expect_return(self._key, returning)
-        raise ModelNotInTime(verdict.after_ms / MS_PER_SECOND)
+        raise ModelUnavailable(verdict.after_ms / MS_PER_SECOND)
 
     def _log(self, verdict: ComeBack | Hopeless, ready_in_ms: float | None) -> None:
         log_decision(
@@ -102,5 +102,5 @@
             ready_in_ms=None if ready_in_ms is None else round(ready_in_ms),
             after_ms=round(verdict.after_ms),
             first_try=self._terms.first_try,
-            own_part=self._caller.own_part,
+            own_part=self._caller.unique_part,
         )
