--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -11,11 +11,11 @@
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.expectation_notices import ExpectationNotices
 from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerLedger, store_load_of
-from loomwind.placement.load_window import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
-from loomwind.placement.store_pace import StorePace
+from loomwind.placement.store_concurrency import StoreConcurrencyLimit
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.peer_exchange import PeerExchange
@@ -63,10 +63,10 @@
         self._metrics = metrics
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
-        self._windows: dict[str, LoadWindow] = {}
+        self._windows: dict[str, LoadRateLimiter] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
-        self._paces: dict[str, StorePace] = {}
+        self._paces: dict[str, StoreConcurrencyLimit] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._wake = exchange.inbox.arrived
         self._told_all_at = -1e9
@@ -234,13 +234,13 @@
         if finished is None or pace is None:
             return
         before = pace.limit
-        pace.note(finished, self._now() * MS_PER_SECOND)
+        pace.record_finished(finished, self._now() * MS_PER_SECOND)
         if pace.limit != before:
             log_state(
                 "weight-store",
                 "paced",
                 loads_at_once=pace.limit,
-                slowness=round(finished.slowness, 2),
+                slowness=round(finished.slowdown, 2),
             )
 
     def _tell_holdings(self, ledgers: list[ServerLedger]) -> None:
@@ -255,7 +255,7 @@
             if ledger.report is not None
         )
         if holdings:
-            paces = tuple(pace.learned(service) for service, pace in self._paces.items())
+            paces = tuple(pace.snapshot(service) for service, pace in self._paces.items())
             self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
 
     # Orders.
@@ -266,7 +266,7 @@
         if window is None:
             seconds = self._bounds.load_window_seconds
             seen = self._residency.loads_since(now - seconds)
-            window = LoadWindow(loads_per_second, seconds, now, seen)
+            window = LoadRateLimiter(loads_per_second, seconds, now, seen)
             self._windows[service] = window
         pace = self._pace_of(service, now)
         servers = [
@@ -276,7 +276,7 @@
         ]
         store_loads = sum(server.uses_store(now) for server in servers)
         pace.observe(store_loads, now * MS_PER_SECOND)
-        pace.note_under_way(
+        pace.check_overdue(
             [load for load in map(store_load_of, servers) if load is not None],
             now * MS_PER_SECOND,
         )
@@ -294,7 +294,7 @@
         orders = planner.plan()
         loading = (server for server in servers if server.loads_from_store_now)
         self._shortages.note_store_use(
-            service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
+            service, loading, pace.limit, planner.models_needing_copy(), now * MS_PER_SECOND
         )
         self._demand.note_available(service, given.index.holders)
         self._tell_expectations(service, planner.expectations())
@@ -302,17 +302,21 @@
             if planned.from_store:
                 if not window.allows(now):
                     continue
-                window.note(now)
+                window.record(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
-            if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
+            if (
+                given.staging_allowed
+                and planned.kind is OrderKind.LOAD
+                and not planned.target.adapter
+            ):
                 self._ledgers[planned.instance].staged += 1
             self._begin_order(planned)
 
-    def _pace_of(self, service: str, now: float) -> StorePace:
+    def _pace_of(self, service: str, now: float) -> StoreConcurrencyLimit:
         """Return the weight store's pace; the first is what the leader before has learned."""
         if service not in self._paces:
             learned = self._residency.paces.get(service)
-            self._paces[service] = StorePace(learned, now * MS_PER_SECOND)
+            self._paces[service] = StoreConcurrencyLimit(learned, now * MS_PER_SECOND)
         return self._paces[service]
 
     def _tell_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
@@ -350,8 +354,8 @@
             report.revision,
         )
         ledger.in_flight = order
-        if planned.makes_way_for:
-            ledger.reserve_room(planned.makes_way_for, self._now())
+        if planned.evicts_for:
+            ledger.reserve_room(planned.evicts_for, self._now())
         self._spawn(self._give(ledger, order, planned))
 
     async def _give(self, ledger: ServerLedger, order: Order, planned: PlannedOrder) -> None:
@@ -369,7 +373,7 @@
             target=str(order.target),
             purpose=planned.purpose.value,
             from_store=planned.from_store,
-            makes_way_for=planned.makes_way_for,
+            makes_way_for=planned.evicts_for,
             fence=order.fence,
             revision=order.expected_revision,
         )
--- /dev/null
+++ b/loomwind/placement/readiness.py
@@ -0,0 +1,113 @@
+"""When what is waited for should be ready, by the plan of a moment. Pure; times are in seconds."""
+
+from collections.abc import Sequence
+
+from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
+from loomwind.serving.views import ModelKey, OrderKind
+
+# Until an order is taken, and until the daemons know that it is done.
+ORDER_LATENCY_SECONDS = 0.15
+UNLOAD_SECONDS = 0.25
+ADAPTER_LOAD_SECONDS = 0.1
+DEFAULT_LOAD_SECONDS = 3.0
+
+
+class ReadinessEstimator:
+    """Tells the time until targets are ready.
+
+    :param queued: models whose loads wait for the weight store, in their order.
+    """
+
+    def __init__(self, inputs: PlanInput, draft: DraftPlan, queued: Sequence[str]) -> None:
+        self._inputs = inputs
+        self._draft = draft
+        self._queue_positions = {name: position for position, name in enumerate(queued)}
+        self._store_load_ends = sorted(self._estimate_store_load_ends())
+
+    def ready_in(self, target: ModelKey) -> float | None:
+        """Return the time until a target is ready; None when that is not known."""
+        model_ready_in = self._model_ready_in(target.model)
+        if model_ready_in is None or not target.adapter:
+            return model_ready_in
+        if target in self._inputs.index.available:
+            return model_ready_in + ADAPTER_LOAD_SECONDS
+        holders = self._inputs.holders(target.model)
+        server_free_in = min((self._draft.busy_seconds(s) for s in holders), default=0.0)
+        return model_ready_in + server_free_in + ADAPTER_LOAD_SECONDS
+
+    def _model_ready_in(self, name: str) -> float | None:
+        index = self._inputs.index
+        if index.holders[name]:
+            return 0.0
+        times = [self._remaining_load_seconds(server) for server in index.loading[name]]
+        times += [
+            self._ordered_load_ready_in(order.instance, name) for order in self._orders_for(name)
+        ]
+        times += [
+            server.load_seconds(name) + UNLOAD_SECONDS
+            for server in self._inputs.servers
+            if server.room_reserved_for(self._inputs.now) == name
+        ]
+        server_free_in = self._draft.reserved_load_ready_in(name)
+        if server_free_in is not None:
+            times.append(server_free_in + ORDER_LATENCY_SECONDS)
+        if name in self._queue_positions:
+            times.append(self._queued_load_ready_in(name))
+        return min(times, default=None)
+
+    def _orders_for(self, name: str) -> list[PlannedOrder]:
+        key = ModelKey(name)
+        return [o for o in self._draft.orders if o.evicts_for == name or _loads(o, key)]
+
+    def _ordered_load_ready_in(self, instance: str, name: str) -> float:
+        server = self._inputs.index.server(instance)
+        unload_seconds = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
+        return server.load_seconds(name) + unload_seconds + ORDER_LATENCY_SECONDS
+
+    def _remaining_load_seconds(self, server: ServerLedger) -> float:
+        operation = server.operation
+        if operation is None or operation.kind is not OrderKind.LOAD:
+            order = server.in_flight
+            return ORDER_LATENCY_SECONDS + (
+                server.load_seconds(order.target.model) if order else 0.0
+            )
+        return max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
+
+    # The weight store's queue.
+
+    def _estimate_store_load_ends(self) -> list[float]:
+        """Return when each load of the weight store should end, planned ones included."""
+        ends = [
+            self._remaining_load_seconds(server) if server.operation else DEFAULT_LOAD_SECONDS
+            for server in self._inputs.servers
+            if server.loads_from_store_now
+        ]
+        planned = [order for order in self._draft.orders if order.from_store]
+        ends += [
+            self._ordered_load_ready_in(order.instance, order.target.model) for order in planned
+        ]
+        return ends
+
+    def _queued_load_ready_in(self, name: str) -> float:
+        """Return when a queued load should be done: after as many as stand before it."""
+        position = self._queue_positions[name]
+        load_seconds = self._store_load_seconds(name)
+        concurrency = max(1, len(self._store_load_ends))
+        starts_in = (
+            self._store_load_ends[position % concurrency] if self._store_load_ends else load_seconds
+        )
+        return (
+            starts_in
+            + (position // concurrency) * load_seconds
+            + load_seconds
+            + ORDER_LATENCY_SECONDS
+        )
+
+    def _store_load_seconds(self, name: str) -> float:
+        model = self._inputs.model(name)
+        return DEFAULT_LOAD_SECONDS if model is None else model.load_seconds
+
+
+def _loads(order: PlannedOrder, key: ModelKey) -> bool:
+    return order.kind is OrderKind.LOAD and order.target == key
