--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -106,7 +106,7 @@
         return tuple(banned)
 
     def _ban_surplus(self, suspicion: Suspicion) -> int:
-        """Return 1 or more when the causes that no more specific part explains suffice for a ban."""
+        """Return 1 or more when the causes left by more specific parts suffice for a ban."""
         explained: set[str] = set()
         for other in self._suspected.values():
             more_specific = other.part.position > suspicion.part.position
