--- a/features/steps/configuration_effect_steps.py
+++ b/features/steps/configuration_effect_steps.py
@@ -31,7 +31,7 @@
 def _put_in_force(daemon: PoolDaemon, version: int, idle_seconds: float) -> None:
     document = configuration_document(version, round(idle_seconds * MS))
     row = StoredRow("config", version, document)
-    daemon.beliefs.on_configuration_rows(Snapshot((row,), version), False)
+    daemon.replicated_state.on_configuration_rows(Snapshot((row,), version), False)
 
 
 @given("a daemon whose configuration lets connections rest for {seconds:f} s")
--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -12,12 +12,12 @@
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
 from loomwind.platform.documents import PlatformDocuments
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Snapshot, StoredRow
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.settings import BoundSettings
 
 SETTLE_SECONDS = 0.2
@@ -50,13 +50,13 @@
 
 
 async def _fetch(context: Any) -> None:
-    beliefs = Beliefs(
+    replicated_state = ReplicatedState(
         PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
     row = StoredRow("config", context.version, configuration_document(context.version))
-    beliefs.on_configuration_rows(Snapshot((row,), context.version), True)
+    replicated_state.on_configuration_rows(Snapshot((row,), context.version), True)
     gossip = ConfigurationGossip(
-        "own:1", cast(PeerTransport, context.copies), cast(PeerTable, NoPeers()), beliefs
+        "own:1", cast(PeerTransport, context.copies), cast(PeerTable, NoPeers()), replicated_state
     )
     task = asyncio.ensure_future(gossip.run())
     for address, version in (("peer:1", 4), ("peer:2", 5)):
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -71,7 +71,8 @@
     late = tuple(
         daemon.name
         for daemon in fleet.daemons
-        if daemon.name not in out_of_reach and daemon.beliefs.configuration_version < version
+        if daemon.name not in out_of_reach
+        and daemon.replicated_state.configuration_version < version
     )
     return Late(seed, version, late)
 
--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -13,12 +13,12 @@
 from loomwind.metrics import Metrics
 from loomwind.platform.dialect import PlatformDialect
 from loomwind.platform.documents import PlatformDocuments
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.forwarder import Forwarder, Outgoing
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Snapshot, StoredRow
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.views import CallerRequest, RequestKind, RouteRule, WeightedService
 from loomwind.settings import BoundSettings
 
@@ -26,7 +26,7 @@
 @given("a daemon that lists server {name:w} as ready at version {version:d}")
 def step_lists(context: Any, name: str, version: int) -> None:
     context.health = StoreHealth()
-    context.listing = Beliefs(
+    context.listing = ReplicatedState(
         PlatformDocuments(), "config", ServerPool(BoundSettings()), context.health, Metrics()
     )
     context.passed_on = []
@@ -132,9 +132,11 @@
 @when("a request is sent to {name:w}, which says that it leaves before the connection is made")
 def step_sent_meanwhile(context: Any, name: str) -> None:
     leaving = StoredRow(name, 9, server_document("draining"))
-    beliefs: Beliefs = context.listing
-    context.client = SlowClient(lambda: beliefs.on_server_rows(Snapshot((leaving,), 9), False))
-    context.failure = run_in_virtual_time(_send(context.client, beliefs.pool, name))
+    replicated_state: ReplicatedState = context.listing
+    context.client = SlowClient(
+        lambda: replicated_state.on_server_rows(Snapshot((leaving,), 9), False)
+    )
+    context.failure = run_in_virtual_time(_send(context.client, replicated_state.pool, name))
 
 
 async def _send(client: SlowClient, pool: ServerPool, name: str) -> SendFailed | None:
--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.steps.server_list_steps import OWN, CountingStore, beliefs
+from features.steps.server_list_steps import OWN, CountingStore, replicated_state
 from loomwind.leadership.election import Election
 from loomwind.leadership.lease import Lease
 from loomwind.metrics import Metrics
@@ -61,7 +61,7 @@
         "own",
         election,
         pool,
-        beliefs(),
+        replicated_state(),
         cast(EngineControl, None),
         cast(PeerExchange, MadeExchange()),
         BoundSettings(),
--- a/features/steps/lone_daemon_steps.py
+++ b/features/steps/lone_daemon_steps.py
@@ -29,7 +29,9 @@
     fleet.store.faults.refuses.add(REFUSED)
     daemon = fleet.restart(REFUSED)
     await asyncio.sleep(within_seconds)
-    assert daemon.beliefs.configuration_version == 1, daemon.beliefs.configuration_version
+    assert daemon.replicated_state.configuration_version == 1, (
+        daemon.replicated_state.configuration_version
+    )
     assert daemon.uses(SERVER)
     await fleet.stop()
 
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -10,7 +10,6 @@
 from loomwind.http.server import Exchange
 from loomwind.metrics import Metrics
 from loomwind.platform.dialect import PlatformDialect
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.forwarder import Forwarder, OpenAnswer, Outgoing
@@ -18,6 +17,7 @@
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.prompt_guard import PromptGuard
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.request_run import RequestRun
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import (
@@ -113,7 +113,7 @@
         cast(Forwarder, forwarder),
         PlatformDialect(),
         Metrics(),
-        cast(Beliefs, NoBeliefs()),
+        cast(ReplicatedState, NoBeliefs()),
         cast(PeerRelay, None),
         cast(PromptGuard, GoodPrompts()),
     )
--- a/features/steps/server_entries_steps.py
+++ b/features/steps/server_entries_steps.py
@@ -7,7 +7,7 @@
 import msgspec
 from behave import given, then, when
 
-from features.steps.server_list_steps import beliefs
+from features.steps.server_list_steps import replicated_state
 from loomwind.platform.store import rows_of
 from loomwind.serving.ports import Snapshot, StoredRow
 from loomwind.serving.residency import ServerHolding
@@ -29,7 +29,7 @@
 
 
 async def _read(context: Any, snapshot: Snapshot) -> None:
-    context.beliefs.on_server_rows(snapshot, False)
+    context.replicated_state.on_server_rows(snapshot, False)
 
 
 def entry(born_ms: int, model: str, **changes: object) -> bytes:
@@ -41,13 +41,13 @@
 
 def usable(context: Any) -> list[Any]:
     """Return the servers that may get work."""
-    found: list[Any] = context.beliefs.pool.able(SERVICE, None, now())
+    found: list[Any] = context.replicated_state.pool.able(SERVICE, None, now())
     return found
 
 
 @given("a daemon that lists {name:w}, started at {born:d} ms, with {model}")
 def step_lists(context: Any, name: str, born: int, model: str) -> None:
-    context.beliefs = beliefs()
+    context.replicated_state = replicated_state()
     write(context, name, entry(born, model))
 
 
@@ -55,7 +55,7 @@
 def step_told(context: Any, name: str, first: str, second: str) -> None:
     held = (HeldModel(first), HeldModel(second))
     instance = usable(context)[0].instance
-    context.beliefs.pool.residency.tell(ServerHolding(instance, 4, held), now())
+    context.replicated_state.pool.residency.tell(ServerHolding(instance, 4, held), now())
 
 
 @when("{name:w} is listed as started at {born:d} ms, with {model}")
@@ -70,7 +70,7 @@
 
 @when("another server answers at the address of {name:w}")
 def step_replaced(context: Any, name: str) -> None:
-    context.beliefs.pool.directory.note_replaced(usable(context)[0])
+    context.replicated_state.pool.directory.note_replaced(usable(context)[0])
 
 
 @when("{name:w} is listed as {text}")
@@ -86,7 +86,7 @@
 
 @then("{name:w} can run {model:w}, and neither {first:w} nor {second:w}")
 def step_can_run(context: Any, name: str, model: str, first: str, second: str) -> None:
-    pool = context.beliefs.pool
+    pool = context.replicated_state.pool
     assert [e.name for e in pool.able(SERVICE, ModelKey(model), now())] == [name]
     assert not pool.able(SERVICE, ModelKey(first), now())
     assert not pool.able(SERVICE, ModelKey(second), now())
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -17,12 +17,12 @@
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
 from loomwind.platform.documents import PlatformDocuments
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Snapshot, Store, StoredRow
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.serving.views import HeldModel, ModelKey, ServerEntry, ServerState
@@ -40,9 +40,9 @@
     return msgspec.json.encode(entry | {"models": [{"name": held}]})
 
 
-def beliefs() -> Beliefs:
+def replicated_state() -> ReplicatedState:
     """Return what a daemon believes that knows nothing."""
-    return Beliefs(
+    return ReplicatedState(
         PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
 
@@ -124,21 +124,21 @@
 
 @when("it has followed the list for {count:d} questions")
 def step_follow(context: Any, count: int) -> None:
-    context.beliefs, context.store = beliefs(), CountingStore()
+    context.replicated_state, context.store = replicated_state(), CountingStore()
     asyncio.run(_follow(context, count))
 
 
 async def _follow(context: Any, count: int) -> None:
     store, mirrors = context.store, context.mirrors_made
     table = TableFollower(
-        cast(Store, store), "servers", StoreHealth(), context.beliefs.on_server_rows
+        cast(Store, store), "servers", StoreHealth(), context.replicated_state.on_server_rows
     )
     follower = ServerListFollower(
         OWN,
         table,
         cast(PeerTransport, mirrors),
         cast(PeerTable, MadePeers(context.list_mirrors, OWN.life)),
-        context.beliefs,
+        context.replicated_state,
         BoundSettings(drain_ms=DRAIN_MS),
     )
     task = asyncio.ensure_future(follower.run())
@@ -157,8 +157,8 @@
 
 @then("it knows server {name:w}")
 def step_knows(context: Any, name: str) -> None:
-    assert context.beliefs.server_version == 2
-    assert context.beliefs.pool.directory.get(name) is not None
+    assert context.replicated_state.server_version == 2
+    assert context.replicated_state.pool.directory.get(name) is not None
 
 
 def rows(version: int, **documents: bytes | None) -> Snapshot:
@@ -176,11 +176,11 @@
 
 
 async def _take(context: Any, *snapshots: Snapshot) -> None:
-    if not hasattr(context, "beliefs"):
-        context.beliefs, context.peer = beliefs(), beliefs()
+    if not hasattr(context, "replicated_state"):
+        context.replicated_state, context.peer = replicated_state(), replicated_state()
     for snapshot in snapshots:
-        context.beliefs.on_server_rows(snapshot, whole=False)
-    copy = context.beliefs.directory_changes(context.peer.server_version)
+        context.replicated_state.on_server_rows(snapshot, whole=False)
+    copy = context.replicated_state.directory_changes(context.peer.server_version)
     context.copy = copy
     context.peer.on_directory_copy(copy)
     context.listed = context.peer.directory_changes(0).listed
--- a/features/support/server_list_fleet.py
+++ b/features/support/server_list_fleet.py
@@ -32,7 +32,6 @@
 from loomwind.peering.transport import PeerTransport
 from loomwind.platform.documents import PlatformDocuments
 from loomwind.serving.anti_entropy import AntiEntropy
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_pace import ConfigurationPace
 from loomwind.serving.departure_gossip import DepartureGossip
@@ -41,6 +40,7 @@
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Store
 from loomwind.serving.prompt_guard import PromptGuard
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings
 
@@ -168,21 +168,21 @@
     ) -> None:
         self.name = name
         health = StoreHealth()
-        self.beliefs = Beliefs(
+        self.replicated_state = ReplicatedState(
             PlatformDocuments(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
         )
         self._table = TableFollower(
             cast(Store, StoreOfDaemon(tables.servers, name)),
             "servers",
             health,
-            self.beliefs.on_server_rows,
+            self.replicated_state.on_server_rows,
         )
         pace = ConfigurationPace(cast(PeerTable, peers), lambda: bounds)
         self._configuration = TableFollower(
             cast(Store, StoreOfDaemon(tables.configuration, name)),
             "op",
             health,
-            self.beliefs.on_configuration_rows,
+            self.replicated_state.on_configuration_rows,
             pace.rest_seconds,
             wait_seconds=pace.wait_seconds,
         )
@@ -191,7 +191,7 @@
             self._table,
             cast(PeerTransport, LinksOfDaemon(links, name)),
             cast(PeerTable, peers),
-            self.beliefs,
+            self.replicated_state,
             bounds,
         )
         prompts = PromptGuard(
@@ -201,13 +201,13 @@
             name,
             cast(PeerTransport, LinksOfDaemon(links, name)),
             cast(PeerTable, peers),
-            self.beliefs,
+            self.replicated_state,
         )
         self._anti_entropy = AntiEntropy(
             name,
             cast(PeerTransport, LinksOfDaemon(links, name)),
             cast(PeerTable, peers),
-            self.beliefs,
+            self.replicated_state,
             health,
             prompts,
             self._configurations,
@@ -216,7 +216,7 @@
             name,
             cast(PeerTransport, LinksOfDaemon(links, name)),
             cast(PeerTable, peers),
-            self.beliefs,
+            self.replicated_state,
         )
 
     async def on_message(self, message: AnyMessage) -> AnyMessage | None:
@@ -231,16 +231,17 @@
             case ConfigurationQuestion():
                 return self._configurations.answer(message)
             case DirectoryCopy():
-                self.beliefs.on_directory_copy(message)
+                self.replicated_state.on_directory_copy(message)
             case ServerDepartures():
-                self.beliefs.on_departure_notice(message)
+                self.replicated_state.on_departure_notice(message)
         return None
 
     def uses(self, server: str) -> bool:
         """Whether a request may be sent to a server."""
         now = asyncio.get_running_loop().time()
         return any(
-            entry.name == server for entry in self.beliefs.pool.directory.usable(SERVICE, now)
+            entry.name == server
+            for entry in self.replicated_state.pool.directory.usable(SERVICE, now)
         )
 
     async def run(self) -> None:
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -16,11 +16,11 @@
 from loomwind.placement.planner import Planner
 from loomwind.placement.shortage_log import ShortageLog
 from loomwind.placement.store_pace import StorePace
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.peer_exchange import PeerExchange
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import EngineControl
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.residency import ServerHolding
 from loomwind.serving.views import Configuration, Order, OrderAnswer, OrderKind, ServerEntry
 from loomwind.settings import BoundSettings
@@ -46,7 +46,7 @@
         name: str,
         election: Election,
         pool: ServerPool,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         control: EngineControl,
         exchange: PeerExchange,
         bounds: BoundSettings,
@@ -56,7 +56,7 @@
         self._election = election
         self._directory = pool.directory
         self._residency = pool.residency
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._control = control
         self._exchange = exchange
         self._bounds = bounds
@@ -135,7 +135,7 @@
             await asyncio.sleep(self._exchange.paced(SHORTEST_STEP_SECONDS))
 
     def _step(self) -> None:
-        configuration = self._beliefs.configuration
+        configuration = self._replicated_state.configuration
         if configuration is None:
             return
         self._update_ledgers(configuration)
--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -6,11 +6,11 @@
 from loomwind import constants
 from loomwind.messages.serving import PoolDigest
 from loomwind.peering.transport import PeerTransport
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.prompt_guard import PromptGuard
+from loomwind.serving.replicated_state import ReplicatedState
 
 # Until any peer is known: a daemon that has just started lacks what the others have learned.
 FIRST_PEER_SECONDS = 0.05
@@ -27,7 +27,7 @@
         own_address: str,
         transport: PeerTransport,
         peers: PeerTable,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         health: StoreHealth,
         prompts: PromptGuard,
         configurations: ConfigurationGossip,
@@ -35,7 +35,7 @@
         self._own_address = own_address
         self._transport = transport
         self._peers = peers
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._health = health
         self._prompts = prompts
         self._configurations = configurations
@@ -53,8 +53,8 @@
     def _own_digest(self) -> PoolDigest:
         return PoolDigest(
             self._own_address,
-            self._beliefs.configuration_version,
-            self._beliefs.server_version,
+            self._replicated_state.configuration_version,
+            self._replicated_state.server_version,
             self._health.answering_since is not None,
             self._prompts.digest(),
         )
@@ -69,6 +69,6 @@
             self._transport.cast(digest.sender, self._prompts.all_crashes())
         if digest.store_answers:
             return
-        directory = self._beliefs.directory_copy(digest.server_version)
+        directory = self._replicated_state.directory_copy(digest.server_version)
         if directory is not None:
             self._transport.cast(digest.sender, directory)
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -15,8 +15,8 @@
 )
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.peers import PeerTable
+from loomwind.serving.replicated_state import ReplicatedState
 
 # Versions that come within this time are told as one.
 TELL_PAUSE_SECONDS = 0.05
@@ -30,17 +30,21 @@
     """
 
     def __init__(
-        self, own_address: str, transport: PeerTransport, peers: PeerTable, beliefs: Beliefs
+        self,
+        own_address: str,
+        transport: PeerTransport,
+        peers: PeerTable,
+        replicated_state: ReplicatedState,
     ) -> None:
         self._own_address = own_address
         self._transport = transport
         self._peers = peers
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._changed = asyncio.Event()
         self._heard = asyncio.Event()
         self._heard_version = 0
         self._tellers: list[str] = []
-        beliefs.configuration_listeners.append(self._changed.set)
+        replicated_state.configuration_listeners.append(self._changed.set)
 
     async def run(self) -> None:
         """Tell and fetch for ever."""
@@ -59,18 +63,18 @@
             await asyncio.sleep(TELL_PAUSE_SECONDS)
 
     def _tell(self, address: str) -> None:
-        version = self._beliefs.configuration_version
+        version = self._replicated_state.configuration_version
         self._transport.cast(address, ConfigurationNotice(self._own_address, version))
 
     def answer(self, question: ConfigurationQuestion) -> ConfigurationCopy:
         """Return the configuration in force, for a peer that has heard of it."""
-        return self._beliefs.configuration_copy()
+        return self._replicated_state.configuration_copy()
 
     # What this daemon hears.
 
     def note_version(self, address: str, version: int) -> None:
         """Take in which version a peer has in force; one that has an older one is told."""
-        own = self._beliefs.configuration_version
+        own = self._replicated_state.configuration_version
         if version < own:
             self._tell(address)
         if version <= max(own, self._heard_version - 1):
@@ -85,7 +89,9 @@
         while True:
             await self._heard.wait()
             self._heard.clear()
-            while self._tellers and self._heard_version > self._beliefs.configuration_version:
+            while (
+                self._tellers and self._heard_version > self._replicated_state.configuration_version
+            ):
                 teller = self._tellers.pop(0)
                 try:
                     await self._fetch(teller)
@@ -93,11 +99,11 @@
                     log_state("configuration", "failed", teller=teller, error=repr(error))
 
     async def _fetch(self, teller: str) -> None:
-        question = ConfigurationQuestion(self._beliefs.configuration_version)
+        question = ConfigurationQuestion(self._replicated_state.configuration_version)
         try:
             copy = await self._transport.call(teller, question, FETCH_TIMEOUT_SECONDS)
         except PeerUnreachable as error:
             log_state("configuration", "not-fetched", teller=teller, reason=str(error))
             return
         if isinstance(copy, ConfigurationCopy):
-            self._beliefs.on_configuration_copy(copy, teller)
+            self._replicated_state.on_configuration_copy(copy, teller)
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -21,7 +21,6 @@
 from loomwind.peering.transport import PeerTransport
 from loomwind.placement.controller import PlacementController
 from loomwind.serving.anti_entropy import AntiEntropy
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_pace import ConfigurationPace
 from loomwind.serving.departure_gossip import DepartureGossip
@@ -39,6 +38,7 @@
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.reach_probe import ReachProbe
 from loomwind.serving.relay_service import RelayService
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings, ListenSettings, Settings, StoreSettings
 
@@ -87,7 +87,7 @@
 class PoolDaemon:
     """One daemon. Call :meth:`start`, and later :meth:`stop`.
 
-    :ivar beliefs: the configuration and the servers, as this daemon knows them.
+    :ivar replicated_state: the configuration and the servers, as this daemon knows them.
     :ivar callers: what callers reach.
     """
 
@@ -115,7 +115,7 @@
         self._health = StoreHealth()
         self._pool = ServerPool(settings.bounds)
         self.metrics.cut_from_servers.set_function(lambda: float(bool(self._pool.cut_services())))
-        self.beliefs = Beliefs(
+        self.replicated_state = ReplicatedState(
             deployment.documents, store.configuration_key, self._pool, self._health, self.metrics
         )
         duration = _lease_seconds(settings.bounds)
@@ -141,7 +141,7 @@
                 store,
                 store.configuration_table,
                 self._health,
-                self.beliefs.on_configuration_rows,
+                self.replicated_state.on_configuration_rows,
                 pace.rest_seconds,
                 self._peers.retry_seconds,
                 pace.wait_seconds,
@@ -159,7 +159,7 @@
             store,
             store.server_table,
             self._health,
-            self.beliefs.on_server_rows,
+            self.replicated_state.on_server_rows,
             longest_retry_seconds=self._peers.retry_seconds,
         )
 
@@ -183,24 +183,24 @@
             self._servers,
             self._transport,
             self._peers,
-            self.beliefs,
+            self.replicated_state,
             self.settings.bounds,
         )
         self._prompts = PromptGuard(self._own.address, self._transport, self._peers)
         self._configurations = ConfigurationGossip(
-            self._own.address, self._transport, self._peers, self.beliefs
+            self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._anti_entropy = AntiEntropy(
             self._own.address,
             self._transport,
             self._peers,
-            self.beliefs,
+            self.replicated_state,
             self._health,
             self._prompts,
             self._configurations,
         )
         self._gossip = DepartureGossip(
-            self._own.address, self._transport, self._peers, self.beliefs
+            self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._exchange = PeerExchange(
             self._own,
@@ -208,7 +208,7 @@
             self._peers,
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             self._health,
             self._watch,
             self._server_list,
@@ -223,7 +223,7 @@
             self.settings.name,
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             deployment.engine_control,
             self._exchange,
             self.settings.bounds,
@@ -233,7 +233,7 @@
         self._leader_reach = LeaderReach(
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             self._exchange,
             self._controller.finish_orders,
         )
@@ -254,7 +254,7 @@
             forwarder,
             deployment.dialect,
             self.metrics,
-            self.beliefs,
+            self.replicated_state,
             PeerRelay(
                 self.settings.zone,
                 self._peers,
@@ -270,7 +270,7 @@
         self.callers = HttpServer(self._on_request)
         self._ready = HttpServer(self._on_ready_question)
         self._admin = AdminServer(self.metrics, self.is_ready)
-        self.beliefs.configuration_listeners.append(self._limit_callers)
+        self.replicated_state.configuration_listeners.append(self._limit_callers)
 
     async def start(self) -> None:
         """Listen, and serve as soon as a configuration and servers are known."""
@@ -309,7 +309,7 @@
 
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        known = self.beliefs.routes is not None and bool(self._pool.directory.entries())
+        known = self.replicated_state.routes is not None and bool(self._pool.directory.entries())
         return known and not self.stopping
 
     async def _on_request(self, exchange: Exchange) -> None:
@@ -320,7 +320,7 @@
 
     def _limit_callers(self) -> None:
         """Hold open connections, too, to the limits of the configuration that is in force now."""
-        limits = self.beliefs.limits
+        limits = self.replicated_state.limits
         self.callers.limits = limits
         self._relayed.limits = msgspec.structs.replace(
             limits, max_head_bytes=limits.max_head_bytes + RELAY_HEAD_BYTES
--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -6,8 +6,8 @@
 
 from loomwind.messages.serving import ServerDeparture, ServerDepartures
 from loomwind.peering.transport import PeerTransport
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.peers import PeerTable
+from loomwind.serving.replicated_state import ReplicatedState
 
 
 class DepartureGossip:
@@ -17,12 +17,16 @@
     """
 
     def __init__(
-        self, own_address: str, transport: PeerTransport, peers: PeerTable, beliefs: Beliefs
+        self,
+        own_address: str,
+        transport: PeerTransport,
+        peers: PeerTable,
+        replicated_state: ReplicatedState,
     ) -> None:
         self._own_address = own_address
         self._transport = transport
         self._peers = peers
-        beliefs.on_departures = self.tell
+        replicated_state.on_departures = self.tell
 
     def tell(self, departures: tuple[ServerDeparture, ...]) -> None:
         """Pass on what this daemon has just learned."""
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -13,7 +13,6 @@
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
 from loomwind.metrics import Metrics
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.demand import DemandKey
 from loomwind.serving.errors import RETRY_SOON_SECONDS, Refused, RelayDeclined, StreamCut
 from loomwind.serving.forwarder import Forwarder
@@ -22,6 +21,7 @@
 from loomwind.serving.ports import Dialect
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.request_run import RequestRun
 from loomwind.serving.views import CallerRequest, ServerEntry
 
@@ -38,7 +38,7 @@
         forwarder: Forwarder,
         dialect: Dialect,
         metrics: Metrics,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         relay: PeerRelay,
         prompts: PromptGuard,
     ) -> None:
@@ -51,7 +51,7 @@
         self.forwarder = forwarder
         self.dialect = dialect
         self.metrics = metrics
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self.relay = relay
         self.prompts = prompts
         self.open_requests = 0
@@ -65,11 +65,11 @@
 
     def configuration_version(self) -> int:
         """Return the version of the configuration in force; 0 for none."""
-        return self._beliefs.configuration_version
+        return self._replicated_state.configuration_version
 
     def usual_load_ms(self, key: DemandKey) -> float:
         """Return how long a load of a target's model takes when nothing stands before it."""
-        configuration = self._beliefs.configuration
+        configuration = self._replicated_state.configuration
         service = configuration.service(key.service) if configuration else None
         engine = service.engine if service else None
         model = engine.model(key.target.model) if engine else None
@@ -77,7 +77,7 @@
 
     def observe_list_age(self) -> None:
         """Note how old the list of servers is as one is chosen from it."""
-        age_ms = self._beliefs.list_age_ms
+        age_ms = self._replicated_state.list_age_ms
         if math.isfinite(age_ms):
             self.metrics.server_list_age_seconds.observe(age_ms / MS_PER_SECOND)
 
@@ -144,7 +144,7 @@
         :raises RelayDeclined: another daemon may serve a peer's request better.
         :raises StreamCut: its stream has begun and cannot be completed.
         """
-        routes = self._beliefs.routes
+        routes = self._replicated_state.routes
         if routes is None:
             raise Refused(503, "no configuration is known yet", RETRY_SOON_SECONDS)
         route = routes.match(caller.host, request.path)
--- a/loomwind/serving/leader_reach.py
+++ b/loomwind/serving/leader_reach.py
@@ -8,9 +8,9 @@
 from loomwind.clock import Clock
 from loomwind.leadership.election import Election
 from loomwind.logs import log_state
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.peer_exchange import PeerExchange
 from loomwind.serving.pool import ServerPool
+from loomwind.serving.replicated_state import ReplicatedState
 
 LOOK_MS = 250.0
 # A probe comes each quarter of a second: so many must have failed that no chance explains it.
@@ -26,7 +26,7 @@
         self,
         election: Election,
         pool: ServerPool,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         exchange: PeerExchange,
         finish_orders: Callable[[], Awaitable[None]],
     ) -> None:
@@ -36,7 +36,7 @@
         """
         self._election = election
         self._pool = pool
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._exchange = exchange
         self._finish_orders = finish_orders
         self._clock = Clock()
@@ -55,7 +55,7 @@
 
     def _cut_services(self) -> list[str]:
         """Return the services with models whose servers were not reached for a while."""
-        configuration = self._beliefs.configuration
+        configuration = self._replicated_state.configuration
         if configuration is None:
             return []
         long_ago_ms = self._clock.now_ms() - HAND_OVER_AFTER_MS
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -27,13 +27,13 @@
 )
 from loomwind.peering.transport import PeerTransport
 from loomwind.serving.anti_entropy import AntiEntropy
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.leader_watch import LeaderWatch
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.prompt_guard import PromptGuard
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.residency import ServerHolding
 from loomwind.serving.server_list import ServerListFollower
 
@@ -84,7 +84,7 @@
         peers: PeerTable,
         election: Election,
         pool: ServerPool,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         health: StoreHealth,
         watch: LeaderWatch,
         server_list: ServerListFollower,
@@ -97,7 +97,7 @@
         self._peers = peers
         self._election = election
         self._pool = pool
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._health = health
         self._watch = watch
         self._server_list = server_list
@@ -132,9 +132,9 @@
             case ConfigurationQuestion():
                 return self._configurations.answer(message)
             case DirectoryCopy():
-                self._beliefs.on_directory_copy(message)
+                self._replicated_state.on_directory_copy(message)
             case ServerDepartures():
-                self._beliefs.on_departure_notice(message)
+                self._replicated_state.on_departure_notice(message)
             case PromptCrashes():
                 self._prompts.on_crashes(message)
             case PromptsAnswered():
--- a/loomwind/serving/beliefs.py
+++ b/loomwind/serving/replicated_state.py
@@ -54,7 +54,7 @@
     teller: str = ""
 
 
-class Beliefs:
+class ReplicatedState:
     """Configuration and servers of one daemon.
 
     :ivar routes: the routes in force; None before a configuration is known.
--- a/loomwind/serving/server_list.py
+++ b/loomwind/serving/server_list.py
@@ -14,9 +14,9 @@
 from loomwind.messages.serving import ServerListAnswer, ServerListQuestion
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.follower import TableFollower
 from loomwind.serving.peers import PeerEntry, PeerTable
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.settings import BoundSettings
 
 # Parts of the time in which a leaving server must be known to leave.
@@ -39,14 +39,14 @@
         table: TableFollower,
         transport: PeerTransport,
         peers: PeerTable,
-        beliefs: Beliefs,
+        replicated_state: ReplicatedState,
         bounds: BoundSettings,
     ) -> None:
         self._own = own
         self._table = table
         self._transport = transport
         self._peers = peers
-        self._beliefs = beliefs
+        self._replicated_state = replicated_state
         self._asked = asyncio.Event()
         self.set_bounds(bounds)
 
@@ -63,7 +63,7 @@
 
     def _age(self) -> float:
         """Return how many seconds ago the list was as the store has it."""
-        return self._now() - self._beliefs.servers_fresh_at
+        return self._now() - self._replicated_state.servers_fresh_at
 
     # The store.
 
@@ -72,7 +72,7 @@
         await self._let_mirrors_answer()
         while True:
             began = self._now()
-            due = self._beliefs.servers_fresh_at + self._longest_age
+            due = self._replicated_state.servers_fresh_at + self._longest_age
             if not self._peers.is_mirror() and began < due:
                 await asyncio.sleep(max(LEAST_PAUSE_SECONDS, due - began))
             elif await self._read_store():
@@ -89,10 +89,12 @@
     async def _read_store(self) -> bool:
         """Make one call; returns whether the list is fresh by it."""
         began = self._now()
-        self._table.adopt(self._beliefs.server_version)
+        self._table.adopt(self._replicated_state.server_version)
         fresh = await self._table.follow_once(self._period)
         if fresh:
-            self._beliefs.servers_fresh_at = max(self._beliefs.servers_fresh_at, began)
+            self._replicated_state.servers_fresh_at = max(
+                self._replicated_state.servers_fresh_at, began
+            )
         return fresh
 
     # The mirrors.
@@ -117,7 +119,7 @@
         """Ask a daemon that reads the store; returns whether it answered."""
         sent = self._now()
         question = ServerListQuestion(
-            self._beliefs.server_version, round(self._period * MS_PER_SECOND)
+            self._replicated_state.server_version, round(self._period * MS_PER_SECOND)
         )
         timeout = self._period + ANSWER_MARGIN_SECONDS
         try:
@@ -128,9 +130,11 @@
         if not isinstance(answer, ServerListAnswer):
             return False
         if answer.copy is not None:
-            self._beliefs.on_directory_copy(answer.copy, mirror.address)
+            self._replicated_state.on_directory_copy(answer.copy, mirror.address)
         told_at = sent + (answer.held_ms - answer.age_ms) / MS_PER_SECOND
-        self._beliefs.servers_fresh_at = max(self._beliefs.servers_fresh_at, told_at)
+        self._replicated_state.servers_fresh_at = max(
+            self._replicated_state.servers_fresh_at, told_at
+        )
         return True
 
     async def answer(self, question: ServerListQuestion) -> ServerListAnswer:
@@ -140,14 +144,14 @@
         """
         began = self._now()
         may_wait = self._age() < self._longest_age
-        if may_wait and question.version >= self._beliefs.server_version:
+        if may_wait and question.version >= self._replicated_state.server_version:
             wait = min(question.wait_ms / MS_PER_SECOND, self._period)
-            await self._beliefs.wait_for_server_change(wait)
+            await self._replicated_state.wait_for_server_change(wait)
         now = self._now()
         return ServerListAnswer(
             held_ms=(now - began) * MS_PER_SECOND,
             age_ms=min(LONGEST_AGE_MS, self._age() * MS_PER_SECOND),
-            copy=self._beliefs.directory_changes(question.version),
+            copy=self._replicated_state.directory_changes(question.version),
         )
 
     @staticmethod
