--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -46,7 +46,7 @@
 
 @given("whose call of the store has just failed")
 def step_store_failed(context: Any) -> None:
-    context.health.failed(0.0, "reset")
+    context.health.record_failure(0.0, "reset")
 
 
 @when("a peer says that {name:w} leaves as of version {version:d}")
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -307,19 +307,19 @@
 @given("a daemon whose call of the store failed at {now:f} s")
 def step_failed(context: Any, now: float) -> None:
     context.health = StoreHealth()
-    context.health.succeeded(now - 5.0)
-    context.health.failed(now, "reset")
+    context.health.record_success(now - 5.0)
+    context.health.record_failure(now, "reset")
 
 
 @then("it says at {now:f} s that the store is away")
 def step_says_away(context: Any, now: float) -> None:
-    assert context.health.is_away(now)
+    assert context.health.is_unavailable(now)
 
 
 @then("it says at {now:f} s nothing of the kind, though no call was answered since")
 def step_says_nothing(context: Any, now: float) -> None:
-    assert context.health.answering_since is None
-    assert not context.health.is_away(now)
+    assert context.health.available_since is None
+    assert not context.health.is_unavailable(now)
 
 
 class WaitRecorder(CountingStore):
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -106,9 +106,9 @@
         try:
             snapshot = await self._store.read(self._table)
         except StoreUnavailable as error:
-            self._health.failed(self._now(), str(error))
+            self._health.record_failure(self._now(), str(error))
             return
-        self._health.succeeded(self._now())
+        self._health.record_success(self._now())
         row = next((row for row in snapshot.rows if row.key == LEASE_KEY), None)
         if row is not None:
             self.note_row(row)
@@ -138,7 +138,7 @@
         if self._paused:
             return
         longer = self.longer_seconds + self.cut_seconds
-        action = self.lease.action(now, self._health.answers_for(now), longer)
+        action = self.lease.action(now, self._health.available_seconds(now), longer)
         if action is LeaseAction.WAIT:
             return
         write = Write(LEASE_KEY, msgspec.json.encode(self._own), self.lease.expected_version)
@@ -149,13 +149,13 @@
         except WriteConflict as conflict:
             self._on_conflict(conflict)
         except StoreUnavailable as error:
-            self._health.failed(self._now(), str(error))
+            self._health.record_failure(self._now(), str(error))
             if error.unknown and self._unanswered_since is None:
                 self._unanswered_since = now
             self.wrote.set()
             await asyncio.sleep(0.0 if error.unknown else REFUSED_PAUSE_SECONDS)
         else:
-            self._health.succeeded(self._now())
+            self._health.record_success(self._now())
             self._unanswered_since = None
             self.lease.wrote(version, now)
             self.wrote.set()
@@ -180,7 +180,7 @@
         now = self._now()
         if self.lease.leads(now):
             return True
-        if self.lease.fence is None or self._health.answering_since is not None:
+        if self.lease.fence is None or self._health.available_since is not None:
             return False
         return self.confirmations.most_confirm(self.daemons, now)
 
--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -55,7 +55,7 @@
             self._own_address,
             self._replicated_state.configuration_version,
             self._replicated_state.server_version,
-            self._health.answering_since is not None,
+            self._health.available_since is not None,
             self._prompts.digest(),
         )
 
--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -17,35 +17,35 @@
     """When the store last answered this daemon, and when it last did not. Times of the loop."""
 
     def __init__(self) -> None:
-        self.answering_since: float | None = None
+        self.available_since: float | None = None
         self.last_failure: float | None = None
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note an answer."""
-        if self.answering_since is None:
-            self.answering_since = now
+        if self.available_since is None:
+            self.available_since = now
             log_state("store", "answers")
 
-    def failed(self, now: float, reason: str) -> None:
+    def record_failure(self, now: float, reason: str) -> None:
         """Note a call without an answer, or refused."""
-        if self.answering_since is not None:
+        if self.available_since is not None:
             log_state("store", "lost", reason=reason)
-        self.answering_since = None
+        self.available_since = None
         self.last_failure = now
 
-    def is_away(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Whether a call has failed a moment ago, and none was answered since."""
-        if self.answering_since is not None or self.last_failure is None:
+        if self.available_since is not None or self.last_failure is None:
             return False
         return now - self.last_failure < AWAY_SECONDS
 
-    def in_trouble(self, now: float) -> bool:
+    def recently_failed(self, now: float) -> bool:
         """Whether a call failed lately, so that entries may be gone without a cause."""
         return self.last_failure is not None and now - self.last_failure < TROUBLE_MEMORY_SECONDS
 
-    def answers_for(self, now: float) -> float:
+    def available_seconds(self, now: float) -> float:
         """Return for how many seconds each call was answered."""
-        return 0.0 if self.answering_since is None else now - self.answering_since
+        return 0.0 if self.available_since is None else now - self.available_since
 
 
 class TableFollower:
@@ -97,7 +97,7 @@
             log_state("feed", "history-lost", table=self._table, version=self.version)
             self.synchronised = False
         except StoreUnavailable as error:
-            self._health.failed(self._now(), str(error))
+            self._health.record_failure(self._now(), str(error))
             await asyncio.sleep(self._retry)
             self._retry = min(2 * self._retry, self._longest_retry())
         except Exception as error:
@@ -113,13 +113,13 @@
 
     async def _step(self, wait_seconds: float) -> bool:
         """Make one call; returns False when the store's answer was older than what is known."""
-        if self._health.answering_since is None:
+        if self._health.available_since is None:
             wait_seconds = 0.0  # so that the store's return is known at once
         if self.synchronised:
             snapshot = await self._store.changes(self._table, self.version, wait_seconds)
         else:
             snapshot = await self._store.read(self._table)
-        self._health.succeeded(self._now())
+        self._health.record_success(self._now())
         if snapshot.version < self.version:
             await asyncio.sleep(RETRY_SECONDS)
             return False
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -55,7 +55,7 @@
         return LeaderAnswer(self._own.life, version, self._store_answers())
 
     def _store_answers(self) -> bool:
-        return self._health.answering_since is not None
+        return self._health.available_since is not None
 
     async def tell(self) -> None:
         """Tell standbys of each renewal for ever, and all daemons of each change of the leader."""
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -233,7 +233,7 @@
             self._own.name,
             demand.take_report(self._now(), to_new_leader),
             demand.running(),
-            not self._health.is_away(self._now()),
+            not self._health.is_unavailable(self._now()),
             self._report_interval_seconds() * MS_PER_SECOND,
             self._pool.cut_services(),
         )
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -159,7 +159,7 @@
 
     def on_server_rows(self, snapshot: Snapshot, whole: bool) -> None:
         """Take in rows of the servers' table."""
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         origin = Origin(Source.TABLE if whole else Source.FEED, snapshot.version)
         if whole:
             listed = {row.key for row in snapshot.rows if not row.gone}
@@ -178,7 +178,7 @@
         """
         if copy.version <= self.server_version:
             return
-        trouble = copy.store_in_trouble or self._health.in_trouble(self._now())
+        trouble = copy.store_in_trouble or self._health.recently_failed(self._now())
         origin = Origin(Source.PEER, copy.version, teller)
         self._drop_all_but(copy.listed, trouble, origin)
         for server in copy.servers:
@@ -190,7 +190,7 @@
 
         That an entry has gone says nothing to a daemon that knows the store to be in trouble.
         """
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         for departure in notice.departures:
             if trouble and not departure.listed:
                 continue
@@ -234,7 +234,7 @@
         """Return what a peer lacks that the store does not serve; None when this daemon is no
         better off.
         """
-        if self._health.answering_since is None:
+        if self._health.available_since is None:
             return None
         return self.directory_changes(than_version)
 
@@ -250,7 +250,7 @@
             for name, raw in self._server_documents.items()
             if self._server_changes[name] > than_version
         )
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         listed = tuple(self._server_documents)
         return DirectoryCopy(self.server_version, listed, changed, trouble)
 
