--- a/features/steps/server_entries_steps.py
+++ b/features/steps/server_entries_steps.py
@@ -41,7 +41,7 @@
 
 def usable(context: Any) -> list[Any]:
     """Return the servers that may get work."""
-    found: list[Any] = context.replicated_state.pool.able(SERVICE, None, now())
+    found: list[Any] = context.replicated_state.pool.reachable_candidates(SERVICE, None, now())
     return found
 
 
@@ -87,9 +87,9 @@
 @then("{name:w} can run {model:w}, and neither {first:w} nor {second:w}")
 def step_can_run(context: Any, name: str, model: str, first: str, second: str) -> None:
     pool = context.replicated_state.pool
-    assert [e.name for e in pool.able(SERVICE, ModelKey(model), now())] == [name]
-    assert not pool.able(SERVICE, ModelKey(first), now())
-    assert not pool.able(SERVICE, ModelKey(second), now())
+    assert [e.name for e in pool.reachable_candidates(SERVICE, ModelKey(model), now())] == [name]
+    assert not pool.reachable_candidates(SERVICE, ModelKey(first), now())
+    assert not pool.reachable_candidates(SERVICE, ModelKey(second), now())
 
 
 @then("only {name:w} may get work")
--- a/loomwind/serving/directory.py
+++ b/loomwind/serving/directory.py
@@ -117,25 +117,27 @@
         return [
             known.entry
             for known in self._servers.values()
-            if known.entry.service == service and self._may_get_work(known, now)
+            if known.entry.service == service and self._record_accepts_requests(known, now)
         ]
 
-    def gets_work(self, entry: ServerEntry, now: float) -> bool:
+    def accepts_requests(self, entry: ServerEntry, now: float) -> bool:
         """Whether a server may still get new work in the life that an entry names."""
         known = self._servers.get(entry.name)
         if known is None or known.entry.instance != entry.instance:
             return False
-        return self._may_get_work(known, now)
+        return self._record_accepts_requests(known, now)
 
     def usable_count(self, now: float) -> int:
         """Return how many servers of all services may get new work."""
-        return sum(1 for known in self._servers.values() if self._may_get_work(known, now))
+        return sum(
+            1 for known in self._servers.values() if self._record_accepts_requests(known, now)
+        )
 
     def entries(self) -> list[ServerEntry]:
         """Return all servers that are known."""
         return [known.entry for known in self._servers.values() if not known.replaced]
 
-    def _may_get_work(self, known: _Listed, now: float) -> bool:
+    def _record_accepts_requests(self, known: _Listed, now: float) -> bool:
         if known.replaced or self.is_departing(known.entry.name):
             return False
         if known.vanished_at is None:
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -54,7 +54,7 @@
         client: HttpClient,
         dialect: Dialect,
         reach_of: Callable[[str], ServerReach],
-        gets_work: Callable[[ServerEntry], bool] = lambda entry: True,
+        accepts_requests: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Make a forwarder.
 
@@ -64,7 +64,7 @@
         self._client = client
         self._dialect = dialect
         self._reach_of = reach_of
-        self._gets_work = gets_work
+        self._accepts_requests = accepts_requests
         self._clock = Clock()
 
     async def connect(self, entry: ServerEntry) -> ClientConnection:
@@ -73,7 +73,7 @@
         :raises SendFailed: there is none, or the server gets no more work.
         """
         connection = self._client.take_idle(entry.address) or await self.connect_anew(entry)
-        if not self._gets_work(entry):
+        if not self._accepts_requests(entry):
             self._client.release(connection)
             detail = f"{entry.instance}: began to leave while a connection was made"
             raise SendFailed(detail, ran=False, at_fault=False, unsent=True)
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -42,7 +42,9 @@
         self._health: dict[str, ServerHealth] = {}
         self._budgets: dict[str, RetryBudget] = {}
 
-    def able(self, service: str, target: ModelKey | None, now: float) -> list[ServerEntry]:
+    def reachable_candidates(
+        self, service: str, target: ModelKey | None, now: float
+    ) -> list[ServerEntry]:
         """Return the servers of a service that can run a request for the target now."""
         usable = self.directory.usable(service, now)
         reachable = [e for e in usable if not self.health(e).is_unreachable(now)]
@@ -51,16 +53,16 @@
         usable = reachable
         return [entry for entry in usable if self.residency.can_run(entry, target, now)]
 
-    def holders(self, service: str, target: ModelKey | None, now: float) -> list[ServerEntry]:
+    def candidates(self, service: str, target: ModelKey | None, now: float) -> list[ServerEntry]:
         """Return the servers that could run a request for the target, reached or not."""
         usable = self.directory.usable(service, now)
         if target is None:
             return usable
         return [entry for entry in usable if self.residency.can_run(entry, target, now)]
 
-    def gets_work(self, entry: ServerEntry) -> bool:
+    def accepts_requests(self, entry: ServerEntry) -> bool:
         """Whether a server, in the life that an entry names, may still get new work."""
-        return self.directory.gets_work(entry, self.now())
+        return self.directory.accepts_requests(entry, self.now())
 
     def health(self, entry: ServerEntry) -> ServerHealth:
         """Return what this daemon has seen of a server."""
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -42,7 +42,7 @@
     def _able(self, now: float) -> list[ServerEntry]:
         if self._reach.is_cut and (proven := self._proven(now)):
             return proven
-        return self._pool.able(self._service, self._caller.target, now)
+        return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
     def _candidate(self, entry: ServerEntry, now: float) -> Candidate:
         health = self._pool.health(entry)
@@ -66,14 +66,14 @@
         since = self._reach.failing_since_ms / MS_PER_SECOND
         return [
             entry
-            for entry in self._pool.holders(self._service, self._caller.target, now)
+            for entry in self._pool.candidates(self._service, self._caller.target, now)
             if self._pool.health(entry).heard_at > since
             and self._forwarder.has_idle_connection(entry)
         ]
 
     def has_other(self, entry: ServerEntry, now: float) -> bool:
         """Whether another server could run the request."""
-        others = self._pool.able(self._service, self._caller.target, now)
+        others = self._pool.reachable_candidates(self._service, self._caller.target, now)
         return any(other.instance != entry.instance for other in others)
 
     def passed_over(self, server: str) -> list[str]:
