--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -58,8 +58,8 @@
 def fresh_budget(context: Any) -> RetryBudget:
     """Return the budget of a daemon that has just started and knows its peers."""
     pool = ServerPool(context.bounds)
-    pool.set_daemons(context.daemons)
-    return pool.budget("service")
+    pool.set_daemon_count(context.daemons)
+    return pool.retry_budget("service")
 
 
 @then("no {window:d} s saw more repeats than the shared budget")
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -114,7 +114,9 @@
         self._store = store
         self._health = StoreHealth()
         self._pool = ServerPool(settings.bounds)
-        self.metrics.cut_from_servers.set_function(lambda: float(bool(self._pool.cut_services())))
+        self.metrics.cut_from_servers.set_function(
+            lambda: float(bool(self._pool.unreachable_services()))
+        )
         self.replicated_state = ReplicatedState(
             deployment.documents, store.configuration_key, self._pool, self._health, self.metrics
         )
@@ -246,7 +248,7 @@
         forwarder = Forwarder(
             self._client, deployment.dialect, self._pool.reach_of, self._pool.accepts_requests
         )
-        self._client.on_idle_broken = self._pool.note_broken
+        self._client.on_idle_broken = self._pool.note_broken_connection
         self._probe = ReachProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
--- a/loomwind/serving/directory.py
+++ b/loomwind/serving/directory.py
@@ -38,11 +38,11 @@
 
         :param drain_seconds: how soon after the store has said so a server gets no new work.
         """
-        self.set_drain(drain_seconds)
+        self.set_drain_seconds(drain_seconds)
         self._servers: dict[str, _Listed] = {}
         self.version = 0
 
-    def set_drain(self, drain_seconds: float) -> None:
+    def set_drain_seconds(self, drain_seconds: float) -> None:
         """Change how soon a server that leaves gets no new work."""
         self._vanished_grace = VANISHED_GRACE_PART * drain_seconds
         self._followed_age = FOLLOWED_PART * drain_seconds
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -59,7 +59,7 @@
         """Make a forwarder.
 
         :param reach_of: returns what is told of each new connection to a service, made or failed.
-        :param gets_work: whether a server may still get work, asked once it is connected.
+        :param accepts_requests: whether a server may still get work, asked once it is connected.
         """
         self._client = client
         self._dialect = dialect
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -164,12 +164,12 @@
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
             self._pool.residency.paces.update({pace.service: pace for pace in message.paces})
-            self._pool.tell(message.holdings)
+            self._pool.update_holdings(message.holdings)
 
     def _on_expectations(self, message: PoolExpectations) -> None:
         """Take in when models should be there; the word of an earlier leader is ignored."""
         if message.fence >= self._holdings_fence:
-            self._pool.expect(message.expected)
+            self._pool.update_expectations(message.expected)
 
     def tell_expectations(self, daemon: str, message: PoolExpectations) -> None:
         """Tell one daemon when what its requests wait for should be there."""
@@ -235,7 +235,7 @@
             demand.running(),
             not self._health.is_unavailable(self._now()),
             self._report_interval_seconds() * MS_PER_SECOND,
-            self._pool.cut_services(),
+            self._pool.unreachable_services(),
         )
 
     def _report_interval_seconds(self) -> float:
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -95,7 +95,7 @@
             if row.key.startswith(PEER_KEY_PREFIX):
                 self._on_peer_row(row)
         self._ranked = sorted(self._peers, key=_rank)
-        self._pool.set_daemons(len(self._peers))
+        self._pool.set_daemon_count(len(self._peers))
         self._election.daemons = max(1, len(self._peers))
         self._election.longer_seconds = self._longer_seconds()
 
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -26,7 +26,7 @@
 class ServerPool:
     """What requests need to know about servers.
 
-    :ivar reach_doubted: set when it should be found out whether the servers of a service are
+    :ivar probe_requested: set when it should be found out whether the servers of a service are
         reached.
     """
 
@@ -35,7 +35,7 @@
         self.residency = Residency()
         self.demand = DemandBoard()
         self.expectations = Expectations()
-        self.reach_doubted = asyncio.Event()
+        self.probe_requested = asyncio.Event()
         self._reaches: dict[str, ServerReach] = {}
         self._bounds = bounds
         self._daemons = UNKNOWN_DAEMONS
@@ -76,7 +76,7 @@
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
-            reach = ServerReach(service, self.reach_doubted.set, forget)
+            reach = ServerReach(service, self.probe_requested.set, forget)
             reach.list_servers(self._instances_by_service()[service])
             self._reaches[service] = reach
         return self._reaches[service]
@@ -91,11 +91,11 @@
         """Return the services of which it should be found out whether they are reached."""
         return [service for service, reach in self._reaches.items() if reach.needs_probe]
 
-    def cut_services(self) -> tuple[str, ...]:
+    def unreachable_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
         return tuple(service for service, reach in self._reaches.items() if reach.is_cut)
 
-    def budget(self, service: str) -> RetryBudget:
+    def retry_budget(self, service: str) -> RetryBudget:
         """Return the budget for repeated sends to a service."""
         if service not in self._budgets:
             bounds = self._bounds
@@ -113,7 +113,7 @@
     def set_bounds(self, bounds: BoundSettings) -> None:
         """Hold to other bounds from now on; what was spent of a retry budget stays spent."""
         self._bounds = bounds
-        self.directory.set_drain(bounds.drain_seconds)
+        self.directory.set_drain_seconds(bounds.drain_seconds)
         for budget in self._budgets.values():
             budget.set_limits(
                 bounds.retry_ratio * bounds.retry_safety,
@@ -121,7 +121,7 @@
                 bounds.retry_window_seconds,
             )
 
-    def set_daemons(self, count: int) -> None:
+    def set_daemon_count(self, count: int) -> None:
         """Share the retry budget with so many daemons."""
         self._daemons = max(1, count)
         for budget in self._budgets.values():
@@ -144,18 +144,18 @@
         elif failure.at_fault:
             self.health(entry).failed(now)
 
-    def tell(self, holdings: tuple[ServerHolding, ...]) -> None:
+    def update_holdings(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
         for holding in holdings:
             self.residency.tell(holding, self.now())
         self.demand.wake()
 
-    def expect(self, expected: Iterable[ExpectedTarget]) -> None:
+    def update_expectations(self, expected: Iterable[ExpectedTarget]) -> None:
         """Take in when the leader expects models to be there, and let those that wait look."""
         self.expectations.note(expected, self.now() * MS_PER_SECOND)
         self.demand.wake()
 
-    def note_broken(self, address: str) -> None:
+    def note_broken_connection(self, address: str) -> None:
         """An idle connection has ended without a proper end; does nothing for one of no server."""
         for entry in self.directory.entries():
             if entry.address == address:
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -112,7 +112,7 @@
         :raises StreamCut: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
-            self._pool.budget(self._service).note_request(self._arrived)
+            self._pool.retry_budget(self._service).note_request(self._arrived)
         limit = asyncio.timeout_at(self._outgoing.deadline - DEADLINE_MARGIN_SECONDS)
         self._serving.limits.add(limit)
         try:
@@ -241,7 +241,7 @@
 
     def _may_repeat(self) -> bool:
         """Take one repeat out of the budget, if it has room."""
-        allowed = self._pool.budget(self._service).try_spend(self._serving.now())
+        allowed = self._pool.retry_budget(self._service).try_spend(self._serving.now())
         self._serving.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
         return allowed
 
