--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -86,7 +86,7 @@
 )
 def step_went_and_came(context: Any, name: str, gone: int, back: int) -> None:
     rows = (
-        StoredRow(name, gone, gone=True),
+        StoredRow(name, gone, deleted=True),
         StoredRow(name, back, server_document("ready", held=back)),
     )
     run_in_virtual_time(_at_once(context.listing.on_server_rows, Snapshot(rows, back), False))
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -164,7 +164,7 @@
 def rows(version: int, **documents: bytes | None) -> Snapshot:
     """Return changed rows."""
     changed = (
-        StoredRow(name, version, value or b"", gone=value is None)
+        StoredRow(name, version, value or b"", deleted=value is None)
         for name, value in documents.items()
     )
     return Snapshot(tuple(changed), version)
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -228,7 +228,7 @@
 
 
 def _holder(row: StoredRow) -> LeaseHolder | None:
-    if row.gone or not row.value:
+    if row.deleted or not row.value:
         return None
     try:
         return msgspec.json.decode(row.value, type=LeaseHolder)
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -161,7 +161,7 @@
 
     def _on_peer_row(self, row: StoredRow) -> None:
         name = row.key.removeprefix(PEER_KEY_PREFIX)
-        if row.gone:
+        if row.deleted:
             self._peers.pop(name, None)
             return
         try:
--- a/loomwind/serving/ports.py
+++ b/loomwind/serving/ports.py
@@ -57,13 +57,13 @@
     """A row of a table.
 
     :param version: from the store's one counter, which rises with each write.
-    :param gone: whether the row was removed.
+    :param deleted: whether the row was removed.
     """
 
     key: str
     version: int
     value: bytes = b""
-    gone: bool = False
+    deleted: bool = False
 
 
 class Snapshot(Struct, frozen=True):
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -105,7 +105,7 @@
         """Take in rows of the configuration's table."""
         source = Source.TABLE if whole else Source.FEED
         for row in snapshot.rows:
-            if row.key == self._configuration_key and not row.gone:
+            if row.key == self._configuration_key and not row.deleted:
                 self._apply(row.value, Origin(source, row.version))
 
     def on_configuration_copy(self, copy: ConfigurationCopy, teller: str) -> None:
@@ -162,10 +162,10 @@
         trouble = self._health.recently_failed(self._now())
         origin = Origin(Source.TABLE if whole else Source.FEED, snapshot.version)
         if whole:
-            listed = {row.key for row in snapshot.rows if not row.gone}
+            listed = {row.key for row in snapshot.rows if not row.deleted}
             self._drop_all_but(listed, trouble, origin)
         for row in snapshot.rows:
-            if row.gone:
+            if row.deleted:
                 self._drop(row.key, trouble, origin)
             else:
                 self._put(row.key, row.value, origin)
