--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -1,7 +1,7 @@
 """The platform's header fields behind :class:`loomwind.serving.ports.Dialect`."""
 
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end
-from loomwind.serving.ports import AnswerVerdict, Dialect
+from loomwind.serving.ports import Dialect, ResponseCheck
 from loomwind.serving.views import CallerRequest, ModelKey, PromptPart
 
 REQUEST_ID = "x-request-id"
@@ -77,15 +77,17 @@
         kept = ((name, value) for name, value in end_to_end(request.headers))
         return headers + tuple((name, value) for name, value in kept if name not in changed)
 
-    def judge(self, request_id: str, server_name: str, head: HttpResponse) -> AnswerVerdict:
-        """Return what the head of an answer says; see :meth:`Dialect.judge`."""
-        ours = head.header(REQUEST_ID) == request_id
+    def check_response(
+        self, request_id: str, server_name: str, head: HttpResponse
+    ) -> ResponseCheck:
+        """Return what the head of an answer says; see :meth:`Dialect.check_response`."""
+        matches_request = head.header(REQUEST_ID) == request_id
         misdirected = head.status == MISDIRECTED
         refused = misdirected or head.header(NOT_EXECUTED) is not None
-        return AnswerVerdict(
-            ours=ours or refused,
-            ran=not refused,
-            genuine=head.header(STAMP) is not None,
+        return ResponseCheck(
+            matches_request=matches_request or refused,
+            may_have_run=not refused,
+            from_server=head.header(STAMP) is not None,
             missing_target=misdirected,
             other_instance=head.header(INSTANCE) not in (None, server_name),
         )
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -10,7 +10,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.ports import AnswerVerdict, Dialect
+from loomwind.serving.ports import Dialect, ResponseCheck
 from loomwind.serving.reach import ServerReach
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
@@ -94,8 +94,8 @@
         request = self._as_sent(outgoing, entry, now, last_event_id)
         try:
             connection.send_request(request)
-            head, verdict = await self._read_own_head(connection, request, outgoing, entry)
-            if not verdict.ran:
+            head, check = await self._read_own_head(connection, request, outgoing, entry)
+            if not check.may_have_run:
                 await self._finish_refused(connection)
         except HttpError as error:
             connection.close()
@@ -103,8 +103,8 @@
         except BaseException:
             connection.close()
             raise
-        if not verdict.ran:
-            raise _refused(entry, head, verdict)
+        if not check.may_have_run:
+            raise _refused(entry, head, check)
         return OpenAnswer(connection, head)
 
     async def connect_anew(self, entry: ServerEntry) -> ClientConnection:
@@ -137,21 +137,21 @@
         request: HttpRequest,
         outgoing: Outgoing,
         entry: ServerEntry,
-    ) -> tuple[HttpResponse, AnswerVerdict]:
+    ) -> tuple[HttpResponse, ResponseCheck]:
         """Read heads until one answers this request; a late surplus answer is skipped."""
         request_id = outgoing.caller.request_id
         for _ in range(1 + MAX_SURPLUS_ANSWERS):
             head = await connection.read_head()
-            verdict = self._dialect.judge(request_id, entry.name, head)
+            check = self._dialect.check_response(request_id, entry.name, head)
             connection.note_keep_alive(head)
-            if verdict.ours:
-                return self._checked(head, verdict, entry), verdict
+            if check.matches_request:
+                return self._checked(head, check, entry), check
             await connection.skip_answer(request)
         raise SendFailed(f"{entry.instance}: answers to other requests only", ran=True)
 
     @staticmethod
-    def _checked(head: HttpResponse, verdict: AnswerVerdict, entry: ServerEntry) -> HttpResponse:
-        if verdict.ran and not verdict.genuine:
+    def _checked(head: HttpResponse, check: ResponseCheck, entry: ServerEntry) -> HttpResponse:
+        if check.may_have_run and not check.from_server:
             raise SendFailed(f"{entry.instance}: an answer without the server's mark", ran=True)
         return head
 
@@ -191,11 +191,11 @@
         self._client.release(connection)
 
 
-def _refused(entry: ServerEntry, head: HttpResponse, verdict: AnswerVerdict) -> SendFailed:
+def _refused(entry: ServerEntry, head: HttpResponse, check: ResponseCheck) -> SendFailed:
     return SendFailed(
         f"{entry.instance}: refused unstarted with {head.status}",
         ran=False,
-        missing_target=verdict.missing_target,
-        other_instance=verdict.other_instance,
-        at_fault=not verdict.missing_target,
+        missing_target=check.missing_target,
+        other_instance=check.other_instance,
+        at_fault=not check.missing_target,
     )
--- a/loomwind/serving/ports.py
+++ b/loomwind/serving/ports.py
@@ -139,19 +139,19 @@
         """
 
 
-class AnswerVerdict(Struct, frozen=True):
+class ResponseCheck(Struct, frozen=True):
     """What the head of a server's answer says.
 
-    :param ours: whether it answers the request that was sent.
-    :param ran: whether the server may have run the request.
-    :param genuine: whether it carries the server's mark.
+    :param matches_request: whether it answers the request that was sent.
+    :param may_have_run: whether the server may have run the request.
+    :param from_server: whether it carries the server's mark.
     :param missing_target: the server does not hold what the request needs, or is another life.
     :param other_instance: another server answers at the address than the one that was meant.
     """
 
-    ours: bool
-    ran: bool
-    genuine: bool
+    matches_request: bool
+    may_have_run: bool
+    from_server: bool
     missing_target: bool = False
     other_instance: bool = False
 
@@ -181,7 +181,9 @@
         """Return the headers of a request as a peer gets it that serves it: a caller's own."""
 
     @abstractmethod
-    def judge(self, request_id: str, server_name: str, head: HttpResponse) -> AnswerVerdict:
+    def check_response(
+        self, request_id: str, server_name: str, head: HttpResponse
+    ) -> ResponseCheck:
         """Return what the head of an answer says about the request."""
 
     @abstractmethod
