--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Struct
 
-from loomwind.serving.ports import Documents, MalformedDocument
+from loomwind.serving.ports import DocumentParser, MalformedDocument
 from loomwind.serving.views import (
     CallerLimits,
     Configuration,
@@ -126,11 +126,11 @@
     born: int | None = None
 
 
-class PlatformDocuments(Documents):
+class PlatformDocuments(DocumentParser):
     """Reads the platform's JSON documents."""
 
-    def configuration(self, value: bytes) -> Configuration:
-        """Return a configuration; see :meth:`Documents.configuration`."""
+    def parse_configuration(self, value: bytes) -> Configuration:
+        """Return a configuration; see :meth:`DocumentParser.parse_configuration`."""
         try:
             wire = msgspec.json.decode(value, type=WireConfiguration)
             return Configuration(
@@ -147,8 +147,8 @@
         except (msgspec.MsgspecError, ValueError) as error:
             raise MalformedDocument(f"configuration: {error}") from error
 
-    def server(self, name: str, value: bytes) -> ServerEntry:
-        """Return a server's entry; see :meth:`Documents.server`."""
+    def parse_server(self, name: str, value: bytes) -> ServerEntry:
+        """Return a server's entry; see :meth:`DocumentParser.parse_server`."""
         try:
             wire = msgspec.json.decode(value, type=WireServer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -56,8 +56,8 @@
         self._address = address
         self._timeout = timeout_seconds
 
-    def move(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store elsewhere; see :meth:`Store.move`."""
+    def set_address(self, address: str, timeout_seconds: float) -> None:
+        """Reach the store elsewhere; see :meth:`Store.set_address`."""
         self._address = address
         self._timeout = timeout_seconds
 
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -34,7 +34,7 @@
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.ports import Dialect, Documents, EngineControl, Store
+from loomwind.serving.ports import Dialect, DocumentParser, EngineControl, Store
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.reach_probe import ReachProbe
 from loomwind.serving.relay_service import RelayService
@@ -60,7 +60,7 @@
     """The adapters that one deployment needs."""
 
     store: Store
-    documents: Documents
+    documents: DocumentParser
     dialect: Dialect
     engine_control: EngineControl
 
@@ -353,7 +353,7 @@
 
     @_take_up.register
     def _(self, section: StoreSettings) -> bool:
-        self._store.move(section.address, section.timeout_seconds)
+        self._store.set_address(section.address, section.timeout_seconds)
         return True
 
     async def stop(self) -> None:
--- a/loomwind/serving/metered.py
+++ b/loomwind/serving/metered.py
@@ -40,9 +40,9 @@
         self._life = life
         self._calls: Counter[str] = Counter()
 
-    def move(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store elsewhere; see :meth:`Store.move`."""
-        self._inner.move(address, timeout_seconds)
+    def set_address(self, address: str, timeout_seconds: float) -> None:
+        """Reach the store elsewhere; see :meth:`Store.set_address`."""
+        self._inner.set_address(address, timeout_seconds)
 
     async def read(self, table: str) -> Snapshot:
         """Return a whole table; see :meth:`Store.read`."""
--- a/loomwind/serving/ports.py
+++ b/loomwind/serving/ports.py
@@ -93,7 +93,7 @@
     server_table: str
 
     @abstractmethod
-    def move(self, address: str, timeout_seconds: float) -> None:
+    def set_address(self, address: str, timeout_seconds: float) -> None:
         """Reach the store at another address from the next call on."""
 
     @abstractmethod
@@ -121,18 +121,18 @@
         """
 
 
-class Documents(ABC):
+class DocumentParser(ABC):
     """Reads the documents that a deployment keeps in its store."""
 
     @abstractmethod
-    def configuration(self, value: bytes) -> Configuration:
+    def parse_configuration(self, value: bytes) -> Configuration:
         """Return a configuration.
 
         :raises MalformedDocument: it is none.
         """
 
     @abstractmethod
-    def server(self, name: str, value: bytes) -> ServerEntry:
+    def parse_server(self, name: str, value: bytes) -> ServerEntry:
         """Return a server's entry.
 
         :raises MalformedDocument: it is none.
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -26,7 +26,7 @@
 from loomwind.metrics import Metrics
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.ports import Documents, MalformedDocument, Snapshot
+from loomwind.serving.ports import DocumentParser, MalformedDocument, Snapshot
 from loomwind.serving.routes import RouteTable
 from loomwind.serving.views import Configuration, ServerEntry, ServerState
 
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        documents: Documents,
+        documents: DocumentParser,
         configuration_key: str,
         pool: ServerPool,
         health: StoreHealth,
@@ -126,7 +126,7 @@
         """Put a configuration in force, unless one as new is in force already."""
         source = origin.source.value
         try:
-            configuration = self._documents.configuration(document)
+            configuration = self._documents.parse_configuration(document)
         except MalformedDocument as error:
             log_state("configuration", "unreadable", error=str(error), source=source)
             return
@@ -302,7 +302,7 @@
 
     def _put(self, name: str, document: bytes, origin: Origin) -> None:
         try:
-            entry = self._documents.server(name, document)
+            entry = self._documents.parse_server(name, document)
         except MalformedDocument as error:
             log_state("server", "unreadable", server=name, error=str(error))
             if name in self._server_documents:
