--- a/features/support/server_list_fleet.py
+++ b/features/support/server_list_fleet.py
@@ -33,7 +33,7 @@
 from loomwind.platform.documents import PlatformDocuments
 from loomwind.serving.anti_entropy import AntiEntropy
 from loomwind.serving.configuration_gossip import ConfigurationGossip
-from loomwind.serving.configuration_pace import ConfigurationPace
+from loomwind.serving.configuration_polling import ConfigurationPolling
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.peers import PeerEntry, PeerTable
@@ -177,14 +177,14 @@
             health,
             self.replicated_state.on_server_rows,
         )
-        pace = ConfigurationPace(cast(PeerTable, peers), lambda: bounds)
+        polling = ConfigurationPolling(cast(PeerTable, peers), lambda: bounds)
         self._configuration = TableFollower(
             cast(Store, StoreOfDaemon(tables.configuration, name)),
             "op",
             health,
             self.replicated_state.on_configuration_rows,
-            pace.rest_seconds,
-            wait_seconds=pace.wait_seconds,
+            polling.pause_seconds,
+            wait_seconds=polling.wait_seconds,
         )
         self._follower = ServerListFollower(
             LeaseHolder(name, f"life-{name}", name),
--- a/loomwind/serving/configuration_pace.py
+++ b/loomwind/serving/configuration_polling.py
@@ -19,7 +19,7 @@
 MIRROR_WAIT_PART = 0.4
 
 
-def rest_seconds(bounds: BoundSettings) -> float:
+def pause_seconds(bounds: BoundSettings) -> float:
     """Return the pause of a mirror between two looks; versions of it come together.
 
     An operator may write several a second.
@@ -27,7 +27,7 @@
     return REST_PART * bounds.apply_ms / MS_PER_SECOND
 
 
-class ConfigurationPace:
+class ConfigurationPolling:
     """One daemon's pace.
 
     :param bounds: returns the bounds in force.
@@ -37,9 +37,9 @@
         self._peers = peers
         self._bounds = bounds
 
-    def rest_seconds(self) -> float:
+    def pause_seconds(self) -> float:
         """Return the pause between two looks."""
-        rest = rest_seconds(self._bounds())
+        rest = pause_seconds(self._bounds())
         if self._peers.is_mirror():
             return rest
         longest = LONGEST_REST_PART * self._bounds().apply_ms / MS_PER_SECOND
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -22,7 +22,7 @@
 from loomwind.placement.controller import PlacementController
 from loomwind.serving.anti_entropy import AntiEntropy
 from loomwind.serving.configuration_gossip import ConfigurationGossip
-from loomwind.serving.configuration_pace import ConfigurationPace
+from loomwind.serving.configuration_polling import ConfigurationPolling
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
@@ -137,16 +137,16 @@
             self._pool,
             _relay_address(settings.listen),
         )
-        pace = ConfigurationPace(self._peers, lambda: self.settings.bounds)
+        polling = ConfigurationPolling(self._peers, lambda: self.settings.bounds)
         self._followers = (
             TableFollower(
                 store,
                 store.configuration_table,
                 self._health,
                 self.replicated_state.on_configuration_rows,
-                pace.rest_seconds,
+                polling.pause_seconds,
                 self._peers.retry_seconds,
-                pace.wait_seconds,
+                polling.wait_seconds,
             ),
             TableFollower(
                 store,
--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -63,7 +63,7 @@
         table: str,
         health: StoreHealth,
         on_rows: Callable[[Snapshot, bool], None],
-        rest_seconds: Callable[[], float] = lambda: 0.0,
+        pause_seconds: Callable[[], float] = lambda: 0.0,
         longest_retry_seconds: Callable[[], float] = lambda: LONGEST_RETRY_SECONDS,
         wait_seconds: Callable[[], float] = lambda: FEED_WAIT_SECONDS,
     ) -> None:
@@ -71,7 +71,7 @@
         self._table = table
         self._health = health
         self._on_rows = on_rows
-        self._rest = rest_seconds
+        self._rest = pause_seconds
         self._wait = wait_seconds
         self._longest_retry = longest_retry_seconds
         self._retry = RETRY_SECONDS
