--- a/bench/troubles.py
+++ b/bench/troubles.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Trouble:
+class Fault:
     """One kind of trouble in one variant.
 
     :ivar fields: further fields of the entry, as TOML.
@@ -72,9 +72,9 @@
         return f'closing = {{ kind = "{self.kind}", down_s = 1.5{how} }}'
 
 
-def _variants(kind: str, hows: str, fields: str = "") -> list[Trouble]:
+def _variants(kind: str, hows: str, fields: str = "") -> list[Fault]:
     """Return a trouble in each variant of a list; ``-`` is the plain one."""
-    return [Trouble(kind, "" if how == "-" else how, fields) for how in hows.split(",")]
+    return [Fault(kind, "" if how == "-" else how, fields) for how in hows.split(",")]
 
 
 SERVER_TROUBLES = (
@@ -132,7 +132,7 @@
     *_variants("give_up", "-", "share = 0.5, for_s = 5.0"),
     *_variants("model_shift", "-", "count = 2, for_s = 4.0"),
 )
-TROUBLES = (
+FAULTS = (
     *SERVER_TROUBLES,
     *MACHINE_TROUBLES,
     *NETWORK_TROUBLES,
@@ -152,7 +152,7 @@
     """A day of our own."""
 
     name: str
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[Fault, ...]
     seed: int
     closing: Closing | None = None
 
@@ -195,7 +195,7 @@
     closings = itertools.cycle((None, None, None, *CLOSINGS))
     return [
         Day(trouble.name, (trouble,), chooser.randrange(1, 1 << 40), closing)
-        for trouble, closing in zip(TROUBLES, closings, strict=False)
+        for trouble, closing in zip(FAULTS, closings, strict=False)
     ]
 
 
@@ -203,7 +203,7 @@
     """Return days with two troubles that overlap, drawn at random."""
     days = []
     for _ in range(count):
-        pair = tuple(chooser.sample(TROUBLES, 2))
+        pair = tuple(chooser.sample(FAULTS, 2))
         name = "+".join(trouble.name for trouble in pair)
         closing = chooser.choice((None, None, *CLOSINGS))
         days.append(Day(name, pair, chooser.randrange(1, 1 << 40), closing))
--- a/features/steps/configuration_effect_steps.py
+++ b/features/steps/configuration_effect_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.support.made_store import configuration_document
+from features.support.fake_store import configuration_document
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.http.server import ServerConnection
 from loomwind.platform.deployment import pool_daemon
--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -5,7 +5,7 @@
 
 from behave import then, when
 
-from features.support.made_store import configuration_document
+from features.support.fake_store import configuration_document
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.messages import AnyMessage
 from loomwind.messages.serving import ConfigurationCopy
--- a/features/steps/configuration_storm_steps.py
+++ b/features/steps/configuration_storm_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.support.made_store import MadeStore, StoreOfDaemon
+from features.support.fake_store import DaemonStoreClient, FakeStore
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.serving.configuration_polling import pause_seconds
 from loomwind.serving.follower import StoreHealth, TableFollower
@@ -50,8 +50,8 @@
 
 
 async def _storm(context: Any, gap: float, length: int) -> None:
-    store, context.watched = MadeStore(0), Watched()
-    context.daemon_store = StoreOfDaemon(store, "d0")
+    store, context.watched = FakeStore(0), Watched()
+    context.daemon_store = DaemonStoreClient(store, "d0")
     follower = TableFollower(
         cast(Store, context.daemon_store),
         "op",
--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.support.made_store import SERVICE, server_document
+from features.support.fake_store import SERVICE, server_document
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.http.client import HttpClient
 from loomwind.http.messages import HttpRequest
--- a/features/steps/lone_daemon_steps.py
+++ b/features/steps/lone_daemon_steps.py
@@ -6,7 +6,7 @@
 
 from behave import then, when
 
-from features.support.server_list_fleet import Fleet
+from features.support.simulated_fleet import Fleet
 from features.support.virtual_time import run_in_virtual_time
 
 SETTLE_SECONDS = 5.0
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -45,7 +45,7 @@
 
 @when("the store forgets its history")
 def step_forget(context: Any) -> None:
-    pool(context).forget_history()
+    pool(context).discard_history()
 
 
 @when("a new plain server is known to every daemon")
--- a/features/support/made_store.py
+++ b/features/support/fake_store.py
@@ -40,7 +40,7 @@
     deaf: bool = False
 
 
-class MadeStore:
+class FakeStore:
     """One table with its feed; it begins with the entries of some servers."""
 
     def __init__(self, servers: int, faults: StoreFaults | None = None) -> None:
@@ -67,12 +67,12 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def lose_questions(self) -> None:
+    def drop_pending_calls(self) -> None:
         """Never answer what is asked by now and held."""
         self._epoch += 1
         self.wake()
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop what feeds could tell of earlier changes, and cut them."""
         self._oldest_kept = self._version + 1
         self.wake()
@@ -121,13 +121,13 @@
             raise StoreUnavailable("status 503")
 
 
-class StoreOfDaemon:
+class DaemonStoreClient:
     """The store as one daemon calls it, whatever the table.
 
     :ivar calls: how many calls it has made.
     """
 
-    def __init__(self, store: MadeStore, daemon: str) -> None:
+    def __init__(self, store: FakeStore, daemon: str) -> None:
         self._store = store
         self._daemon = daemon
         self.calls = 0
--- a/features/support/fleet_troubles.py
+++ b/features/support/fleet_faults.py
@@ -6,13 +6,13 @@
 
 from attrs import frozen
 
-from features.support.server_list_fleet import Fleet
+from features.support.simulated_fleet import Fleet
 
 LOST_PART = 1 / 3
 MOST_PART = 0.8
 DEAF_SECONDS = 1.0
 # A trouble may stand for any time, up to this one, before the change.
-LONGEST_TROUBLE_SECONDS = 3.0
+MAX_FAULT_SECONDS = 3.0
 
 
 def _all_is_well(fleet: Fleet, draw: random.Random) -> set[str]:
@@ -24,8 +24,8 @@
     fleet.store.faults.deaf = True
     await asyncio.sleep(DEAF_SECONDS)
     fleet.store.faults.deaf = False
-    fleet.store.forget_history()
-    fleet.configuration.forget_history()
+    fleet.store.discard_history()
+    fleet.configuration.discard_history()
 
 
 def _refuse_a_third(fleet: Fleet, draw: random.Random) -> set[str]:
@@ -51,7 +51,7 @@
 
 def _lose_questions(fleet: Fleet, draw: random.Random) -> set[str]:
     for table in (fleet.store, fleet.configuration):
-        table.lose_questions()
+        table.drop_pending_calls()
     return set()
 
 
@@ -87,7 +87,7 @@
 
 
 @frozen
-class Trouble:
+class Fault:
     """What goes wrong around a change.
 
     :param begin: sets faults a while before; returns the daemons that don't count.
@@ -98,18 +98,18 @@
     loses_history: bool = False
 
 
-TROUBLES = {
-    "all is well": Trouble(_all_is_well),
-    "the feeds hear nothing for 1 s and lose their history": Trouble(_all_is_well, True),
-    "the store refuses a third of the daemons": Trouble(_refuse_a_third),
-    "the store is silent to a third of the daemons": Trouble(_silent_to_a_third),
-    "the store is silent to four fifths of the daemons": Trouble(_silent_to_four_fifths),
-    "the store is silent to all mirrors": Trouble(_silent_to_mirrors),
-    "the store loses the questions that it holds": Trouble(_lose_questions),
-    "a mirror is cut off, and the feeds lose their history": Trouble(_cut_a_mirror_off, True),
-    "a third of the daemons is gone, the mirrors first": Trouble(_lose_a_third),
-    "gossip is lost": Trouble(_lose_gossip),
-    "gossip is lost, and the store refuses a third": Trouble(_lose_gossip_and_refuse),
-    "gossip is lost, and a mirror is cut off": Trouble(_lose_gossip_and_a_mirror),
-    "gossip is lost, and the feeds lose their history": Trouble(_lose_gossip, True),
+FAULTS = {
+    "all is well": Fault(_all_is_well),
+    "the feeds hear nothing for 1 s and lose their history": Fault(_all_is_well, True),
+    "the store refuses a third of the daemons": Fault(_refuse_a_third),
+    "the store is silent to a third of the daemons": Fault(_silent_to_a_third),
+    "the store is silent to four fifths of the daemons": Fault(_silent_to_four_fifths),
+    "the store is silent to all mirrors": Fault(_silent_to_mirrors),
+    "the store loses the questions that it holds": Fault(_lose_questions),
+    "a mirror is cut off, and the feeds lose their history": Fault(_cut_a_mirror_off, True),
+    "a third of the daemons is gone, the mirrors first": Fault(_lose_a_third),
+    "gossip is lost": Fault(_lose_gossip),
+    "gossip is lost, and the store refuses a third": Fault(_lose_gossip_and_refuse),
+    "gossip is lost, and a mirror is cut off": Fault(_lose_gossip_and_a_mirror),
+    "gossip is lost, and the feeds lose their history": Fault(_lose_gossip, True),
 }
--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -175,7 +175,7 @@
         """Switch the store's faults on; those not named are off."""
         send(plain(self.store_address, "POST", "/_fault", json.dumps(faults).encode()))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Let the store drop its history."""
         send(plain(self.store_address, "POST", "/_forget", b"{}"))
 
--- a/features/support/server_list_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -10,10 +10,10 @@
 
 from attrs import frozen
 
-from features.support.made_store import (
+from features.support.fake_store import (
     SERVICE,
-    MadeStore,
-    StoreOfDaemon,
+    DaemonStoreClient,
+    FakeStore,
     configuration_document,
 )
 from loomwind import constants
@@ -48,7 +48,7 @@
 CONFIGURATION_KEY = "config"
 
 
-class Links:
+class SimulatedNetwork:
     """The links between daemons.
 
     :ivar silent: daemons that answer no peer, and hear none.
@@ -97,10 +97,10 @@
             await asyncio.Event().wait()
 
 
-class LinksOfDaemon:
+class DaemonTransport:
     """The links as one daemon uses them."""
 
-    def __init__(self, links: Links, daemon: str) -> None:
+    def __init__(self, links: SimulatedNetwork, daemon: str) -> None:
         self._links = links
         self._daemon = daemon
 
@@ -113,7 +113,7 @@
         self._links.cast(self._daemon, address, message)
 
 
-class PeersOfDaemon:
+class SimulatedPeerTable:
     """The fleet's daemons in their order; the first ones are mirrors."""
 
     def __init__(self, own: str, names: list[str], mirrors: int) -> None:
@@ -151,8 +151,8 @@
 class FleetTables:
     """The store's tables that daemons follow."""
 
-    servers: MadeStore
-    configuration: MadeStore
+    servers: FakeStore
+    configuration: FakeStore
 
 
 class FleetDaemon:
@@ -162,8 +162,8 @@
         self,
         name: str,
         tables: FleetTables,
-        links: Links,
-        peers: PeersOfDaemon,
+        links: SimulatedNetwork,
+        peers: SimulatedPeerTable,
         bounds: BoundSettings,
     ) -> None:
         self.name = name
@@ -172,14 +172,14 @@
             PlatformDocuments(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
         )
         self._table = TableFollower(
-            cast(Store, StoreOfDaemon(tables.servers, name)),
+            cast(Store, DaemonStoreClient(tables.servers, name)),
             "servers",
             health,
             self.replicated_state.on_server_rows,
         )
         polling = ConfigurationPolling(cast(PeerTable, peers), lambda: bounds)
         self._configuration = TableFollower(
-            cast(Store, StoreOfDaemon(tables.configuration, name)),
+            cast(Store, DaemonStoreClient(tables.configuration, name)),
             "op",
             health,
             self.replicated_state.on_configuration_rows,
@@ -189,23 +189,23 @@
         self._follower = ServerListFollower(
             LeaseHolder(name, f"life-{name}", name),
             self._table,
-            cast(PeerTransport, LinksOfDaemon(links, name)),
+            cast(PeerTransport, DaemonTransport(links, name)),
             cast(PeerTable, peers),
             self.replicated_state,
             bounds,
         )
         prompts = PromptGuard(
-            name, cast(PeerTransport, LinksOfDaemon(links, name)), cast(PeerTable, peers)
+            name, cast(PeerTransport, DaemonTransport(links, name)), cast(PeerTable, peers)
         )
         self._configurations = ConfigurationGossip(
             name,
-            cast(PeerTransport, LinksOfDaemon(links, name)),
+            cast(PeerTransport, DaemonTransport(links, name)),
             cast(PeerTable, peers),
             self.replicated_state,
         )
         self._anti_entropy = AntiEntropy(
             name,
-            cast(PeerTransport, LinksOfDaemon(links, name)),
+            cast(PeerTransport, DaemonTransport(links, name)),
             cast(PeerTable, peers),
             self.replicated_state,
             health,
@@ -214,7 +214,7 @@
         )
         DepartureGossip(
             name,
-            cast(PeerTransport, LinksOfDaemon(links, name)),
+            cast(PeerTransport, DaemonTransport(links, name)),
             cast(PeerTable, peers),
             self.replicated_state,
         )
@@ -262,16 +262,18 @@
 
         :param bound_ms: how soon a departure, or a configuration, has to count everywhere.
         """
-        self.store = MadeStore(servers)
-        self.configuration = MadeStore(0, self.store.faults)
+        self.store = FakeStore(servers)
+        self.configuration = FakeStore(0, self.store.faults)
         self._configuration_version = 0
-        self.links = Links()
+        self.links = SimulatedNetwork()
         self.names = [f"d{number}" for number in range(daemons)]
         self.mirrors = self.names[:mirrors]
         self._bounds = bounds = BoundSettings(drain_ms=bound_ms, apply_ms=bound_ms)
         self._tables = tables = FleetTables(self.store, self.configuration)
         self.daemons = [
-            FleetDaemon(name, tables, self.links, PeersOfDaemon(name, self.names, mirrors), bounds)
+            FleetDaemon(
+                name, tables, self.links, SimulatedPeerTable(name, self.names, mirrors), bounds
+            )
             for name in self.names
         ]
         for daemon in self.daemons:
@@ -280,7 +282,7 @@
 
     def restart(self, name: str) -> FleetDaemon:
         """Let a daemon start again: it knows nothing, no peer either; the others know of it."""
-        alone = PeersOfDaemon(name, [], 0)
+        alone = SimulatedPeerTable(name, [], 0)
         daemon = FleetDaemon(name, self._tables, self.links, alone, self._bounds)
         self.links.add(daemon)
         self._tasks.append(asyncio.ensure_future(daemon.run()))
--- a/features/support/virtual_time.py
+++ b/features/support/virtual_time.py
@@ -8,7 +8,7 @@
 Result = TypeVar("Result")
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Moves the time on in place of waiting."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
     """A loop for tasks that wait for each other and for timers, but for nothing outside."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
+        self._jumping = _VirtualTimeSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
--- a/standins/link.py
+++ b/standins/link.py
@@ -151,7 +151,7 @@
             return
 
 
-class Links:
+class SimulatedNetwork:
     """All links of the process, and their control."""
 
     def __init__(self, targets: list[str], host: str) -> None:
@@ -169,7 +169,7 @@
 
 
 async def _serve(targets: list[str], host: str) -> None:
-    links = Links(targets, host)
+    links = SimulatedNetwork(targets, host)
     control = await asyncio.start_server(links.control, host, 0)
     ports = [str(link.address[1]) for link in links.links]
     ports.append(str(control.sockets[0].getsockname()[1]))
--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -92,7 +92,7 @@
             return None
         return [row for row in self._history if row.table == table and row.ver > after]
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop the history."""
         self._forgotten = self.version
         self._history.clear()
--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -78,7 +78,7 @@
         elif request.path == "/_apply":
             self.rows.apply(msgspec.json.decode(request.body, type=Transaction))
         elif request.path == "/_forget":
-            self.rows.forget_history()
+            self.rows.discard_history()
         elif request.path == "/_rows":
             return json_response(self.rows.table(_query(request, "table")))
         return json_response({"ver": self.rows.version})
