--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -9,7 +9,7 @@
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_pace import FinishedLoad, StorePace
+from loomwind.placement.store_concurrency import FinishedLoad, StoreConcurrencyLimit
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ServerEntry, ServerReport, ServerState
 
@@ -58,25 +58,25 @@
 
 @given("a leader that has learned that the weight store serves {served:d} loads at once")
 def step_learned(context: Any, served: int) -> None:
-    pace = StorePace()
+    pace = StoreConcurrencyLimit()
     began_ms = 0.0
     while pace.limit > served:
         under_way = pace.limit
-        slowness = max(1.0, under_way / served)
-        done_ms = began_ms + LOAD_MS * slowness
+        slowdown = max(1.0, under_way / served)
+        done_ms = began_ms + LOAD_MS * slowdown
         pace.observe(under_way, began_ms)
         pace.observe(under_way, done_ms)
         for _ in range(under_way):
-            pace.note(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
+            pace.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
-    context.residency.paces[SERVICE] = pace.learned(SERVICE)
+    context.residency.paces[SERVICE] = pace.snapshot(SERVICE)
     context.now_ms = began_ms
 
 
 @when("another daemon leads")
 def step_other_leads(context: Any) -> None:
-    context.pace = StorePace(context.residency.paces.get(SERVICE), context.now_ms)
+    context.pace = StoreConcurrencyLimit(context.residency.paces.get(SERVICE), context.now_ms)
 
 
 @then("it has {served:d} loads under way at once, and does not grow for a while")
@@ -86,5 +86,5 @@
     done_ms = context.now_ms + LOAD_MS
     context.pace.observe(served, done_ms)
     for _ in range(served):
-        context.pace.note(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
+        context.pace.record_finished(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
     assert context.pace.limit == served
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -12,13 +12,13 @@
 from loomwind.platform.dialect import PlatformDialect
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.forwarder import Forwarder, OpenAnswer, Outgoing
+from loomwind.serving.forwarder import Forwarder, OpenResponse, OutgoingRequest
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.replicated_state import ReplicatedState
-from loomwind.serving.request_run import RequestRun
+from loomwind.serving.request_lifecycle import RequestLifecycle
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import (
     CallerRequest,
@@ -62,11 +62,11 @@
     async def send(
         self,
         connection: ClientConnection,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         entry: ServerEntry,
         now: float,
         last_event_id: str | None,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Fail as a server does that has not run the request."""
         self.sends += 1
         raise SendFailed("not here", ran=False, missing_target=True, at_fault=False)
@@ -121,7 +121,9 @@
     route = RouteRule("r", "h", "/", RequestKind.STREAMING, parts, 30.0, 0.6)
     caller = CallerRequest("id-1", "h", 30.0, TARGET)
     request = HttpRequest("POST", "/")
-    run = RequestRun(handler, cast(Exchange, UnstartedExchange()), request, caller, route, SERVICE)
+    run = RequestLifecycle(
+        handler, cast(Exchange, UnstartedExchange()), request, caller, route, SERVICE
+    )
     task = asyncio.ensure_future(run.serve())
     waits = False
     for _ in range(MOST_TURNS):
@@ -168,19 +170,19 @@
 @given("a server that has two requests of this daemon since {now:f} s")
 def step_two_requests(context: Any, now: float) -> None:
     context.health = ServerHealth()
-    context.health.sent(now)
-    context.health.sent(now + 0.2)
+    context.health.note_sent(now)
+    context.health.note_sent(now + 0.2)
 
 
 @when("something comes from it at {now:f} s")
 def step_heard(context: Any, now: float) -> None:
-    context.health.heard(now)
+    context.health.note_received(now)
 
 
 @when("both requests have ended")
 def step_ended(context: Any) -> None:
-    context.health.ended()
-    context.health.ended()
+    context.health.note_ended()
+    context.health.note_ended()
 
 
 @then("it is suspect at {late:f} s, and not at {early:f} s")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -11,10 +11,10 @@
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.ledger import ServerLedger
-from loomwind.placement.load_window import LoadWindow
+from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
-from loomwind.placement.store_pace import StorePace
+from loomwind.placement.store_concurrency import StoreConcurrencyLimit
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
 from loomwind.serving.views import (
@@ -118,7 +118,7 @@
             self.add_server()
         self.now = 10.0
         self.turns: list[StoreTurn] = []
-        self._pace = StorePace()
+        self._pace = StoreConcurrencyLimit()
         self.change_leader()
 
     # What may happen.
@@ -143,9 +143,9 @@
             for name, server in self._servers.items()
             if server.loading
         }
-        learned: LearnedPace = self._pace.learned(SERVICE)
-        self._pace = StorePace(learned, self.now * MS_PER_SECOND)
-        self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
+        learned: LearnedPace = self._pace.snapshot(SERVICE)
+        self._pace = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
+        self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
         self._heard = told
@@ -181,7 +181,7 @@
                 ledger.note_report(server.report(), self.now)
             finished = ledger.take_finished()
             if finished is not None:
-                self._pace.note(finished, self.now * MS_PER_SECOND)
+                self._pace.record_finished(finished, self.now * MS_PER_SECOND)
 
     def _plan(self) -> None:
         servers = list(self._ledgers.values())
@@ -201,14 +201,14 @@
         for order in Planner(given).plan():
             self._note_turn(order, wanted)
             if order.from_store:
-                self._window.note(self.now)
+                self._window.record(self.now)
             self._give(order)
         self._demand.note_available(SERVICE, given.index.holders)
 
     def _note_turn(self, order: PlannedOrder, wanted: set[str]) -> None:
         """Note a load from the weight store, as it begins or as another model makes way for it."""
-        name = order.makes_way_for or order.target.model
-        loads = order.kind is OrderKind.LOAD or bool(order.makes_way_for)
+        name = order.evicts_for or order.target.model
+        loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
         from_store = name not in self._servers[order.instance].on_disk
         if not loads or not from_store or self._room(order.instance) == name:
             return
@@ -243,8 +243,8 @@
         ledger = self._ledgers[order.instance]
         report = ledger.report
         assert report is not None
-        if order.makes_way_for:
-            ledger.reserve_room(order.makes_way_for, self.now)
+        if order.evicts_for:
+            ledger.reserve_room(order.evicts_for, self.now)
         given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -35,18 +35,18 @@
         now: float,
     ) -> None:
         self.holders = ServersByModel()
-        self.arriving = ServersByModel()
-        self.copies = ServersByModel()
+        self.loading = ServersByModel()
+        self.cached_copies = ServersByModel()
         self.available: set[ModelKey] = set()
         self.reserved: set[str] = set()
         self._servers = {server.entry.instance: server for server in servers}
         for server in servers:
             self._add(server, now)
-        self._runs: dict[tuple[str, str], int] = defaultdict(int)
-        self._runs_of: Counter[str] = Counter()
+        self._running: dict[tuple[str, str], int] = defaultdict(int)
+        self._total_running: Counter[str] = Counter()
         for (instance, target), count in running.items():
-            self._runs[(instance, target.model)] += count
-            self._runs_of[instance] += count
+            self._running[(instance, target.model)] += count
+            self._total_running[instance] += count
 
     def _add(self, server: ServerLedger, now: float) -> None:
         room = server.room_reserved_for(now)
@@ -61,39 +61,39 @@
             self.available.update(ModelKey(held.name, adapter) for adapter in held.adapters)
         self.available.update(report.pending_adapters)
         for name in report.in_memory | report.on_disk:
-            self.copies.add(name, server)
-        for target in _coming(server):
+            self.cached_copies.add(name, server)
+        for target in _load_targets(server):
             self.available.add(target)
             if not target.adapter:
-                self.arriving.add(target.model, server)
+                self.loading.add(target.model, server)
 
     def server(self, instance: str) -> ServerLedger:
         """Return the server of that name."""
         return self._servers[instance]
 
-    def runs(self, instance: str, name: str) -> int:
+    def running_requests(self, instance: str, name: str) -> int:
         """Return how many requests run at a server for a model and its adapters."""
-        return self._runs.get((instance, name), 0)
+        return self._running.get((instance, name), 0)
 
-    def runs_of(self, instance: str) -> int:
+    def total_requests(self, instance: str) -> int:
         """Return how many requests run at a server, or wait there."""
-        return self._runs_of[instance]
+        return self._total_running[instance]
 
     def running_models(self) -> set[str]:
         """Return the models for which requests run."""
-        return {name for _, name in self._runs}
+        return {name for _, name in self._running}
 
-    def adapters_of(self, name: str) -> set[str]:
+    def loaded_adapters(self, name: str) -> set[str]:
         """Return the adapters of a model that some server has."""
-        held = (model for server in self.holders[name] for model in _held(server))
+        held = (model for server in self.holders[name] for model in _held_models(server))
         return {adapter for model in held if model.name == name for adapter in model.adapters}
 
 
-def _held(server: ServerLedger) -> Iterable[HeldModel]:
+def _held_models(server: ServerLedger) -> Iterable[HeldModel]:
     return () if server.report is None else server.report.held
 
 
-def _coming(server: ServerLedger) -> Iterable[ModelKey]:
+def _load_targets(server: ServerLedger) -> Iterable[ModelKey]:
     """Yield what a server is loading, or was just told to load."""
     order, operation = server.in_flight, server.operation
     if order is not None and order.kind is OrderKind.LOAD:
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -11,9 +11,9 @@
 from loomwind.placement.store_admission import StoreAdmission
 from loomwind.serving.views import ModelKey, ModelProfile, OrderKind
 
-NOTICE_SECONDS = 0.2
-UNKNOWN_BUSY_SECONDS = 0.5
-NO_LIMIT = 1_000_000
+ORDER_LATENCY_SECONDS = 0.2
+DEFAULT_BUSY_SECONDS = 0.5
+UNLIMITED_STORE_LOADS = 1_000_000
 
 
 class OrderPurpose(enum.Enum):
@@ -39,7 +39,7 @@
     target: ModelKey
     purpose: OrderPurpose
     from_store: bool = False
-    makes_way_for: str = ""
+    evicts_for: str = ""
 
 
 @attrs.frozen
@@ -60,8 +60,8 @@
     running: dict[tuple[str, ModelKey], int]
     now: float
     store_load_allowed: bool
-    may_stage: bool = False
-    store_loads_left: int = NO_LIMIT
+    staging_allowed: bool = False
+    store_loads_left: int = UNLIMITED_STORE_LOADS
     index: PlacementIndex = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -91,7 +91,7 @@
         """Return the servers that hold a model now."""
         return self.index.holders[name]
 
-    def held_by(self, server: ServerLedger) -> Iterator[str]:
+    def held_models(self, server: ServerLedger) -> Iterator[str]:
         """Yield the models that a server holds."""
         if server.report is not None:
             yield from (held.name for held in server.report.held)
@@ -102,7 +102,7 @@
 
     def __init__(
         self,
-        given: PlanInput,
+        inputs: PlanInput,
         callers: Mapping[str, float] | None = None,
         overloaded: Mapping[str, float] | None = None,
     ) -> None:
@@ -112,12 +112,12 @@
         :param overloaded: how many callers of a held model are beyond the places of its servers.
         """
         self.orders: list[PlannedOrder] = []
-        self._given = given
-        self._taken: set[str] = set()
-        self._reserved: dict[str, float] = {}
-        self._turns: dict[str, float] = {}
-        self._ordered: set[ModelKey] = set()
-        self._making_way: set[str] = set()
+        self._inputs = inputs
+        self._assigned: set[str] = set()
+        self._reserved_seconds: dict[str, float] = {}
+        self._reserved_ready_in: dict[str, float] = {}
+        self._ordered_loads: set[ModelKey] = set()
+        self._evicted_for: set[str] = set()
         missing = {
             name: count
             for name, count in (callers or {}).items()
@@ -126,105 +126,103 @@
         missing |= {
             name: count
             for name, count in (overloaded or {}).items()
-            if not given.index.arriving[name] and not self.has_reserved_room(name)
+            if not inputs.index.loading[name] and not self.has_reserved_memory(name)
         }
-        places = given.store_loads_left if given.store_load_allowed else 0
-        self._admission = StoreAdmission(places, missing)
+        slots = inputs.store_loads_left if inputs.store_load_allowed else 0
+        self._admission = StoreAdmission(slots, missing)
 
     def load(self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose) -> None:
         """Order a model or an adapter to be loaded."""
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
-        if from_store and server.room_reserved_for(self._given.now) != target.model:
-            self._admission.take_place()
+        if from_store and server.room_reserved_for(self._inputs.now) != target.model:
+            self._admission.acquire_slot()
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
     def unload(
-        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, makes_way_for: str = ""
+        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, evicts_for: str = ""
     ) -> None:
         """Order a model or an adapter to be unloaded."""
         instance = server.entry.instance
-        order = PlannedOrder(
-            instance, OrderKind.UNLOAD, target, purpose, makes_way_for=makes_way_for
-        )
-        if makes_way_for and server.loads_from_store(makes_way_for):
-            self._admission.take_place()
+        order = PlannedOrder(instance, OrderKind.UNLOAD, target, purpose, evicts_for=evicts_for)
+        if evicts_for and server.loads_from_store(evicts_for):
+            self._admission.acquire_slot()
         self._add(order)
 
-    def may_load_from_store(self, name: str) -> bool:
+    def can_load_from_store(self, name: str) -> bool:
         """Whether one more load from the weight store may be planned."""
         return self._admission.admits(name)
 
-    def pass_over(self, name: str) -> None:
+    def skip(self, name: str) -> None:
         """Leave a model's place to the next one: no server can take it now."""
-        self._admission.leave_out(name)
+        self._admission.discard(name)
 
-    def lacking(self) -> tuple[str, ...]:
+    def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
-        return self._admission.waiting()
+        return self._admission.models_needing_copy()
 
-    def may_use_room(self, server: ServerLedger, name: str) -> bool:
+    def can_use_reserved_memory(self, server: ServerLedger, name: str) -> bool:
         """Whether a model may be loaded where another one has made way for it.
 
         Its place has been taken already. One that is on its way elsewhere does not need it.
         """
         if not server.loads_from_store(name):
             return True
-        elsewhere = self._given.index.arriving[name] or ModelKey(name) in self._ordered
-        return self._given.store_load_allowed and not elsewhere
+        elsewhere = self._inputs.index.loading[name] or ModelKey(name) in self._ordered_loads
+        return self._inputs.store_load_allowed and not elsewhere
 
     def _add(self, order: PlannedOrder) -> None:
-        self._taken.add(order.instance)
+        self._assigned.add(order.instance)
         if order.kind is OrderKind.LOAD:
-            self._ordered.add(order.target)
-            self._admission.leave_out(order.target.model)
-        if order.makes_way_for:
-            self._making_way.add(order.makes_way_for)
-            self._admission.leave_out(order.makes_way_for)
+            self._ordered_loads.add(order.target)
+            self._admission.discard(order.target.model)
+        if order.evicts_for:
+            self._evicted_for.add(order.evicts_for)
+            self._admission.discard(order.evicts_for)
         self.orders.append(order)
 
     def reserve(self, server: ServerLedger, name: str) -> None:
         """Keep a turn of a busy server for a load of a model."""
         instance = server.entry.instance
         seconds = server.load_seconds(name)
-        self._admission.leave_out(name)
-        self._turns[name] = self.busy_seconds(server) + seconds
-        self._reserved[instance] = self._reserved.get(instance, 0.0) + seconds
+        self._admission.discard(name)
+        self._reserved_ready_in[name] = self.busy_seconds(server) + seconds
+        self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
-    def turn_in(self, name: str) -> float | None:
+    def reserved_load_ready_in(self, name: str) -> float | None:
         """Return the time until a model is loaded for which a turn is kept; None without one."""
-        return self._turns.get(name)
+        return self._reserved_ready_in.get(name)
 
-    def plans_load_of(self, name: str) -> bool:
+    def plans_load(self, name: str) -> bool:
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
-        return ModelKey(name) in self._ordered or self.has_reserved_room(name)
+        return ModelKey(name) in self._ordered_loads or self.has_reserved_memory(name)
 
     def is_free(self, server: ServerLedger) -> bool:
         """Whether a server can take an order now."""
-        if not server.idle or server.entry.instance in self._taken:
+        if not server.idle or server.entry.instance in self._assigned:
             return False
-        return server.quiet_until <= self._given.now
+        return server.quiet_until <= self._inputs.now
 
     def free_servers(self) -> list[ServerLedger]:
         """Return the servers that can take an order now."""
-        return [server for server in self._given.servers if self.is_free(server)]
+        return [server for server in self._inputs.servers if self.is_free(server)]
 
     def busy_seconds(self, server: ServerLedger) -> float:
         """Return the time until a server can begin another load."""
-        reserved = self._reserved.get(server.entry.instance, 0.0)
+        reserved = self._reserved_seconds.get(server.entry.instance, 0.0)
         if self.is_free(server):
             return reserved
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
-            return reserved + UNKNOWN_BUSY_SECONDS
-        return reserved + max(0.0, operation.done_at - self._given.now) + NOTICE_SECONDS
+            return reserved + DEFAULT_BUSY_SECONDS
+        return reserved + max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
 
     def is_available(self, target: ModelKey) -> bool:
         """Whether a target is held somewhere, or on its way."""
-        if target in self._given.index.available or target in self._ordered:
+        if target in self._inputs.index.available or target in self._ordered_loads:
             return True
-        return not target.adapter and self.has_reserved_room(target.model)
+        return not target.adapter and self.has_reserved_memory(target.model)
 
-    def has_reserved_room(self, name: str) -> bool:
+    def has_reserved_memory(self, name: str) -> bool:
         """Whether another model makes way for one, or will by this plan."""
-        return name in self._making_way or name in self._given.index.reserved
+        return name in self._evicted_for or name in self._inputs.index.reserved
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -2,67 +2,67 @@
 
 What is waited for comes first, the most urgent first. A model goes to the server where it costs
 least: the time until it is loaded there, from the nearest copy, and the worth of what has to make
-way. See :mod:`loomwind.placement.models` and :mod:`loomwind.placement.adapters`.
+way. See :mod:`loomwind.placement.model_planner` and :mod:`loomwind.placement.adapter_planner`.
 """
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.adapters import AdapterPlanner
+from loomwind.placement.adapter_planner import AdapterPlanner
+from loomwind.placement.cost_model import CostModel
 from loomwind.placement.demand_view import Want
-from loomwind.placement.models import ModelPlanner
-from loomwind.placement.outlook import Outlook
-from loomwind.placement.overload import callers_without_place
+from loomwind.placement.model_planner import ModelPlanner
+from loomwind.placement.overload import excess_callers
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
-from loomwind.placement.valuation import Valuation
+from loomwind.placement.readiness import ReadinessEstimator
 from loomwind.serving.expectations import ExpectedTarget
 from loomwind.serving.views import ModelKey
 
-FREE_FOR_COPIES = 2
-SPARE_SECONDS = 0.8
+MIN_FREE_SERVERS_FOR_COPIES = 2
+SLACK_MARGIN_SECONDS = 0.8
 
 
 class Planner:
     """Makes the orders of one step."""
 
-    def __init__(self, given: PlanInput) -> None:
-        wants = [w for w in given.demand.wants(given.now) if w.key.service == given.service]
-        self._given = given
+    def __init__(self, inputs: PlanInput) -> None:
+        wants = [w for w in inputs.demand.wants(inputs.now) if w.key.service == inputs.service]
+        self._inputs = inputs
         self._wants = wants
-        self._overloaded = callers_without_place(given, given.index.running_models())
-        callers = given.demand.callers(wants, given.now)
-        self._draft = DraftPlan(given, callers, self._overloaded)
-        valuation = Valuation(given, wants, self._draft)
-        self._adapters = AdapterPlanner(given, wants, self._draft, valuation)
-        self._models = ModelPlanner(given, self._draft, valuation, self._adapters)
+        self._overloaded = excess_callers(inputs, inputs.index.running_models())
+        callers = inputs.demand.callers(wants, inputs.now)
+        self._draft = DraftPlan(inputs, callers, self._overloaded)
+        cost_model = CostModel(inputs, wants, self._draft)
+        self._adapters = AdapterPlanner(inputs, wants, self._draft, cost_model)
+        self._models = ModelPlanner(inputs, self._draft, cost_model, self._adapters)
 
     def plan(self) -> list[PlannedOrder]:
         """Return the orders, at most one for each server."""
-        self._models.use_reserved_room()
-        self._models.plan_copies_of(self._overloaded)
+        self._models.load_into_reserved_memory()
+        self._models.plan_overload_copies(self._overloaded)
         for want in self._wants:
             if self._is_urgent(want):
                 self._plan_want(want)
-        if len(self._draft.free_servers()) >= FREE_FOR_COPIES:
+        if len(self._draft.free_servers()) >= MIN_FREE_SERVERS_FOR_COPIES:
             self._models.plan_second_copies()
-        relaxed = [want for want in self._wants if not self._is_urgent(want)]
-        for want in sorted(relaxed, key=self._relaxed_order):
+        deferrable = [want for want in self._wants if not self._is_urgent(want)]
+        for want in sorted(deferrable, key=self._deferrable_sort_key):
             self._plan_want(want)
-        self._models.bring_queued()
+        self._models.retry_queued()
         self._models.plan_second_copies()
-        self._adapters.fill_all()
-        if self._given.may_stage:
-            self._models.stage()
+        self._adapters.prefetch_all()
+        if self._inputs.staging_allowed:
+            self._models.plan_staging()
         return self._draft.orders
 
-    def lacking(self) -> tuple[str, ...]:
+    def models_needing_copy(self) -> tuple[str, ...]:
         """Return the models that lack a copy; the one that is brought next comes first."""
-        return self._draft.lacking()
+        return self._draft.models_needing_copy()
 
     def expectations(self) -> tuple[ExpectedTarget, ...]:
         """Return when what requests wait for should be ready, by the plan that was made."""
-        outlook = Outlook(self._given, self._draft, self._models.queue())
+        readiness = ReadinessEstimator(self._inputs, self._draft, self._models.queue())
         expected = []
         for want in self._wants:
-            ready_in = outlook.ready_in(want.key.target) if want.waiting else None
+            ready_in = readiness.ready_in(want.key.target) if want.waiting else None
             if ready_in is not None:
                 expected.append(ExpectedTarget(want.key, ready_in * MS_PER_SECOND))
         return tuple(expected)
@@ -70,27 +70,27 @@
     def _plan_want(self, want: Want) -> None:
         target = want.key.target
         if not self._draft.is_available(ModelKey(target.model)):
-            self._models.bring(target.model, self._may_wait(want))
+            self._models.plan_load(target.model, self._can_wait(want))
         elif target.adapter and not self._draft.is_available(target):
-            self._adapters.bring(target)
+            self._adapters.plan_load(target)
 
     def _load_seconds(self, want: Want) -> float:
         """Return the longest time that a load for a want takes."""
-        for server in self._given.servers:
+        for server in self._inputs.servers:
             model = server.profile.model(want.key.target.model)
             if model is not None:
                 return model.load_seconds
         return 0.0
 
-    def _may_wait(self, want: Want) -> bool:
+    def _can_wait(self, want: Want) -> bool:
         """Whether a want's objective can be met by a load that begins a while later."""
-        return want.slack_seconds >= self._load_seconds(want) + SPARE_SECONDS
+        return want.slack_seconds >= self._load_seconds(want) + SLACK_MARGIN_SECONDS
 
     def _is_urgent(self, want: Want) -> bool:
         """Whether a load is longer than the objective: each moment of it counts."""
         return want.urgency_seconds < self._load_seconds(want)
 
-    def _relaxed_order(self, want: Want) -> tuple[bool, float]:
+    def _deferrable_sort_key(self, want: Want) -> tuple[bool, float]:
         """Order wants whose objective can still be met before the others, the oldest first."""
         in_time = want.slack_seconds >= self._load_seconds(want)
         return (not in_time, want.slack_seconds)
--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -4,10 +4,10 @@
 
 FAILURE_DECAY = 0.8
 OPEN_AFTER_FAILURES = 2
-FIRST_OPEN_SECONDS = 0.7
-LONGEST_OPEN_SECONDS = 4.0
-UNREACHABLE_SECONDS = 0.6
-SUSPECT_SILENCE_SECONDS = 0.7
+INITIAL_OPEN_SECONDS = 0.7
+MAX_OPEN_SECONDS = 4.0
+INITIAL_UNREACHABLE_SECONDS = 0.6
+SUSPECT_AFTER_SECONDS = 0.7
 
 
 class ServerHealth:
@@ -25,28 +25,28 @@
         """
         self._on_heard = on_heard
         self.in_flight = 0
-        self.heard_at = float("-inf")
-        self.error_share = 0.0
+        self.last_received_at = float("-inf")
+        self.error_rate = 0.0
         self._failures = 0
         self._open_until = 0.0
         self._unreachable_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
-        self._open_seconds = FIRST_OPEN_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
+        self._open_seconds = INITIAL_OPEN_SECONDS
         self._silent_since: float | None = None
 
-    def sent(self, now: float) -> None:
+    def note_sent(self, now: float) -> None:
         """A request goes to the server."""
         self.in_flight += 1
         if self._silent_since is None:
             self._silent_since = now
 
-    def heard(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Something has come from the server."""
-        self.heard_at = now
+        self.last_received_at = now
         self._on_heard(now)
         self._silent_since = now
 
-    def ended(self) -> None:
+    def note_ended(self) -> None:
         """A request that was sent has ended."""
         self.in_flight -= 1
         if self.in_flight == 0:
@@ -55,19 +55,19 @@
     def is_suspect(self, now: float) -> bool:
         """Whether requests are there and nothing has come for a while, on any connection."""
         since = self._silent_since
-        return since is not None and now - since > SUSPECT_SILENCE_SECONDS
+        return since is not None and now - since > SUSPECT_AFTER_SECONDS
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """Note a good answer."""
-        self.error_share *= FAILURE_DECAY
+        self.error_rate *= FAILURE_DECAY
         self._failures = 0
-        self._open_seconds = FIRST_OPEN_SECONDS
+        self._open_seconds = INITIAL_OPEN_SECONDS
         self._open_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
-    def failed(self, now: float) -> bool:
+    def note_failure(self, now: float) -> bool:
         """Note a failure; returns whether the breaker opened by it."""
-        self.error_share = self.error_share * FAILURE_DECAY + (1 - FAILURE_DECAY)
+        self.error_rate = self.error_rate * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self._failures += 1
         if self._failures < OPEN_AFTER_FAILURES:
             return False
@@ -78,19 +78,19 @@
         was_closed = not self.is_open(now)
         if was_closed:
             self._open_until = now + self._open_seconds
-            self._open_seconds = min(2 * self._open_seconds, LONGEST_OPEN_SECONDS)
+            self._open_seconds = min(2 * self._open_seconds, MAX_OPEN_SECONDS)
         return was_closed
 
     def note_unreachable(self, now: float) -> None:
         """No connection could be made: send nothing at all for a while."""
         if not self.is_unreachable(now):
             self._unreachable_until = now + self._unreachable_seconds
-            self._unreachable_seconds = min(2 * self._unreachable_seconds, LONGEST_OPEN_SECONDS)
+            self._unreachable_seconds = min(2 * self._unreachable_seconds, MAX_OPEN_SECONDS)
 
     def note_reachable(self) -> None:
         """Connections may be made again."""
         self._unreachable_until = 0.0
-        self._unreachable_seconds = UNREACHABLE_SECONDS
+        self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
     def is_unreachable(self, now: float) -> bool:
         """Whether no connection could be made a moment ago."""
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -1,7 +1,7 @@
 """Answers callers: finds the route of each request, and turns its end into one final answer.
 
 The filters of a request in order: read (HTTP layer), route, and then
-:class:`loomwind.serving.request_run.RequestRun`: wait for a server, send, relay.
+:class:`loomwind.serving.request_lifecycle.RequestRun`: wait for a server, send, relay.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from loomwind.logs import log_decision
 from loomwind.metrics import Metrics
 from loomwind.serving.demand import DemandKey
-from loomwind.serving.errors import RETRY_SOON_SECONDS, Refused, RelayDeclined, StreamCut
+from loomwind.serving.errors import RETRY_SOON_SECONDS, Refused, RelayDeclined, StreamTruncated
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.pool import ServerPool
@@ -22,10 +22,10 @@
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.relay_protocol import RelayTerms
 from loomwind.serving.replicated_state import ReplicatedState
-from loomwind.serving.request_run import RequestRun
+from loomwind.serving.request_lifecycle import RequestLifecycle
 from loomwind.serving.views import CallerRequest, ServerEntry
 
-UNKNOWN_LOAD_MS = 5000.0
+DEFAULT_LOAD_MS = 5000.0
 
 
 class RequestHandler:
@@ -55,8 +55,8 @@
         self.relay = relay
         self.prompts = prompts
         self.open_requests = 0
-        self.limits: set[asyncio.Timeout] = set()
-        self.refuses_waiting = False
+        self.timeouts: set[asyncio.Timeout] = set()
+        self.rejects_waiting = False
 
     @staticmethod
     def now() -> float:
@@ -67,13 +67,13 @@
         """Return the version of the configuration in force; 0 for none."""
         return self._replicated_state.configuration_version
 
-    def usual_load_ms(self, key: DemandKey) -> float:
+    def expected_load_ms(self, key: DemandKey) -> float:
         """Return how long a load of a target's model takes when nothing stands before it."""
         configuration = self._replicated_state.configuration
         service = configuration.service(key.service) if configuration else None
         engine = service.engine if service else None
         model = engine.model(key.target.model) if engine else None
-        return model.load_seconds * MS_PER_SECOND if model else UNKNOWN_LOAD_MS
+        return model.load_seconds * MS_PER_SECOND if model else DEFAULT_LOAD_MS
 
     def observe_list_age(self) -> None:
         """Note how old the list of servers is as one is chosen from it."""
@@ -85,15 +85,15 @@
         """Count what became of a send to a server."""
         self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
 
-    def refuse_waiting(self) -> None:
+    def reject_waiting(self) -> None:
         """Refuse requests that wait for a model, now and from now on: this daemon leaves."""
-        self.refuses_waiting = True
+        self.rejects_waiting = True
         self.pool.demand.wake()
 
-    def end_all(self) -> None:
+    def end_all_requests(self) -> None:
         """Give each request that is in progress its final answer now."""
-        for limit in self.limits:
-            limit.reschedule(self.now())
+        for timeout in self.timeouts:
+            timeout.reschedule(self.now())
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -115,11 +115,11 @@
             return
         caller = self.dialect.read_request(request)
         try:
-            await self.run(exchange, request, caller)
+            await self.route_request(exchange, request, caller)
             self.metrics.answered.inc()
         except Refused as refusal:
             await self._refuse(exchange, caller, refusal)
-        except StreamCut as cut:
+        except StreamTruncated as cut:
             log_decision("cut", caller.request_id, reason=str(cut))
             self.metrics.refused.labels("answer-cut-short", "partial").inc()
             exchange.abort()
@@ -130,7 +130,7 @@
             log_decision("failed", caller.request_id, reason=repr(error))
             exchange.abort()
 
-    async def run(
+    async def route_request(
         self,
         exchange: Exchange,
         request: HttpRequest,
@@ -142,7 +142,7 @@
         :param relayed: given for a request that a peer could not serve itself.
         :raises Refused: it gets a daemon's own answer.
         :raises RelayDeclined: another daemon may serve a peer's request better.
-        :raises StreamCut: its stream has begun and cannot be completed.
+        :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         routes = self._replicated_state.routes
         if routes is None:
@@ -151,10 +151,10 @@
         if route is None:
             detail = f"no route; configuration {routes.configuration.version}"
             raise Refused(404, detail) if relayed is None else RelayDeclined(detail)
-        service = routes.service_of(route)
+        service = routes.next_service(route)
         if relayed is not None and self.pool.reach_of(service).is_cut:
             raise RelayDeclined("no server is reached from here")
-        await RequestRun(self, exchange, request, caller, route, service, relayed).serve()
+        await RequestLifecycle(self, exchange, request, caller, route, service, relayed).serve()
 
     async def _refuse(self, exchange: Exchange, caller: CallerRequest, refusal: Refused) -> None:
         outcome = "not-run" if refusal.status in (404, 503) else "unknown"
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -142,7 +142,7 @@
         elif not failure.ran and target is not None:
             self.residency.note_refused(entry.instance, target, now)
         elif failure.at_fault:
-            self.health(entry).failed(now)
+            self.health(entry).note_failure(now)
 
     def update_holdings(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -7,7 +7,7 @@
 from loomwind.http.messages import HttpRequest
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
-from loomwind.serving.errors import Refused, RelayDeclined, StreamCut
+from loomwind.serving.errors import Refused, RelayDeclined, StreamTruncated
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.relay_protocol import (
     RelayEnd,
@@ -54,7 +54,7 @@
             terms = read_terms(request)
         except ValueError as error:
             raise RelayDeclined("it carries no terms") from error
-        if self._handler.refuses_waiting:
+        if self._handler.rejects_waiting:
             raise RelayDeclined("this daemon is leaving")
         if self._handler.configuration_version() < terms.configuration_version:
             raise RelayDeclined("the configuration here is older")
@@ -67,7 +67,7 @@
         caller = self._handler.dialect.read_request(request)
         end = "served"
         try:
-            await self._handler.run(exchange, request, caller, terms)
+            await self._handler.route_request(exchange, request, caller, terms)
         except RelayDeclined as declined:
             end = "declined"
             await self._decline(exchange, declined)
@@ -75,7 +75,7 @@
             end = "refused"
             headers = end_headers(RelayEnd.REFUSED, refusal.retry_after_seconds)
             await exchange.respond(refusal.status, headers, str(refusal).encode())
-        except StreamCut as cut:
+        except StreamTruncated as cut:
             end = "cut"
             log_decision("cut", caller.request_id, reason=str(cut))
             exchange.abort()
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_selector.py
@@ -3,13 +3,13 @@
 import random
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.serving.choose import Candidate, choose
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.pool import ServerPool
+from loomwind.serving.server_cost import Candidate, lowest_cost
 from loomwind.serving.views import CallerRequest, ServerEntry
 
 
-class ServerChoice:
+class ServerSelector:
     """The choices of one request.
 
     :ivar tried: the servers that it was sent to, by instance.
@@ -33,14 +33,14 @@
 
     def choose(self, now: float) -> ServerEntry | None:
         """Return a server to send to now, or None when no server can run the request."""
-        found = [self._candidate(entry, now) for entry in self._able(now)]
+        found = [self._candidate(entry, now) for entry in self._eligible(now)]
         noise = [random.random() for _ in found]
-        chosen = choose(found, self._zone, self._cache_key(), noise)
+        chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
         self._candidates = found
         return chosen.entry if chosen else None
 
-    def _able(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_cut and (proven := self._proven(now)):
+    def _eligible(self, now: float) -> list[ServerEntry]:
+        if self._reach.is_cut and (proven := self._responsive_idle(now)):
             return proven
         return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
@@ -49,7 +49,7 @@
         return Candidate(
             entry,
             health.in_flight,
-            health.error_share,
+            health.error_rate,
             health.is_open(now) or health.is_suspect(now),
             entry.instance in self.tried,
             self._forwarder.has_idle_connection(entry),
@@ -57,9 +57,9 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Whether servers accept no connection, and none of those that are open can be used."""
-        return self._reach.is_cut and not self._proven(now)
+        return self._reach.is_cut and not self._responsive_idle(now)
 
-    def _proven(self, now: float) -> list[ServerEntry]:
+    def _responsive_idle(self, now: float) -> list[ServerEntry]:
         """Return the servers from which something has come, on connections that are idle now, since
         new ones have failed.
         """
@@ -67,7 +67,7 @@
         return [
             entry
             for entry in self._pool.candidates(self._service, self._caller.target, now)
-            if self._pool.health(entry).heard_at > since
+            if self._pool.health(entry).last_received_at > since
             and self._forwarder.has_idle_connection(entry)
         ]
 
