--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -21,9 +21,8 @@
 from loomwind.peering.transport import PeerTransport
 from loomwind.placement.controller import PlacementController
 from loomwind.serving.anti_entropy import AntiEntropy
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
-from loomwind.serving.configuration_pace import ConfigurationPace
+from loomwind.serving.configuration_polling import ConfigurationPolling
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
@@ -35,10 +34,11 @@
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.ports import Dialect, Documents, EngineControl, Store
+from loomwind.serving.ports import Dialect, DocumentParser, EngineControl, Store
 from loomwind.serving.prompt_guard import PromptGuard
 from loomwind.serving.reach_probe import ReachProbe
 from loomwind.serving.relay_service import RelayService
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings, ListenSettings, Settings, StoreSettings
 
@@ -60,7 +60,7 @@
     """The adapters that one deployment needs."""
 
     store: Store
-    documents: Documents
+    documents: DocumentParser
     dialect: Dialect
     engine_control: EngineControl
 
@@ -87,7 +87,7 @@
 class PoolDaemon:
     """One daemon. Call :meth:`start`, and later :meth:`stop`.
 
-    :ivar beliefs: the configuration and the servers, as this daemon knows them.
+    :ivar replicated_state: the configuration and the servers, as this daemon knows them.
     :ivar callers: what callers reach.
     """
 
@@ -114,8 +114,10 @@
         self._store = store
         self._health = StoreHealth()
         self._pool = ServerPool(settings.bounds)
-        self.metrics.cut_from_servers.set_function(lambda: float(bool(self._pool.cut_services())))
-        self.beliefs = Beliefs(
+        self.metrics.cut_from_servers.set_function(
+            lambda: float(bool(self._pool.unreachable_services()))
+        )
+        self.replicated_state = ReplicatedState(
             deployment.documents, store.configuration_key, self._pool, self._health, self.metrics
         )
         duration = _lease_seconds(settings.bounds)
@@ -135,16 +137,16 @@
             self._pool,
             _relay_address(settings.listen),
         )
-        pace = ConfigurationPace(self._peers, lambda: self.settings.bounds)
+        polling = ConfigurationPolling(self._peers, lambda: self.settings.bounds)
         self._followers = (
             TableFollower(
                 store,
                 store.configuration_table,
                 self._health,
-                self.beliefs.on_configuration_rows,
-                pace.rest_seconds,
+                self.replicated_state.on_configuration_rows,
+                polling.pause_seconds,
                 self._peers.retry_seconds,
-                pace.wait_seconds,
+                polling.wait_seconds,
             ),
             TableFollower(
                 store,
@@ -159,7 +161,7 @@
             store,
             store.server_table,
             self._health,
-            self.beliefs.on_server_rows,
+            self.replicated_state.on_server_rows,
             longest_retry_seconds=self._peers.retry_seconds,
         )
 
@@ -183,24 +185,24 @@
             self._servers,
             self._transport,
             self._peers,
-            self.beliefs,
+            self.replicated_state,
             self.settings.bounds,
         )
         self._prompts = PromptGuard(self._own.address, self._transport, self._peers)
         self._configurations = ConfigurationGossip(
-            self._own.address, self._transport, self._peers, self.beliefs
+            self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._anti_entropy = AntiEntropy(
             self._own.address,
             self._transport,
             self._peers,
-            self.beliefs,
+            self.replicated_state,
             self._health,
             self._prompts,
             self._configurations,
         )
         self._gossip = DepartureGossip(
-            self._own.address, self._transport, self._peers, self.beliefs
+            self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._exchange = PeerExchange(
             self._own,
@@ -208,7 +210,7 @@
             self._peers,
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             self._health,
             self._watch,
             self._server_list,
@@ -223,7 +225,7 @@
             self.settings.name,
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             deployment.engine_control,
             self._exchange,
             self.settings.bounds,
@@ -233,7 +235,7 @@
         self._leader_reach = LeaderReach(
             self._election,
             self._pool,
-            self.beliefs,
+            self.replicated_state,
             self._exchange,
             self._controller.finish_orders,
         )
@@ -244,9 +246,9 @@
     def _make_servers(self, deployment: Deployment) -> None:
         """Make what callers and questioners reach."""
         forwarder = Forwarder(
-            self._client, deployment.dialect, self._pool.reach_of, self._pool.gets_work
+            self._client, deployment.dialect, self._pool.reach_of, self._pool.accepts_requests
         )
-        self._client.on_idle_broken = self._pool.note_broken
+        self._client.on_idle_broken = self._pool.note_broken_connection
         self._probe = ReachProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
@@ -254,7 +256,7 @@
             forwarder,
             deployment.dialect,
             self.metrics,
-            self.beliefs,
+            self.replicated_state,
             PeerRelay(
                 self.settings.zone,
                 self._peers,
@@ -270,7 +272,7 @@
         self.callers = HttpServer(self._on_request)
         self._ready = HttpServer(self._on_ready_question)
         self._admin = AdminServer(self.metrics, self.is_ready)
-        self.beliefs.configuration_listeners.append(self._limit_callers)
+        self.replicated_state.configuration_listeners.append(self._limit_callers)
 
     async def start(self) -> None:
         """Listen, and serve as soon as a configuration and servers are known."""
@@ -309,7 +311,7 @@
 
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        known = self.beliefs.routes is not None and bool(self._pool.directory.entries())
+        known = self.replicated_state.routes is not None and bool(self._pool.directory.entries())
         return known and not self.stopping
 
     async def _on_request(self, exchange: Exchange) -> None:
@@ -320,7 +322,7 @@
 
     def _limit_callers(self) -> None:
         """Hold open connections, too, to the limits of the configuration that is in force now."""
-        limits = self.beliefs.limits
+        limits = self.replicated_state.limits
         self.callers.limits = limits
         self._relayed.limits = msgspec.structs.replace(
             limits, max_head_bytes=limits.max_head_bytes + RELAY_HEAD_BYTES
@@ -351,7 +353,7 @@
 
     @_take_up.register
     def _(self, section: StoreSettings) -> bool:
-        self._store.move(section.address, section.timeout_seconds)
+        self._store.set_address(section.address, section.timeout_seconds)
         return True
 
     async def stop(self) -> None:
--- a/loomwind/serving/beliefs.py
+++ b/loomwind/serving/replicated_state.py
@@ -26,7 +26,7 @@
 from loomwind.metrics import Metrics
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.ports import Documents, MalformedDocument, Snapshot
+from loomwind.serving.ports import DocumentParser, MalformedDocument, Snapshot
 from loomwind.serving.routes import RouteTable
 from loomwind.serving.views import Configuration, ServerEntry, ServerState
 
@@ -54,7 +54,7 @@
     teller: str = ""
 
 
-class Beliefs:
+class ReplicatedState:
     """Configuration and servers of one daemon.
 
     :ivar routes: the routes in force; None before a configuration is known.
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        documents: Documents,
+        documents: DocumentParser,
         configuration_key: str,
         pool: ServerPool,
         health: StoreHealth,
@@ -105,7 +105,7 @@
         """Take in rows of the configuration's table."""
         source = Source.TABLE if whole else Source.FEED
         for row in snapshot.rows:
-            if row.key == self._configuration_key and not row.gone:
+            if row.key == self._configuration_key and not row.deleted:
                 self._apply(row.value, Origin(source, row.version))
 
     def on_configuration_copy(self, copy: ConfigurationCopy, teller: str) -> None:
@@ -126,7 +126,7 @@
         """Put a configuration in force, unless one as new is in force already."""
         source = origin.source.value
         try:
-            configuration = self._documents.configuration(document)
+            configuration = self._documents.parse_configuration(document)
         except MalformedDocument as error:
             log_state("configuration", "unreadable", error=str(error), source=source)
             return
@@ -159,13 +159,13 @@
 
     def on_server_rows(self, snapshot: Snapshot, whole: bool) -> None:
         """Take in rows of the servers' table."""
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         origin = Origin(Source.TABLE if whole else Source.FEED, snapshot.version)
         if whole:
-            listed = {row.key for row in snapshot.rows if not row.gone}
+            listed = {row.key for row in snapshot.rows if not row.deleted}
             self._drop_all_but(listed, trouble, origin)
         for row in snapshot.rows:
-            if row.gone:
+            if row.deleted:
                 self._drop(row.key, trouble, origin)
             else:
                 self._put(row.key, row.value, origin)
@@ -178,7 +178,7 @@
         """
         if copy.version <= self.server_version:
             return
-        trouble = copy.store_in_trouble or self._health.in_trouble(self._now())
+        trouble = copy.store_in_trouble or self._health.recently_failed(self._now())
         origin = Origin(Source.PEER, copy.version, teller)
         self._drop_all_but(copy.listed, trouble, origin)
         for server in copy.servers:
@@ -190,7 +190,7 @@
 
         That an entry has gone says nothing to a daemon that knows the store to be in trouble.
         """
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         for departure in notice.departures:
             if trouble and not departure.listed:
                 continue
@@ -234,7 +234,7 @@
         """Return what a peer lacks that the store does not serve; None when this daemon is no
         better off.
         """
-        if self._health.answering_since is None:
+        if self._health.available_since is None:
             return None
         return self.directory_changes(than_version)
 
@@ -250,7 +250,7 @@
             for name, raw in self._server_documents.items()
             if self._server_changes[name] > than_version
         )
-        trouble = self._health.in_trouble(self._now())
+        trouble = self._health.recently_failed(self._now())
         listed = tuple(self._server_documents)
         return DirectoryCopy(self.server_version, listed, changed, trouble)
 
@@ -302,7 +302,7 @@
 
     def _put(self, name: str, document: bytes, origin: Origin) -> None:
         try:
-            entry = self._documents.server(name, document)
+            entry = self._documents.parse_server(name, document)
         except MalformedDocument as error:
             log_state("server", "unreadable", server=name, error=str(error))
             if name in self._server_documents:
--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -42,7 +42,7 @@
     def _eligible(self, now: float) -> list[ServerEntry]:
         if self._reach.is_cut and (proven := self._responsive_idle(now)):
             return proven
-        return self._pool.able(self._service, self._caller.target, now)
+        return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
     def _candidate(self, entry: ServerEntry, now: float) -> Candidate:
         health = self._pool.health(entry)
@@ -64,14 +64,14 @@
         since = self._reach.failing_since_ms / MS_PER_SECOND
         return [
             entry
-            for entry in self._pool.holders(self._service, self._caller.target, now)
+            for entry in self._pool.candidates(self._service, self._caller.target, now)
             if self._pool.health(entry).last_received_at > since
             and self._forwarder.has_idle_connection(entry)
         ]
 
     def has_other(self, entry: ServerEntry, now: float) -> bool:
         """Whether a server other than ``entry`` could run the request."""
-        others = self._pool.able(self._service, self._caller.target, now)
+        others = self._pool.reachable_candidates(self._service, self._caller.target, now)
         return any(other.instance != entry.instance for other in others)
 
     def passed_over(self, server: str) -> list[str]:
