--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -59,7 +59,7 @@
         """Create a forwarder.
 
         :param reach_of: returns the tracker of a service that records the result of each connect.
-        :param accepts_requests: whether a server may still get requests; checked after it is connected.
+        :param accepts_requests: whether a server may get requests; checked once it is connected.
         """
         self._client = client
         self._dialect = dialect
