--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -170,19 +170,19 @@
 @given("a server that has two requests of this daemon since {now:f} s")
 def step_two_requests(context: Any, now: float) -> None:
     context.health = ServerHealth()
-    context.health.note_sent(now)
-    context.health.note_sent(now + 0.2)
+    context.health.record_sent(now)
+    context.health.record_sent(now + 0.2)
 
 
 @when("something comes from it at {now:f} s")
 def step_heard(context: Any, now: float) -> None:
-    context.health.note_received(now)
+    context.health.record_received(now)
 
 
 @when("both requests have ended")
 def step_ended(context: Any) -> None:
-    context.health.note_ended()
-    context.health.note_ended()
+    context.health.record_ended()
+    context.health.record_ended()
 
 
 @then("it is suspect at {late:f} s, and not at {early:f} s")
--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -34,19 +34,19 @@
         self._open_seconds = INITIAL_OPEN_SECONDS
         self._silent_since: float | None = None
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a request is sent to the server."""
         self.in_flight += 1
         if self._silent_since is None:
             self._silent_since = now
 
-    def note_received(self, now: float) -> None:
+    def record_received(self, now: float) -> None:
         """Record that data has come from the server."""
         self.last_received_at = now
         self._on_heard(now)
         self._silent_since = now
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Record that a request at the server has ended, with any outcome."""
         self.in_flight -= 1
         if self.in_flight == 0:
@@ -57,7 +57,7 @@
         since = self._silent_since
         return since is not None and now - since > SUSPECT_AFTER_SECONDS
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record a successful response, which closes the breaker."""
         self.error_rate *= FAILURE_DECAY
         self._failures = 0
@@ -81,13 +81,13 @@
             self._open_seconds = min(2 * self._open_seconds, MAX_OPEN_SECONDS)
         return was_closed
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Record a failed connect: the server gets no requests for a while."""
         if not self.is_unreachable(now):
             self._unreachable_until = now + self._unreachable_seconds
             self._unreachable_seconds = min(2 * self._unreachable_seconds, MAX_OPEN_SECONDS)
 
-    def note_reachable(self) -> None:
+    def record_reachable(self) -> None:
         """Record that connects may be tried again."""
         self._unreachable_until = 0.0
         self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -138,11 +138,11 @@
         elif failure.missing_target and target is not None:
             self.residency.note_absent(entry.instance, target, now)
         elif failure.unreachable:
-            self.health(entry).note_unreachable(now)
+            self.health(entry).record_unreachable(now)
         elif not failure.ran and target is not None:
             self.residency.note_refused(entry.instance, target, now)
         elif failure.at_fault:
-            self.health(entry).note_failure(now)
+            self.health(entry).record_failure(now)
 
     def update_holdings(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
@@ -164,7 +164,7 @@
     def _forget_unreachable(self, service: str) -> None:
         """Forget which servers accepted no connection: the fault was on this daemon's side."""
         for entry in self.directory.usable(service, self.now()):
-            self.health(entry).note_reachable()
+            self.health(entry).record_reachable()
         self.demand.wake()
 
     def refresh(self) -> None:
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -331,16 +331,16 @@
         self._handler.observe_list_age()
         target = self._caller.target
         health = self._pool.health(entry)
-        health.note_sent(self._handler.now())
+        health.record_sent(self._handler.now())
         if target is not None:
             self._pool.demand.begin_run(entry.instance, target)
         try:
             await self._exchange_with_server(entry)
         finally:
-            health.note_ended()
+            health.record_ended()
             if target is not None:
                 self._pool.demand.end_run(entry.instance, target)
-        health.note_success()
+        health.record_success()
         self._handler.count_send(entry, SERVED)
 
     async def _exchange_with_server(self, entry: ServerEntry) -> None:
@@ -358,7 +358,7 @@
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
-        self._pool.health(entry).note_received(self._handler.now())
+        self._pool.health(entry).record_received(self._handler.now())
         if body is None:
             await self._stream.relay(entry, answer, self._pool.health(entry))
             self._handler.prompts.note_answered(self._caller)
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -69,7 +69,7 @@
             stream_gaps = StreamGaps()
             while chunk := await self._next_chunk(entry, answer):
                 now = self._now()
-                health.note_received(now)
+                health.record_received(now)
                 stream_gaps.note_event(now * MS_PER_SECOND)
                 first = self.events == 0
                 await self._exchange.send(self._cutter.feed(chunk))
