--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -65,7 +65,7 @@
         self._open_until = 0.0
         self._unreachable_seconds = INITIAL_UNREACHABLE_SECONDS
 
-    def note_failure(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Record a failure; returns whether it opened the breaker."""
         self.error_rate = self.error_rate * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self._failures += 1
