--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -49,7 +49,7 @@
             if abs(now - restart) < STEP_SECONDS / 2:
                 budget = fresh_budget(context)
             if step % int(1 / (rate * STEP_SECONDS) or 1) == 0:
-                budget.note_request(now)
+                budget.record_request(now)
                 context.requests.append(now)
             while budget.try_spend(now):
                 context.repeats.append(now)
--- a/loomwind/serving/budget.py
+++ b/loomwind/serving/budget.py
@@ -32,7 +32,7 @@
         self._allowance = allowance
         self._window_seconds = window_seconds
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request from a caller, not a retry."""
         self._request_times.append(now)
         self._evict_expired(now)
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -114,7 +114,7 @@
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
-            self._pool.retry_budget(self._service).note_request(self._arrived_at)
+            self._pool.retry_budget(self._service).record_request(self._arrived_at)
         timeout = asyncio.timeout_at(self._request.deadline - DEADLINE_MARGIN_SECONDS)
         self._handler.timeouts.add(timeout)
         try:
--- a/loomwind/serving/stream_gaps.py
+++ b/loomwind/serving/stream_gaps.py
@@ -11,7 +11,7 @@
         self.longest_ms = 0.0
         self._last_ms: float | None = None
 
-    def note_event(self, now_ms: float) -> None:
+    def record_event(self, now_ms: float) -> None:
         """Record that one or more events have arrived."""
         if self._last_ms is not None:
             self.longest_ms = max(self.longest_ms, now_ms - self._last_ms)
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -70,7 +70,7 @@
             while chunk := await self._next_chunk(entry, answer):
                 now = self._now()
                 health.record_received(now)
-                stream_gaps.note_event(now * MS_PER_SECOND)
+                stream_gaps.record_event(now * MS_PER_SECOND)
                 first = self.events == 0
                 await self._exchange.send(self._cutter.feed(chunk))
                 if first and self.events:
