--- a/features/steps/prompt_suspicion_steps.py
+++ b/features/steps/prompt_suspicion_steps.py
@@ -22,14 +22,14 @@
         crash = Crash(next(context.instances), float(text))
         for position, identity in enumerate((first, second)):
             part = SharedPart(identity, position)
-            context.suspicions.note_crash(part, crash, crash.at_ms)
+            context.suspicions.record_crash(part, crash, crash.at_ms)
         context.suspicions.ban_suspects(crash.at_ms)
         context.now_ms = crash.at_ms
 
 
 @when("a request with {first:w} and {second:w} is answered whole at {at_ms:d} ms")
 def step_answered(context: Any, first: str, second: str, at_ms: int) -> None:
-    context.suspicions.note_answered((first, second), float(at_ms))
+    context.suspicions.record_answered((first, second), float(at_ms))
 
 
 @then("{identity:w} is banned")
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -41,7 +41,7 @@
         """Whether a request that was interrupted may be retried at another server."""
         return self._suspicions.may_retry(_shared_parts(caller))
 
-    def note_crash(self, caller: CallerRequest, instance: str) -> None:
+    def record_crash(self, caller: CallerRequest, instance: str) -> None:
         """Record that a server crashed when it began to respond to a request."""
         crashes = (
             PromptCrash(identity, position, instance, 0.0)
@@ -49,7 +49,7 @@
         )
         self._add_crashes(crashes)
 
-    def note_answered(self, caller: CallerRequest) -> None:
+    def record_answered(self, caller: CallerRequest) -> None:
         """Record that a request was answered completely."""
         self._add_answered(_shared_parts(caller))
 
@@ -99,7 +99,7 @@
 
     def _add_crashes(self, crashes: Iterable[PromptCrash]) -> None:
         now_ms = self._clock.now_ms()
-        new_crashes = tuple(crash for crash in crashes if self._record_crash(crash, now_ms))
+        new_crashes = tuple(crash for crash in crashes if self._add_crash(crash, now_ms))
         if not new_crashes:
             return
         self._gossip(PromptCrashes(self._own_address, new_crashes))
@@ -111,14 +111,14 @@
             crashes=[f"{each.identity} {each.instance}" for each in new_crashes],
         )
 
-    def _record_crash(self, crash: PromptCrash, now_ms: float) -> bool:
+    def _add_crash(self, crash: PromptCrash, now_ms: float) -> bool:
         part = SharedPart(crash.identity, crash.position)
-        return self._suspicions.note_crash(
+        return self._suspicions.record_crash(
             part, Crash(crash.instance, now_ms - crash.age_ms), now_ms
         )
 
     def _add_answered(self, identities: tuple[str, ...]) -> None:
-        cleared = self._suspicions.note_answered(identities, self._clock.now_ms())
+        cleared = self._suspicions.record_answered(identities, self._clock.now_ms())
         if cleared:
             self._gossip(PromptsAnswered(cleared))
             log_state("prompt", "cleared", parts=cleared)
--- a/loomwind/serving/prompt_suspicion.py
+++ b/loomwind/serving/prompt_suspicion.py
@@ -74,7 +74,7 @@
         self._suspected: OrderedDict[str, Suspicion] = OrderedDict()
         self._last_answered_ms: OrderedDict[str, float] = OrderedDict()
 
-    def note_crash(self, part: SharedPart, crash: Crash, now_ms: float) -> bool:
+    def record_crash(self, part: SharedPart, crash: Crash, now_ms: float) -> bool:
         """Record a crash under a part; returns whether the crash is new.
 
         A part that was recently answered completely is not suspected.
@@ -115,7 +115,7 @@
         unexplained = (c for instance, c in suspicion.crashes.items() if instance not in explained)
         return count_causes(unexplained) - BAN_CAUSES + 1
 
-    def note_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
+    def record_answered(self, identities: Iterable[str], now_ms: float) -> tuple[str, ...]:
         """Record parts that were answered completely; returns those that were suspected."""
         cleared = []
         for identity in identities:
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -205,7 +205,7 @@
     def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._outcome_pending = False
         if failure.broken and self._stream.events - self._events_before_send < EARLY_CRASH_EVENTS:
-            self._handler.prompts.note_crash(self._caller, entry.instance)
+            self._handler.prompts.record_crash(self._caller, entry.instance)
         self._selector.tried.add(entry.instance)
         self._runs += failure.ran
         self._may_have_run |= failure.ran
@@ -361,7 +361,7 @@
         self._pool.health(entry).record_received(self._handler.now())
         if body is None:
             await self._stream.relay(entry, answer, self._pool.health(entry))
-            self._handler.prompts.note_answered(self._caller)
+            self._handler.prompts.record_answered(self._caller)
             forwarder.release(answer.connection)
         else:
             await self._send_full_response(entry, answer, body)
