--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -93,7 +93,7 @@
             handler.dialect,
             handler.metrics,
             self._inactivity_timeout,
-            self._note_first_event,
+            self._record_first_event,
         )
         self._peers = PeerAttempts(
             handler,
@@ -185,7 +185,7 @@
                 await self._try_server(entry)
                 return
             except SendFailed as failure:
-                self._note_failure(entry, failure)
+                self._record_failure(entry, failure)
                 if not self._may_retry(failure):
                     raise self._final_error(str(failure)) from failure
                 if not failure.ran:
@@ -202,7 +202,7 @@
             reason = "a part of the prompt has ended several servers"
             raise self._final_error(reason, banned_ms / MS_PER_SECOND)
 
-    def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
+    def _record_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._outcome_pending = False
         if failure.broken and self._stream.events - self._events_before_send < EARLY_CRASH_EVENTS:
             self._handler.prompts.record_crash(self._caller, entry.instance)
@@ -411,7 +411,7 @@
             return False
         self._server = peer.address
         try:
-            await self._peers.exchange_with(peer, self._runs, self._note_sent_to_peer)
+            await self._peers.exchange_with(peer, self._runs, self._record_sent_to_peer)
         except RelayDeclined as declined:
             self._outcome_pending = False
             self._peers.log("relay-declined", peer, str(declined))
@@ -430,7 +430,7 @@
             raise self._to_final_error(refusal) from refusal
         return True
 
-    def _note_sent_to_peer(self) -> None:
+    def _record_sent_to_peer(self) -> None:
         self._sends += 1
         self._outcome_pending = True
 
@@ -442,7 +442,7 @@
             return StreamTruncated(str(refusal))
         return refusal
 
-    def _note_first_event(self, entry: ServerEntry) -> None:
+    def _record_first_event(self, entry: ServerEntry) -> None:
         """Record the time to the first event, and log it when it exceeds the objective."""
         seconds = self._handler.now() - self._arrived_at
         self._handler.metrics.first_event_seconds.observe(seconds)
