--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -69,7 +69,7 @@
     ) -> OpenResponse:
         """Fail as a server does that has not run the request."""
         self.sends += 1
-        raise SendFailed("not here", ran=False, missing_target=True, at_fault=False)
+        raise SendFailed("not here", may_have_run=False, missing_target=True, at_fault=False)
 
 
 class NoBeliefs:
--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         detail: str,
-        ran: bool,
+        may_have_run: bool,
         missing_target: bool = False,
         other_instance: bool = False,
         at_fault: bool = True,
@@ -33,7 +33,7 @@
         broken: bool = False,
     ) -> None:
         super().__init__(detail)
-        self.ran = ran
+        self.may_have_run = may_have_run
         self.missing_target = missing_target
         self.other_instance = other_instance
         self.at_fault = at_fault
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -76,7 +76,7 @@
         if not self._accepts_requests(entry):
             self._client.release(connection)
             detail = f"{entry.instance}: began to leave while a connection was made"
-            raise SendFailed(detail, ran=False, at_fault=False, unsent=True)
+            raise SendFailed(detail, may_have_run=False, at_fault=False, unsent=True)
         return connection
 
     async def send(
@@ -99,7 +99,9 @@
                 await self._drain_refusal(connection)
         except HttpError as error:
             connection.close()
-            raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
+            raise SendFailed(
+                f"{entry.instance}: {error}", may_have_run=True, broken=True
+            ) from error
         except BaseException:
             connection.close()
             raise
@@ -117,7 +119,9 @@
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
             reach.note_failed(entry.instance, self._clock.now_ms())
-            raise SendFailed(f"{entry.instance}: {error}", ran=False, unreachable=True) from error
+            raise SendFailed(
+                f"{entry.instance}: {error}", may_have_run=False, unreachable=True
+            ) from error
         reach.note_connected(self._clock.now_ms())
         return connection
 
@@ -147,14 +151,16 @@
             if check.matches_request:
                 return self._check_genuine(head, check, entry), check
             await connection.skip_answer(request)
-        raise SendFailed(f"{entry.instance}: answers to other requests only", ran=True)
+        raise SendFailed(f"{entry.instance}: answers to other requests only", may_have_run=True)
 
     @staticmethod
     def _check_genuine(
         head: HttpResponse, check: ResponseCheck, entry: ServerEntry
     ) -> HttpResponse:
         if check.may_have_run and not check.from_server:
-            raise SendFailed(f"{entry.instance}: an answer without the server's mark", ran=True)
+            raise SendFailed(
+                f"{entry.instance}: an answer without the server's mark", may_have_run=True
+            )
         return head
 
     async def _drain_refusal(self, connection: ClientConnection) -> None:
@@ -174,10 +180,12 @@
             while chunk := await connection.read_body():
                 body += chunk
                 if len(body) > MAX_BUFFERED_BYTES:
-                    raise SendFailed("the answer is too large", ran=True)
+                    raise SendFailed("the answer is too large", may_have_run=True)
         except HttpError as error:
             connection.close()
-            raise SendFailed(f"{connection.address}: {error}", ran=True, broken=True) from error
+            raise SendFailed(
+                f"{connection.address}: {error}", may_have_run=True, broken=True
+            ) from error
         except BaseException:
             connection.close()
             raise
@@ -196,7 +204,7 @@
 def _refusal_error(entry: ServerEntry, head: HttpResponse, check: ResponseCheck) -> SendFailed:
     return SendFailed(
         f"{entry.instance}: refused unstarted with {head.status}",
-        ran=False,
+        may_have_run=False,
         missing_target=check.missing_target,
         other_instance=check.other_instance,
         at_fault=not check.missing_target,
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -102,7 +102,7 @@
         body = await self._serving.forwarder.read_full_body(answer)
         status = answer.head.status
         if self._exchange.started:
-            raise SendFailed(f"{peer.address}: a resumed stream got {status}", ran=True)
+            raise SendFailed(f"{peer.address}: a resumed stream got {status}", may_have_run=True)
         headers = self._serving.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -110,7 +110,7 @@
         except HttpError as error:
             connection.close()
             self._count("failed")
-            raise SendFailed(f"{peer.address}: {error}", ran=True) from error
+            raise SendFailed(f"{peer.address}: {error}", may_have_run=True) from error
         except RelayDeclined:
             self._client.release(connection)
             self._note_declined(peer, service)
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -139,7 +139,7 @@
             self.residency.note_absent(entry.instance, target, now)
         elif failure.unreachable:
             self.health(entry).record_unreachable(now)
-        elif not failure.ran and target is not None:
+        elif not failure.may_have_run and target is not None:
             self.residency.note_refused(entry.instance, target, now)
         elif failure.at_fault:
             self.health(entry).record_failure(now)
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -188,7 +188,7 @@
                 self._record_failure(entry, failure)
                 if not self._may_retry(failure):
                     raise self._final_error(str(failure)) from failure
-                if not failure.ran:
+                if not failure.may_have_run:
                     await asyncio.sleep(REFUSAL_RETRY_DELAY_SECONDS)
 
     def _raise_if_banned(self) -> None:
@@ -207,17 +207,17 @@
         if failure.broken and self._stream.events - self._events_before_send < EARLY_CRASH_EVENTS:
             self._handler.prompts.record_crash(self._caller, entry.instance)
         self._selector.tried.add(entry.instance)
-        self._runs += failure.ran
-        self._may_have_run |= failure.ran
+        self._runs += failure.may_have_run
+        self._may_have_run |= failure.may_have_run
         self._pool.note_failure(entry, self._caller.target, failure, self._handler.now())
-        self._handler.count_send(entry, "failed" if failure.ran else "refused")
+        self._handler.count_send(entry, "failed" if failure.may_have_run else "refused")
         log_decision(
             "send-failed",
             self._caller.request_id,
             server=entry.instance,
             passed_over=self._selector.passed_over(self._server),
             reason=str(failure),
-            ran=failure.ran,
+            ran=failure.may_have_run,
             events=self._stream.events,
         )
 
@@ -230,12 +230,12 @@
         if failure.unreachable or failure.unsent:
             self._sends -= 1
             return True
-        if not failure.ran and self._caller.target is not None:
+        if not failure.may_have_run and self._caller.target is not None:
             self._retry_unpaid = True
             return not self._handler.rejects_waiting
-        if failure.ran and not self._route.repeatable:
+        if failure.may_have_run and not self._route.repeatable:
             return False
-        if failure.ran and not self._handler.prompts.may_retry(self._caller):
+        if failure.may_have_run and not self._handler.prompts.may_retry(self._caller):
             return False
         if self._runs >= self._route.max_attempts:
             return False
@@ -357,7 +357,9 @@
                     )
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
-            raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
+            raise SendFailed(
+                f"{entry.instance}: silent for {silence} s", may_have_run=True
+            ) from error
         self._pool.health(entry).record_received(self._handler.now())
         if body is None:
             await self._stream.relay(entry, answer, self._pool.health(entry))
@@ -388,13 +390,13 @@
     ) -> None:
         status = answer.head.status
         if status in SERVER_ERROR_STATUSES:
-            failure = SendFailed(f"{entry.instance}: status {status}", ran=True)
+            failure = SendFailed(f"{entry.instance}: status {status}", may_have_run=True)
             if self._exchange.started:
                 raise failure
             if self._route.repeatable and self._runs + 1 < self._route.max_attempts:
                 raise failure
         if self._exchange.started:
-            raise SendFailed(f"{entry.instance}: a resumed stream got {status}", ran=True)
+            raise SendFailed(f"{entry.instance}: a resumed stream got {status}", may_have_run=True)
         headers = self._handler.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -93,7 +93,9 @@
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: stream silent for {timeout} s", True) from error
         except HttpError as error:
-            raise SendFailed(f"{entry.instance}: {error}", ran=True, broken=True) from error
+            raise SendFailed(
+                f"{entry.instance}: {error}", may_have_run=True, broken=True
+            ) from error
 
     def _finish_body(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
         """Finish a body that has ended by its framing; returns the data still to be relayed.
@@ -106,7 +108,7 @@
             return self._cutter.end()
         except StreamEndedInsideEvent as error:
             detail = f"{entry.instance}: {error}, framed by {framing}"
-            raise SendFailed(detail, ran=True, broken=True) from error
+            raise SendFailed(detail, may_have_run=True, broken=True) from error
 
     def _log_long_gap(
         self, entry: ServerEntry, stream_gaps: StreamGaps, health: ServerHealth
