--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -12,7 +12,7 @@
 class SendFailed(ServingError):
     """A server sent no usable response to a request.
 
-    :param ran: whether the request may have run, or may still run.
+    :param may_have_run: whether the request may have run, or may still run.
     :param missing_target: the server has not loaded the model or adapter of the request.
     :param other_instance: another instance of the server responds at its address.
     :param at_fault: whether the failure counts against the server.
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -347,10 +347,10 @@
         forwarder = self._handler.forwarder
         resume_from = self._stream.last_event_id
         connection = await forwarder.connect(entry)
-        silence = self._inactivity_timeout(entry)
+        timeout = self._inactivity_timeout(entry)
         self._outcome_pending = True
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(timeout):
                 with self._probe_when_silent():
                     answer = await forwarder.send(
                         connection, self._request, entry, self._handler.now(), resume_from
@@ -358,7 +358,7 @@
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
             raise SendFailed(
-                f"{entry.instance}: silent for {silence} s", may_have_run=True
+                f"{entry.instance}: silent for {timeout} s", may_have_run=True
             ) from error
         self._pool.health(entry).record_received(self._handler.now())
         if body is None:
