--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -161,5 +161,5 @@
 @then("nothing was sent, the connection is kept, and the request may go to another server")
 def step_nothing_sent(context: Any) -> None:
     failure: SendFailed | None = context.failure
-    assert failure is not None and failure.unsent and not failure.may_have_run, failure
+    assert failure is not None and failure.not_sent and not failure.may_have_run, failure
     assert len(context.client.kept) == 1
--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -29,7 +29,7 @@
         other_instance: bool = False,
         at_fault: bool = True,
         unreachable: bool = False,
-        unsent: bool = False,
+        not_sent: bool = False,
         broken: bool = False,
     ) -> None:
         super().__init__(detail)
@@ -38,7 +38,7 @@
         self.other_instance = other_instance
         self.at_fault = at_fault
         self.unreachable = unreachable
-        self.unsent = unsent
+        self.not_sent = not_sent
         self.broken = broken
 
 
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -76,7 +76,7 @@
         if not self._accepts_requests(entry):
             self._client.release(connection)
             detail = f"{entry.instance}: began to leave while a connection was made"
-            raise SendFailed(detail, may_have_run=False, at_fault=False, unsent=True)
+            raise SendFailed(detail, may_have_run=False, at_fault=False, not_sent=True)
         return connection
 
     async def send(
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -131,7 +131,7 @@
         self, entry: ServerEntry, target: ModelKey | None, failure: SendFailed, now: float
     ) -> None:
         """Learn from a send that failed."""
-        if failure.unsent:
+        if failure.not_sent:
             return
         if failure.other_instance:
             self.directory.note_replaced(entry)
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -227,7 +227,7 @@
         A request that has not run and needs a model goes back to waiting. Its retry is charged only
         when a server can take it, so that it stays visible in the demand meanwhile.
         """
-        if failure.unreachable or failure.unsent:
+        if failure.unreachable or failure.not_sent:
             self._sends -= 1
             return True
         if not failure.may_have_run and self._caller.target is not None:
