--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -17,7 +17,7 @@
     :param other_instance: another instance of the server responds at its address.
     :param at_fault: whether the failure counts against the server.
     :param unreachable: whether no connection could be made.
-    :param unsent: whether nothing was sent, because the server started to leave.
+    :param not_sent: whether nothing was sent, because the server started to leave.
     :param broken: whether the connection failed before the response was complete.
     """
 
