--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -148,7 +148,7 @@
         HttpRequest("POST", "/"), CallerRequest("id-1", "h", 30.0), route, 30.0
     )
     forwarder = Forwarder(
-        cast(HttpClient, client), PlatformDialect(), pool.reach_of, pool.accepts_requests
+        cast(HttpClient, client), PlatformDialect(), pool.connectivity_of, pool.accepts_requests
     )
     try:
         connection = await forwarder.connect(entry)
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -246,7 +246,10 @@
     def _make_servers(self, deployment: Deployment) -> None:
         """Make what callers and questioners reach."""
         forwarder = Forwarder(
-            self._client, deployment.dialect, self._pool.reach_of, self._pool.accepts_requests
+            self._client,
+            deployment.dialect,
+            self._pool.connectivity_of,
+            self._pool.accepts_requests,
         )
         self._client.on_idle_broken = self._pool.note_broken_connection
         self._probe = ReachProbe(self._pool, forwarder)
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -26,7 +26,7 @@
 class ServerPool:
     """What requests need to know about servers.
 
-    :ivar probe_requested: set when it should be found out whether the servers of a service are
+    :ivar probe_needed: set when it should be found out whether the servers of a service are
         reached.
     """
 
@@ -35,7 +35,7 @@
         self.residency = Residency()
         self.demand = DemandBoard()
         self.expectations = Expectations()
-        self.probe_requested = asyncio.Event()
+        self.probe_needed = asyncio.Event()
         self._reaches: dict[str, ServerReach] = {}
         self._bounds = bounds
         self._daemons = UNKNOWN_DAEMONS
@@ -68,15 +68,15 @@
         """Return what this daemon has seen of a server."""
         health = self._health.get(entry.instance)
         if health is None:
-            health = ServerHealth(self.reach_of(entry.service).note_heard)
+            health = ServerHealth(self.connectivity_of(entry.service).note_heard)
             self._health[entry.instance] = health
         return health
 
-    def reach_of(self, service: str) -> ServerReach:
+    def connectivity_of(self, service: str) -> ServerReach:
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
-            reach = ServerReach(service, self.probe_requested.set, forget)
+            reach = ServerReach(service, self.probe_needed.set, forget)
             reach.list_servers(self._instances_by_service()[service])
             self._reaches[service] = reach
         return self._reaches[service]
@@ -159,7 +159,7 @@
         """An idle connection has ended without a proper end; does nothing for one of no server."""
         for entry in self.directory.entries():
             if entry.address == address:
-                self.reach_of(entry.service).doubt()
+                self.connectivity_of(entry.service).doubt()
 
     def _forget_unreachable(self, service: str) -> None:
         """Forget which servers accepted no connection: the fault was on this daemon's side."""
--- a/loomwind/serving/reach_probe.py
+++ b/loomwind/serving/reach_probe.py
@@ -26,8 +26,8 @@
     async def run(self) -> None:
         """Probe for ever, whenever there is a doubt."""
         while True:
-            await self._pool.probe_requested.wait()
-            self._pool.probe_requested.clear()
+            await self._pool.probe_needed.wait()
+            self._pool.probe_needed.clear()
             while services := self._pool.services_to_probe():
                 async with asyncio.TaskGroup() as group:
                     for service in services:
@@ -44,7 +44,7 @@
         """Return servers to connect to: those first that have not failed."""
         entries = self._pool.directory.usable(service, self._pool.now())
         random.shuffle(entries)
-        reach = self._pool.reach_of(service)
+        reach = self._pool.connectivity_of(service)
         entries.sort(key=lambda entry: reach.failed_at(entry.instance))
         return entries[:SERVERS_OF_A_CUT]
 
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -366,7 +366,7 @@
     @contextlib.contextmanager
     def _probe_when_silent(self) -> Iterator[None]:
         """Let the way to the servers be probed when an answer does not begin for a while."""
-        reach = self._pool.reach_of(self._service)
+        reach = self._pool.connectivity_of(self._service)
         timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_SECONDS, reach.note_silence, self._handler.now()
         )
