--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -179,7 +179,7 @@
     if not hasattr(context, "replicated_state"):
         context.replicated_state, context.peer = replicated_state(), replicated_state()
     for snapshot in snapshots:
-        context.replicated_state.on_server_rows(snapshot, whole=False)
+        context.replicated_state.on_server_rows(snapshot, is_full=False)
     copy = context.replicated_state.directory_changes(context.peer.server_version)
     context.copy = copy
     context.peer.on_directory_copy(copy)
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -31,7 +31,7 @@
 from loomwind.serving.views import Configuration, ServerEntry, ServerState
 
 
-class Source(enum.Enum):
+class UpdateSource(enum.Enum):
     """By which way the list of servers, or the configuration, was learned."""
 
     FEED = "feed"
@@ -41,7 +41,7 @@
 
 
 @frozen
-class Origin:
+class UpdateOrigin:
     """Where a change in the list of servers, or of the configuration, comes from.
 
     :param version: the store's version that the list stands at with the change, or that wrote the
@@ -49,9 +49,9 @@
     :param teller: the peer's ``host:port``; empty when the store itself has told.
     """
 
-    source: Source
+    source: UpdateSource
     version: int
-    teller: str = ""
+    sender: str = ""
 
 
 class ReplicatedState:
@@ -81,13 +81,13 @@
         self._copy: ConfigurationCopy | None = None
         self.configuration_listeners: list[Callable[[], None]] = []
         self._server_documents: dict[str, bytes] = {}
-        self._server_changes: dict[str, int] = {}
+        self._server_change_versions: dict[str, int] = {}
         self._servers_changed = asyncio.Event()
         self.routes: RouteTable | None = None
         self.limits = ServerLimits()
         self.servers_fresh_at = float("-inf")
         self.on_departures: Callable[[tuple[ServerDeparture, ...]], None] = lambda departures: None
-        self._departures: list[ServerDeparture] = []
+        self._pending_departures: list[ServerDeparture] = []
 
     @property
     def configuration(self) -> Configuration | None:
@@ -101,14 +101,14 @@
 
     # Configuration.
 
-    def on_configuration_rows(self, snapshot: Snapshot, whole: bool) -> None:
+    def on_configuration_rows(self, snapshot: Snapshot, is_full: bool) -> None:
         """Take in rows of the configuration's table."""
-        source = Source.TABLE if whole else Source.FEED
+        source = UpdateSource.TABLE if is_full else UpdateSource.FEED
         for row in snapshot.rows:
             if row.key == self._configuration_key and not row.deleted:
-                self._apply(row.value, Origin(source, row.version))
+                self._apply_configuration(row.value, UpdateOrigin(source, row.version))
 
-    def on_configuration_copy(self, copy: ConfigurationCopy, teller: str) -> None:
+    def on_configuration_copy(self, copy: ConfigurationCopy, sender: str) -> None:
         """Take in what a peer has sent.
 
         :param teller: the peer's ``host:port``, for the log.
@@ -118,11 +118,11 @@
         try:
             document = zlib.decompress(copy.document)
         except zlib.error as error:
-            log_state("configuration", "unreadable", error=str(error), teller=teller)
+            log_state("configuration", "unreadable", error=str(error), teller=sender)
             return
-        self._apply(document, Origin(Source.PEER, 0, teller))
+        self._apply_configuration(document, UpdateOrigin(UpdateSource.PEER, 0, sender))
 
-    def _apply(self, document: bytes, origin: Origin) -> None:
+    def _apply_configuration(self, document: bytes, origin: UpdateOrigin) -> None:
         """Put a configuration in force, unless one as new is in force already."""
         source = origin.source.value
         try:
@@ -141,7 +141,7 @@
             "in-force",
             version=configuration.version,
             source=source,
-            teller=origin.teller,
+            teller=origin.sender,
             row_version=origin.version,
         )
         self.pool.demand.wake()
@@ -157,102 +157,106 @@
 
     # Servers.
 
-    def on_server_rows(self, snapshot: Snapshot, whole: bool) -> None:
+    def on_server_rows(self, snapshot: Snapshot, is_full: bool) -> None:
         """Take in rows of the servers' table."""
-        trouble = self._health.recently_failed(self._now())
-        origin = Origin(Source.TABLE if whole else Source.FEED, snapshot.version)
-        if whole:
+        store_unstable = self._health.recently_failed(self._now())
+        origin = UpdateOrigin(
+            UpdateSource.TABLE if is_full else UpdateSource.FEED, snapshot.version
+        )
+        if is_full:
             listed = {row.key for row in snapshot.rows if not row.deleted}
-            self._drop_all_but(listed, trouble, origin)
+            self._remove_unlisted(listed, store_unstable, origin)
         for row in snapshot.rows:
             if row.deleted:
-                self._drop(row.key, trouble, origin)
+                self._remove_server(row.key, store_unstable, origin)
             else:
-                self._put(row.key, row.value, origin)
-        self._note_servers(snapshot.version)
+                self._apply_server(row.key, row.value, origin)
+        self._finish_update(snapshot.version)
 
-    def on_directory_copy(self, copy: DirectoryCopy, teller: str = "") -> None:
+    def on_directory_copy(self, copy: DirectoryCopy, sender: str = "") -> None:
         """Take in a peer's list of servers, if it is newer.
 
         :param teller: the peer's ``host:port``, for the log.
         """
         if copy.version <= self.server_version:
             return
-        trouble = copy.store_in_trouble or self._health.recently_failed(self._now())
-        origin = Origin(Source.PEER, copy.version, teller)
-        self._drop_all_but(copy.listed, trouble, origin)
+        store_unstable = copy.store_in_trouble or self._health.recently_failed(self._now())
+        origin = UpdateOrigin(UpdateSource.PEER, copy.version, sender)
+        self._remove_unlisted(copy.listed, store_unstable, origin)
         for server in copy.servers:
-            self._put(server.name, server.document, origin)
-        self._note_servers(copy.version)
+            self._apply_server(server.name, server.document, origin)
+        self._finish_update(copy.version)
 
     def on_departure_notice(self, notice: ServerDepartures) -> None:
         """Take in a peer's word that servers leave.
 
         That an entry has gone says nothing to a daemon that knows the store to be in trouble.
         """
-        trouble = self._health.recently_failed(self._now())
+        store_unstable = self._health.recently_failed(self._now())
         for departure in notice.departures:
-            if trouble and not departure.listed:
+            if store_unstable and not departure.listed:
                 continue
             if self.pool.directory.note_departure(
                 departure.name, departure.instance, departure.version
             ):
-                origin = Origin(Source.GOSSIP, departure.version, notice.teller)
+                origin = UpdateOrigin(UpdateSource.GOSSIP, departure.version, notice.teller)
                 self._log_server("departing", departure.instance, origin)
-                self._departures.append(departure)
-        self._tell_departures()
+                self._pending_departures.append(departure)
+        self._publish_departures()
 
-    def _tell_departures(self) -> None:
+    def _publish_departures(self) -> None:
         """Hand over what has become known of servers that leave.
 
         One answer of the store may say that an entry has gone and that it is back.
         """
-        departures = tuple(each for each in self._departures if not self._is_back(each))
-        self._departures.clear()
+        departures = tuple(
+            each for each in self._pending_departures if not self._is_ready_again(each)
+        )
+        self._pending_departures.clear()
         if departures:
             self.on_departures(departures)
 
-    def _is_back(self, departure: ServerDeparture) -> bool:
+    def _is_ready_again(self, departure: ServerDeparture) -> bool:
         """Whether a server that was taken to leave is listed as ready after all."""
         directory = self.pool.directory
         known = directory.get(departure.name)
-        same_life = known is not None and known.instance == departure.instance
-        return same_life and not directory.is_departing(departure.name)
+        same_instance = known is not None and known.instance == departure.instance
+        return same_instance and not directory.is_departing(departure.name)
 
-    def _note_departure(self, known: ServerEntry, origin: Origin, listed: bool) -> None:
+    def _record_departure(self, known: ServerEntry, origin: UpdateOrigin, listed: bool) -> None:
         """Note that a server leaves that was taken to stay."""
         if not self.pool.directory.is_departing(known.name):
             departure = ServerDeparture(known.name, known.instance, origin.version, listed)
-            self._departures.append(departure)
+            self._pending_departures.append(departure)
 
     @property
     def server_version(self) -> int:
         """Return the store's version that the list of servers stands at."""
         return self.pool.directory.version
 
-    def directory_copy(self, than_version: int) -> DirectoryCopy | None:
+    def directory_copy(self, after_version: int) -> DirectoryCopy | None:
         """Return what a peer lacks that the store does not serve; None when this daemon is no
         better off.
         """
         if self._health.available_since is None:
             return None
-        return self.directory_changes(than_version)
+        return self.directory_changes(after_version)
 
-    def directory_changes(self, than_version: int) -> DirectoryCopy | None:
+    def directory_changes(self, after_version: int) -> DirectoryCopy | None:
         """Return what changed in the list since a version; None when nothing did.
 
         What a server holds may be older in it: the leader tells that.
         """
-        if self.server_version <= than_version:
+        if self.server_version <= after_version:
             return None
         changed = tuple(
             ServerDocument(name, raw)
             for name, raw in self._server_documents.items()
-            if self._server_changes[name] > than_version
+            if self._server_change_versions[name] > after_version
         )
-        trouble = self._health.recently_failed(self._now())
+        store_unstable = self._health.recently_failed(self._now())
         listed = tuple(self._server_documents)
-        return DirectoryCopy(self.server_version, listed, changed, trouble)
+        return DirectoryCopy(self.server_version, listed, changed, store_unstable)
 
     async def wait_for_server_change(self, timeout: float) -> None:
         """Wait until a server comes, goes or changes its state, or for ``timeout`` seconds."""
@@ -263,33 +267,35 @@
         except TimeoutError:
             return
 
-    def _note_server_change(self) -> None:
+    def _signal_server_change(self) -> None:
         self._servers_changed.set()
         self._servers_changed = asyncio.Event()
 
-    def _drop_all_but(self, listed: Iterable[str], trouble: bool, origin: Origin) -> None:
+    def _remove_unlisted(
+        self, listed: Iterable[str], store_unstable: bool, origin: UpdateOrigin
+    ) -> None:
         kept = set(listed)
         for name in [name for name in self._server_documents if name not in kept]:
-            self._drop(name, trouble, origin)
+            self._remove_server(name, store_unstable, origin)
 
-    def _drop(self, name: str, trouble: bool, origin: Origin) -> None:
+    def _remove_server(self, name: str, store_unstable: bool, origin: UpdateOrigin) -> None:
         self._server_documents.pop(name, None)
-        self._server_changes.pop(name, None)
-        self._note_server_change()
+        self._server_change_versions.pop(name, None)
+        self._signal_server_change()
         known = self.pool.directory.get(name)
-        if known is not None and not trouble:
-            self._note_departure(known, origin, listed=False)
-        self.pool.directory.remove(name, self._now(), trouble, self.servers_fresh_at)
-        self._log_server("unlisted", name, origin, store_in_trouble=trouble)
+        if known is not None and not store_unstable:
+            self._record_departure(known, origin, listed=False)
+        self.pool.directory.remove(name, self._now(), store_unstable, self.servers_fresh_at)
+        self._log_server("unlisted", name, origin, store_in_trouble=store_unstable)
 
-    def _log_server(self, state: str, server: str, origin: Origin, **fields: object) -> None:
+    def _log_server(self, state: str, server: str, origin: UpdateOrigin, **fields: object) -> None:
         """Say what is known of a server now, by which way, and how old the list was before."""
         log_state(
             "server",
             state,
             server=server,
             source=origin.source.value,
-            teller=origin.teller,
+            teller=origin.sender,
             list_version=origin.version,
             list_age_ms=round(self.list_age_ms) if math.isfinite(self.list_age_ms) else None,
             **fields,
@@ -300,13 +306,13 @@
         """Return how long ago the list was as the store has it; infinite before it ever was."""
         return (self._now() - self.servers_fresh_at) * MS_PER_SECOND
 
-    def _put(self, name: str, document: bytes, origin: Origin) -> None:
+    def _apply_server(self, name: str, document: bytes, origin: UpdateOrigin) -> None:
         try:
             entry = self._documents.parse_server(name, document)
         except MalformedDocument as error:
             log_state("server", "unreadable", server=name, error=str(error))
             if name in self._server_documents:
-                self._drop(name, False, origin)
+                self._remove_server(name, False, origin)
             return
         directory = self.pool.directory
         known = directory.get(name)
@@ -317,9 +323,9 @@
             log_state("server", "started-again", server=entry.instance, earlier=known.instance)
             known = None
         new = name not in self._server_documents
-        if new or known is None or _standing(known) != _standing(entry):
-            self._server_changes[name] = origin.version
-            self._note_server_change()
+        if new or known is None or _without_held(known) != _without_held(entry):
+            self._server_change_versions[name] = origin.version
+            self._signal_server_change()
         if known is None or known.state is not entry.state:
             self._log_server(
                 entry.state.value,
@@ -329,24 +335,24 @@
                 zone=entry.zone,
             )
         if known is not None and entry.state is ServerState.DRAINING:
-            self._note_departure(known, origin, listed=True)
+            self._record_departure(known, origin, listed=True)
         self._server_documents[name] = document
         directory.put(entry)
 
-    def _note_servers(self, version: int) -> None:
+    def _finish_update(self, version: int) -> None:
         directory = self.pool.directory
         directory.advance(version)
         self._metrics.servers.set(len(directory.entries()))
         self._metrics.servers_usable.set(directory.usable_count(self._now()))
         self.pool.refresh()
-        self._tell_departures()
+        self._publish_departures()
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
 
-def _standing(entry: ServerEntry) -> ServerEntry:
+def _without_held(entry: ServerEntry) -> ServerEntry:
     """Return an entry without what the leader tells sooner."""
     return replace(entry, revision=0, held=())
 
