--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -1,7 +1,7 @@
-"""What a daemon believes of configuration and servers, as told by the store or by a peer.
+"""A daemon's copy of the configuration and the server list, updated from the store and from peers.
 
-A configuration never gives way to one that is not newer. Documents are kept as they came, so that a
-peer that the store does not serve can be sent a copy.
+A configuration is replaced only by a newer version. The original documents are kept, so that they
+can be sent to peers that cannot reach the store.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class UpdateSource(enum.Enum):
-    """By which way the list of servers, or the configuration, was learned."""
+    """How an update of the server list or the configuration was received."""
 
     FEED = "feed"
     TABLE = "table"
@@ -42,11 +42,11 @@
 
 @frozen
 class UpdateOrigin:
-    """Where a change in the list of servers, or of the configuration, comes from.
+    """Where an update of the server list or the configuration comes from.
 
-    :param version: the store's version that the list stands at with the change, or that wrote the
-        configuration; 0 when a peer did not say.
-    :param teller: the peer's ``host:port``; empty when the store itself has told.
+    :param version: the store version of the updated list, or of the write of the configuration; 0
+        when a peer did not send one.
+    :param sender: the peer's ``host:port``; empty when the update came from the store.
     """
 
     source: UpdateSource
@@ -55,13 +55,13 @@
 
 
 class ReplicatedState:
-    """Configuration and servers of one daemon.
+    """Configuration and server list of one daemon.
 
-    :ivar routes: the routes in force; None before a configuration is known.
-    :ivar limits: what callers may send; those of the configuration once there is one.
-    :ivar servers_fresh_at: loop time at which the list of servers was as the store has it.
-    :ivar configuration_listeners: called when a newer configuration is in force.
-    :ivar on_departures: called with servers that leave, as soon as that is first known here.
+    :ivar routes: the active routes; None until a configuration is known.
+    :ivar limits: limits on callers' requests; defaults until a configuration is known.
+    :ivar servers_fresh_at: loop time at which the server list last matched the store.
+    :ivar configuration_listeners: called after a newer configuration was activated.
+    :ivar on_departures: called with departing servers when this daemon first learns of them.
     """
 
     def __init__(
@@ -91,27 +91,27 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force, or None."""
+        """Return the active configuration, or None."""
         return self.routes.configuration if self.routes else None
 
     @property
     def configuration_version(self) -> int:
-        """Return the version in force; 0 for none."""
+        """Return the version of the active configuration; 0 for none."""
         return self.routes.configuration.version if self.routes else 0
 
     # Configuration.
 
     def on_configuration_rows(self, snapshot: Snapshot, is_full: bool) -> None:
-        """Take in rows of the configuration's table."""
+        """Apply rows of the configuration table."""
         source = UpdateSource.TABLE if is_full else UpdateSource.FEED
         for row in snapshot.rows:
             if row.key == self._configuration_key and not row.deleted:
                 self._apply_configuration(row.value, UpdateOrigin(source, row.version))
 
     def on_configuration_copy(self, copy: ConfigurationCopy, sender: str) -> None:
-        """Take in what a peer has sent.
+        """Apply a configuration received from a peer, if it is newer.
 
-        :param teller: the peer's ``host:port``, for the log.
+        :param sender: the peer's ``host:port``, for the log.
         """
         if copy.version <= self.configuration_version:
             return
@@ -123,7 +123,7 @@
         self._apply_configuration(document, UpdateOrigin(UpdateSource.PEER, 0, sender))
 
     def _apply_configuration(self, document: bytes, origin: UpdateOrigin) -> None:
-        """Put a configuration in force, unless one as new is in force already."""
+        """Activate a configuration, unless the active one is at least as new."""
         source = origin.source.value
         try:
             configuration = self._documents.parse_configuration(document)
@@ -149,7 +149,7 @@
             listener()
 
     def configuration_copy(self) -> ConfigurationCopy:
-        """Return the configuration in force for a peer; one of version 0 when there is none."""
+        """Return the active configuration for a peer; version 0 when there is none."""
         version = self.configuration_version
         if self._copy is None or self._copy.version != version:
             self._copy = ConfigurationCopy(version, zlib.compress(self._configuration_document, 1))
@@ -158,7 +158,7 @@
     # Servers.
 
     def on_server_rows(self, snapshot: Snapshot, is_full: bool) -> None:
-        """Take in rows of the servers' table."""
+        """Apply rows of the server table."""
         store_unstable = self._health.recently_failed(self._now())
         origin = UpdateOrigin(
             UpdateSource.TABLE if is_full else UpdateSource.FEED, snapshot.version
@@ -174,9 +174,9 @@
         self._finish_update(snapshot.version)
 
     def on_directory_copy(self, copy: DirectoryCopy, sender: str = "") -> None:
-        """Take in a peer's list of servers, if it is newer.
+        """Apply a peer's server list, if it is newer.
 
-        :param teller: the peer's ``host:port``, for the log.
+        :param sender: the peer's ``host:port``, for the log.
         """
         if copy.version <= self.server_version:
             return
@@ -188,9 +188,10 @@
         self._finish_update(copy.version)
 
     def on_departure_notice(self, notice: ServerDepartures) -> None:
-        """Take in a peer's word that servers leave.
+        """Apply a peer's notice of departing servers.
 
-        That an entry has gone says nothing to a daemon that knows the store to be in trouble.
+        Departures inferred from a removed entry are ignored while the store is unstable, since
+        entries may then lapse although their servers are running.
         """
         store_unstable = self._health.recently_failed(self._now())
         for departure in notice.departures:
@@ -205,9 +206,10 @@
         self._publish_departures()
 
     def _publish_departures(self) -> None:
-        """Hand over what has become known of servers that leave.
+        """Pass newly learned departures to the listener.
 
-        One answer of the store may say that an entry has gone and that it is back.
+        One response of the store may both remove an entry and add it again, so servers that are
+        ready again are left out.
         """
         departures = tuple(
             each for each in self._pending_departures if not self._is_ready_again(each)
@@ -217,35 +219,36 @@
             self.on_departures(departures)
 
     def _is_ready_again(self, departure: ServerDeparture) -> bool:
-        """Whether a server that was taken to leave is listed as ready after all."""
+        """Return whether a server recorded as departing is listed as ready again."""
         directory = self.pool.directory
         known = directory.get(departure.name)
         same_instance = known is not None and known.instance == departure.instance
         return same_instance and not directory.is_departing(departure.name)
 
     def _record_departure(self, known: ServerEntry, origin: UpdateOrigin, listed: bool) -> None:
-        """Note that a server leaves that was taken to stay."""
+        """Record a departure that was not known before."""
         if not self.pool.directory.is_departing(known.name):
             departure = ServerDeparture(known.name, known.instance, origin.version, listed)
             self._pending_departures.append(departure)
 
     @property
     def server_version(self) -> int:
-        """Return the store's version that the list of servers stands at."""
+        """Return the store version of the server list."""
         return self.pool.directory.version
 
     def directory_copy(self, after_version: int) -> DirectoryCopy | None:
-        """Return what a peer lacks that the store does not serve; None when this daemon is no
-        better off.
+        """Return the list changes for a peer without access to the store.
+
+        None when this daemon has no access either, or no newer version.
         """
         if self._health.available_since is None:
             return None
         return self.directory_changes(after_version)
 
     def directory_changes(self, after_version: int) -> DirectoryCopy | None:
-        """Return what changed in the list since a version; None when nothing did.
+        """Return the changes of the server list since a version; None when there are none.
 
-        What a server holds may be older in it: the leader tells that.
+        The models that servers hold may be outdated in it; the leader announces these separately.
         """
         if self.server_version <= after_version:
             return None
@@ -259,7 +262,7 @@
         return DirectoryCopy(self.server_version, listed, changed, store_unstable)
 
     async def wait_for_server_change(self, timeout: float) -> None:
-        """Wait until a server comes, goes or changes its state, or for ``timeout`` seconds."""
+        """Wait until a server is added, removed or changes state, or ``timeout`` seconds pass."""
         changed = self._servers_changed
         try:
             async with asyncio.timeout(timeout):
@@ -289,7 +292,7 @@
         self._log_server("unlisted", name, origin, store_in_trouble=store_unstable)
 
     def _log_server(self, state: str, server: str, origin: UpdateOrigin, **fields: object) -> None:
-        """Say what is known of a server now, by which way, and how old the list was before."""
+        """Log a server's new state, the origin of the update and the age of the list before it."""
         log_state(
             "server",
             state,
@@ -303,7 +306,7 @@
 
     @property
     def list_age_ms(self) -> float:
-        """Return how long ago the list was as the store has it; infinite before it ever was."""
+        """Return the time since the list last matched the store; infinite if it never did."""
         return (self._now() - self.servers_fresh_at) * MS_PER_SECOND
 
     def _apply_server(self, name: str, document: bytes, origin: UpdateOrigin) -> None:
@@ -353,7 +356,7 @@
 
 
 def _without_held(entry: ServerEntry) -> ServerEntry:
-    """Return an entry without what the leader tells sooner."""
+    """Return an entry without the fields that the leader announces sooner."""
     return replace(entry, revision=0, held=())
 
 
