--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -339,11 +339,11 @@
 def step_next_call(context: Any) -> None:
     store = WaitRecorder()
     table = TableFollower(cast(Store, store), "op", context.health, lambda rows, whole: None)
-    table.adopt(1)
+    table.resume_from(1)
     asyncio.run(_follow_twice(table))
     assert store.waits_seconds == [0.0, 25.0], store.waits_seconds
 
 
 async def _follow_twice(table: TableFollower) -> None:
-    await table.follow_once(25.0)
-    await table.follow_once(25.0)
+    await table.poll_once(25.0)
+    await table.poll_once(25.0)
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -183,8 +183,8 @@
             "op",
             health,
             self.replicated_state.on_configuration_rows,
-            polling.pause_seconds,
-            wait_seconds=polling.wait_seconds,
+            polling.poll_interval_seconds,
+            long_poll_seconds=polling.long_poll_seconds,
         )
         self._follower = ServerListFollower(
             LeaseHolder(name, f"life-{name}", name),
--- a/loomwind/serving/configuration_polling.py
+++ b/loomwind/serving/configuration_polling.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.serving.follower import FEED_WAIT_SECONDS
+from loomwind.serving.follower import LONG_POLL_SECONDS
 from loomwind.serving.peers import PeerTable
 from loomwind.settings import BoundSettings
 
@@ -19,7 +19,7 @@
 MIRROR_WAIT_PART = 0.4
 
 
-def pause_seconds(bounds: BoundSettings) -> float:
+def poll_interval_seconds(bounds: BoundSettings) -> float:
     """Return the pause of a mirror between two looks; versions of it come together.
 
     An operator may write several a second.
@@ -37,16 +37,16 @@
         self._peers = peers
         self._bounds = bounds
 
-    def pause_seconds(self) -> float:
+    def poll_interval_seconds(self) -> float:
         """Return the pause between two looks."""
-        rest = pause_seconds(self._bounds())
+        rest = poll_interval_seconds(self._bounds())
         if self._peers.is_mirror():
             return rest
         longest = LONGEST_REST_PART * self._bounds().apply_ms / MS_PER_SECOND
         return min(longest, self._peers.paced(rest))
 
-    def wait_seconds(self) -> float:
+    def long_poll_seconds(self) -> float:
         """Return how long the store may hold its answer until there is a new version."""
         if not self._peers.is_mirror():
-            return FEED_WAIT_SECONDS
+            return LONG_POLL_SECONDS
         return MIRROR_WAIT_PART * self._bounds().apply_ms / MS_PER_SECOND
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -144,9 +144,9 @@
                 store.configuration_table,
                 self._health,
                 self.replicated_state.on_configuration_rows,
-                polling.pause_seconds,
+                polling.poll_interval_seconds,
                 self._peers.retry_seconds,
-                polling.wait_seconds,
+                polling.long_poll_seconds,
             ),
             TableFollower(
                 store,
@@ -162,7 +162,7 @@
             store.server_table,
             self._health,
             self.replicated_state.on_server_rows,
-            longest_retry_seconds=self._peers.retry_seconds,
+            max_retry_seconds=self._peers.retry_seconds,
         )
 
     def _make_exchange(self) -> None:
--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -6,11 +6,11 @@
 from loomwind.logs import log_state
 from loomwind.serving.ports import HistoryLost, Snapshot, Store, StoreUnavailable
 
-FEED_WAIT_SECONDS = 25.0
+LONG_POLL_SECONDS = 25.0
 RETRY_SECONDS = 0.15
-LONGEST_RETRY_SECONDS = 0.6
-TROUBLE_MEMORY_SECONDS = 3.5
-AWAY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 0.6
+RECENT_FAILURE_SECONDS = 3.5
+UNAVAILABLE_SECONDS = 2.0
 
 
 class StoreHealth:
@@ -37,11 +37,11 @@
         """Whether a call has failed a moment ago, and none was answered since."""
         if self.available_since is not None or self.last_failure is None:
             return False
-        return now - self.last_failure < AWAY_SECONDS
+        return now - self.last_failure < UNAVAILABLE_SECONDS
 
     def recently_failed(self, now: float) -> bool:
         """Whether a call failed lately, so that entries may be gone without a cause."""
-        return self.last_failure is not None and now - self.last_failure < TROUBLE_MEMORY_SECONDS
+        return self.last_failure is not None and now - self.last_failure < RECENT_FAILURE_SECONDS
 
     def available_seconds(self, now: float) -> float:
         """Return for how many seconds each call was answered."""
@@ -52,9 +52,9 @@
     """Keeps one table's reader up to date. The version never goes back within a life.
 
     :param on_rows: called with rows and whether they are the whole table.
-    :param rest_seconds: returns the pause before the next call; changes of it come together.
-    :param wait_seconds: returns how long the store may hold its answer until something changes.
-    :param longest_retry_seconds: returns the longest pause after a call that failed.
+    :param poll_interval_seconds: returns the pause before the next call; changes of it come together.
+    :param long_poll_seconds: returns how long the store may hold its answer until something changes.
+    :param max_retry_seconds: returns the longest pause after a call that failed.
     """
 
     def __init__(
@@ -63,60 +63,60 @@
         table: str,
         health: StoreHealth,
         on_rows: Callable[[Snapshot, bool], None],
-        pause_seconds: Callable[[], float] = lambda: 0.0,
-        longest_retry_seconds: Callable[[], float] = lambda: LONGEST_RETRY_SECONDS,
-        wait_seconds: Callable[[], float] = lambda: FEED_WAIT_SECONDS,
+        poll_interval_seconds: Callable[[], float] = lambda: 0.0,
+        max_retry_seconds: Callable[[], float] = lambda: MAX_RETRY_SECONDS,
+        long_poll_seconds: Callable[[], float] = lambda: LONG_POLL_SECONDS,
     ) -> None:
         self._store = store
         self._table = table
         self._health = health
         self._on_rows = on_rows
-        self._rest = pause_seconds
-        self._wait = wait_seconds
-        self._longest_retry = longest_retry_seconds
-        self._retry = RETRY_SECONDS
+        self._poll_interval = poll_interval_seconds
+        self._long_poll = long_poll_seconds
+        self._max_retry = max_retry_seconds
+        self._retry_delay = RETRY_SECONDS
         self.version = 0
         self.synchronised = False
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            if await self.follow_once(self._wait()):
-                await asyncio.sleep(self._rest())
+            if await self.poll_once(self._long_poll()):
+                await asyncio.sleep(self._poll_interval())
 
-    async def follow_once(self, wait_seconds: float) -> bool:
+    async def poll_once(self, long_poll_seconds: float) -> bool:
         """Make one call, and pause after one that failed; returns whether the rows are the newest.
 
-        :param wait_seconds: how long the store may hold its answer until something changes.
+        :param long_poll_seconds: how long the store may hold its answer until something changes.
         """
         try:
-            newest = await self._step(wait_seconds)
-            self._retry = RETRY_SECONDS
+            newest = await self._poll(long_poll_seconds)
+            self._retry_delay = RETRY_SECONDS
             return newest
         except HistoryLost:
             log_state("feed", "history-lost", table=self._table, version=self.version)
             self.synchronised = False
         except StoreUnavailable as error:
             self._health.record_failure(self._now(), str(error))
-            await asyncio.sleep(self._retry)
-            self._retry = min(2 * self._retry, self._longest_retry())
+            await asyncio.sleep(self._retry_delay)
+            self._retry_delay = min(2 * self._retry_delay, self._max_retry())
         except Exception as error:
             log_state("feed", "failed", table=self._table, error=repr(error))
-            await asyncio.sleep(self._retry)
+            await asyncio.sleep(self._retry_delay)
         return False
 
-    def adopt(self, version: int) -> None:
+    def resume_from(self, version: int) -> None:
         """Go on from what a peer has told, which stands at a newer version."""
         if version > self.version:
             self.version = version
             self.synchronised = True
 
-    async def _step(self, wait_seconds: float) -> bool:
+    async def _poll(self, long_poll_seconds: float) -> bool:
         """Make one call; returns False when the store's answer was older than what is known."""
         if self._health.available_since is None:
-            wait_seconds = 0.0  # so that the store's return is known at once
+            long_poll_seconds = 0.0  # so that the store's return is known at once
         if self.synchronised:
-            snapshot = await self._store.changes(self._table, self.version, wait_seconds)
+            snapshot = await self._store.changes(self._table, self.version, long_poll_seconds)
         else:
             snapshot = await self._store.read(self._table)
         self._health.record_success(self._now())
--- a/loomwind/serving/server_list.py
+++ b/loomwind/serving/server_list.py
@@ -89,8 +89,8 @@
     async def _read_store(self) -> bool:
         """Make one call; returns whether the list is fresh by it."""
         began = self._now()
-        self._table.adopt(self._replicated_state.server_version)
-        fresh = await self._table.follow_once(self._period)
+        self._table.resume_from(self._replicated_state.server_version)
+        fresh = await self._table.poll_once(self._period)
         if fresh:
             self._replicated_state.servers_fresh_at = max(
                 self._replicated_state.servers_fresh_at, began
