--- a/features/steps/configuration_storm_steps.py
+++ b/features/steps/configuration_storm_steps.py
@@ -7,7 +7,7 @@
 
 from features.support.fake_store import DaemonStoreClient, FakeStore
 from features.support.virtual_time import run_in_virtual_time
-from loomwind.serving.configuration_polling import poll_interval_seconds
+from loomwind.serving.configuration_polling import mirror_poll_interval_seconds
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.ports import Snapshot, Store
 from loomwind.settings import BoundSettings
@@ -57,7 +57,7 @@
         "op",
         StoreHealth(),
         context.watched.on_rows,
-        lambda: poll_interval_seconds(context.bounds),
+        lambda: mirror_poll_interval_seconds(context.bounds),
     )
     task = asyncio.ensure_future(follower.run())
     await asyncio.sleep(QUIET_SECONDS)
--- a/loomwind/serving/configuration_polling.py
+++ b/loomwind/serving/configuration_polling.py
@@ -1,9 +1,9 @@
-"""How closely a daemon follows the configuration in the store.
+"""How often a daemon polls the store for the configuration.
 
-A few daemons, the mirrors, ask often, so that a store that has lost a question is asked again in
-time. The others hear of versions from peers (:mod:`loomwind.serving.configuration_gossip`): they
-leave a question with the store for long, and pause for longer in a large fleet, since each version
-answers the question of each daemon.
+A few daemons, the mirrors, use short long-polls, so that a request that the store has lost is
+repeated in time. The others learn of versions from peers
+(:mod:`loomwind.serving.configuration_gossip`): they use long long-polls, and pause for longer in a
+large fleet, since each new version makes the store respond to every daemon.
 """
 
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 from loomwind.serving.peers import PeerTable
 from loomwind.settings import BoundSettings
 
-# Parts of the time in which a configuration must be in force; the rest is for calls that fail.
-REST_PART = 0.25
-LONGEST_REST_PART = 0.5
-MIRROR_WAIT_PART = 0.4
+# Fractions of the time in which a configuration must be active; the rest is for failed calls.
+POLL_INTERVAL_FRACTION = 0.25
+MAX_POLL_INTERVAL_FRACTION = 0.5
+MIRROR_LONG_POLL_FRACTION = 0.4
 
 
-def poll_interval_seconds(bounds: BoundSettings) -> float:
-    """Return the pause of a mirror between two looks; versions of it come together.
+def mirror_poll_interval_seconds(bounds: BoundSettings) -> float:
+    """Return a mirror's pause between two polls.
 
-    An operator may write several a second.
+    Versions written within it arrive together; an operator may write several a second.
     """
-    return REST_PART * bounds.apply_ms / MS_PER_SECOND
+    return POLL_INTERVAL_FRACTION * bounds.apply_ms / MS_PER_SECOND
 
 
 class ConfigurationPolling:
-    """One daemon's pace.
+    """Polling intervals of one daemon.
 
-    :param bounds: returns the bounds in force.
+    :param bounds: returns the current bounds.
     """
 
     def __init__(self, peers: PeerTable, bounds: Callable[[], BoundSettings]) -> None:
@@ -38,15 +38,15 @@
         self._bounds = bounds
 
     def poll_interval_seconds(self) -> float:
-        """Return the pause between two looks."""
-        rest = poll_interval_seconds(self._bounds())
+        """Return the pause between two polls."""
+        interval = mirror_poll_interval_seconds(self._bounds())
         if self._peers.is_mirror():
-            return rest
-        longest = LONGEST_REST_PART * self._bounds().apply_ms / MS_PER_SECOND
-        return min(longest, self._peers.paced(rest))
+            return interval
+        max_interval = MAX_POLL_INTERVAL_FRACTION * self._bounds().apply_ms / MS_PER_SECOND
+        return min(max_interval, self._peers.paced(interval))
 
     def long_poll_seconds(self) -> float:
-        """Return how long the store may hold its answer until there is a new version."""
+        """Return how long the store may hold its response until there is a new version."""
         if not self._peers.is_mirror():
             return LONG_POLL_SECONDS
-        return MIRROR_WAIT_PART * self._bounds().apply_ms / MS_PER_SECOND
+        return MIRROR_LONG_POLL_FRACTION * self._bounds().apply_ms / MS_PER_SECOND
