--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -1,4 +1,8 @@
-"""Follows a table of the store: reads it whole, then its feed; reads again when history is lost."""
+"""Keeps a local reader of a store table up to date.
+
+The table is read in full once, then followed through its change feed. It is read in full again when
+the store has discarded the changes since the last known version.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -14,47 +18,48 @@
 
 
 class StoreHealth:
-    """When the store last answered this daemon, and when it last did not. Times of the loop."""
+    """Tracks when the store last responded and last failed. Times are loop times."""
 
     def __init__(self) -> None:
         self.available_since: float | None = None
         self.last_failure: float | None = None
 
     def record_success(self, now: float) -> None:
-        """Note an answer."""
+        """Record a response."""
         if self.available_since is None:
             self.available_since = now
             log_state("store", "answers")
 
     def record_failure(self, now: float, reason: str) -> None:
-        """Note a call without an answer, or refused."""
+        """Record a call that got no response or was refused."""
         if self.available_since is not None:
             log_state("store", "lost", reason=reason)
         self.available_since = None
         self.last_failure = now
 
     def is_unavailable(self, now: float) -> bool:
-        """Whether a call has failed a moment ago, and none was answered since."""
+        """Return whether a call failed moments ago and none has succeeded since."""
         if self.available_since is not None or self.last_failure is None:
             return False
         return now - self.last_failure < UNAVAILABLE_SECONDS
 
     def recently_failed(self, now: float) -> bool:
-        """Whether a call failed lately, so that entries may be gone without a cause."""
+        """Return whether a call failed recently, so that entries may have lapsed without a cause."""
         return self.last_failure is not None and now - self.last_failure < RECENT_FAILURE_SECONDS
 
     def available_seconds(self, now: float) -> float:
-        """Return for how many seconds each call was answered."""
+        """Return for how many seconds all calls have succeeded."""
         return 0.0 if self.available_since is None else now - self.available_since
 
 
 class TableFollower:
-    """Keeps one table's reader up to date. The version never goes back within a life.
+    """Passes the rows of one table to a reader. The version never decreases.
 
-    :param on_rows: called with rows and whether they are the whole table.
-    :param poll_interval_seconds: returns the pause before the next call; changes of it come together.
-    :param long_poll_seconds: returns how long the store may hold its answer until something changes.
-    :param max_retry_seconds: returns the longest pause after a call that failed.
+    :param on_rows: called with rows and whether they are the full table.
+    :param poll_interval_seconds: returns the pause before the next call; changes made meanwhile
+        arrive in one response.
+    :param long_poll_seconds: returns how long the store may hold a response until a change.
+    :param max_retry_seconds: returns the longest pause after a failed call.
     """
 
     def __init__(
@@ -79,20 +84,20 @@
         self.synchronised = False
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the table until cancelled."""
         while True:
             if await self.poll_once(self._long_poll()):
                 await asyncio.sleep(self._poll_interval())
 
     async def poll_once(self, long_poll_seconds: float) -> bool:
-        """Make one call, and pause after one that failed; returns whether the rows are the newest.
+        """Make one call, pausing if it fails; returns whether the reader is up to date.
 
-        :param long_poll_seconds: how long the store may hold its answer until something changes.
+        :param long_poll_seconds: how long the store may hold its response until a change.
         """
         try:
-            newest = await self._poll(long_poll_seconds)
+            up_to_date = await self._poll(long_poll_seconds)
             self._retry_delay = RETRY_SECONDS
-            return newest
+            return up_to_date
         except HistoryLost:
             log_state("feed", "history-lost", table=self._table, version=self.version)
             self.synchronised = False
@@ -106,15 +111,15 @@
         return False
 
     def resume_from(self, version: int) -> None:
-        """Go on from what a peer has told, which stands at a newer version."""
+        """Continue from a newer version that was received from a peer."""
         if version > self.version:
             self.version = version
             self.synchronised = True
 
     async def _poll(self, long_poll_seconds: float) -> bool:
-        """Make one call; returns False when the store's answer was older than what is known."""
+        """Make one call; returns False if the response is older than the known version."""
         if self._health.available_since is None:
-            long_poll_seconds = 0.0  # so that the store's return is known at once
+            long_poll_seconds = 0.0  # detect at once that the store is back
         if self.synchronised:
             snapshot = await self._store.changes(self._table, self.version, long_poll_seconds)
         else:
