--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -344,7 +344,7 @@
 
     def _finish_update(self, version: int) -> None:
         directory = self.pool.directory
-        directory.advance(version)
+        directory.advance_version(version)
         self._metrics.servers.set(len(directory.entries()))
         self._metrics.servers_usable.set(directory.usable_count(self._now()))
         self.pool.refresh()
