--- a/loomwind/serving/directory.py
+++ b/loomwind/serving/directory.py
@@ -1,8 +1,8 @@
-"""The servers that may get work, from what the directory lists. Pure; time is passed in.
+"""Tracks the listed servers and which of them may receive requests. Pure; time is passed in.
 
-An entry that vanishes is a server that leaves, unless the store itself was in trouble: then the
-entry may be gone though the server is well, so it is kept for a while and each send still names
-the server that it is meant for.
+A removed entry means that its server is leaving, unless the store recently failed: then the entry
+may have lapsed although the server is running, so the server is kept for a grace period. That is
+safe because each request names the server instance that it is meant for.
 """
 
 from msgspec import Struct
@@ -10,15 +10,17 @@
 from loomwind.serving.views import ServerEntry, ServerState
 
 MISSING_GRACE_FRACTION = 0.9
-# A list that has been older than this part of the bound was not followed: the store was away.
+# A list older than this fraction of the drain bound was not being updated: the store was
+# unavailable.
 MAX_LIST_AGE_FRACTION = 0.7
 
 
 class _ServerRecord(Struct):
-    """A server that is known.
+    """A known server.
 
-    :param replaced: whether another life was seen at its address.
-    :param departed_at_version: the store's version at which a peer knew that it leaves; 0 for none.
+    :param missing_since: when its entry may have been removed; None while it is listed.
+    :param is_replaced: whether another instance responded at its address.
+    :param departing_since_version: the store version at which a peer saw it departing; 0 for none.
     """
 
     entry: ServerEntry
@@ -28,27 +30,27 @@
 
 
 class ServerDirectory:
-    """Servers by name, each in its newest life.
+    """Servers by name, each with its newest instance.
 
-    :ivar version: the store's version that the directory stands at.
+    :ivar version: the store version of the directory.
     """
 
     def __init__(self, drain_seconds: float) -> None:
-        """Make a directory.
+        """Create an empty directory.
 
-        :param drain_seconds: how soon after the store has said so a server gets no new work.
+        :param drain_seconds: how soon after its departure was stored a server must get no requests.
         """
         self.set_drain_seconds(drain_seconds)
         self._servers: dict[str, _ServerRecord] = {}
         self.version = 0
 
     def set_drain_seconds(self, drain_seconds: float) -> None:
-        """Change how soon a server that leaves gets no new work."""
+        """Change how soon a departing server must get no requests."""
         self._missing_grace_seconds = MISSING_GRACE_FRACTION * drain_seconds
         self._max_list_age_seconds = MAX_LIST_AGE_FRACTION * drain_seconds
 
     def put(self, entry: ServerEntry) -> None:
-        """Take in an entry as listed now."""
+        """Add or update a listed entry."""
         record = _ServerRecord(entry)
         previous = self._servers.get(entry.name)
         if previous is not None and previous.entry.instance == entry.instance:
@@ -57,9 +59,9 @@
         self._servers[entry.name] = record
 
     def advance_version(self, version: int) -> None:
-        """Take in that the list is as the store has it at a version: it goes before older words.
+        """Record that the list matches the store at a version; it overrides older departures.
 
-        Not for an entry that has vanished, which counts on although the list lacks it.
+        Departures of missing entries are kept, since the list no longer describes these servers.
         """
         self.version = max(self.version, version)
         for record in self._servers.values():
@@ -67,9 +69,9 @@
                 record.departing_since_version = 0
 
     def note_departure(self, name: str, instance: str, version: int) -> bool:
-        """Take in a peer's word that a server leaves; returns whether that is news.
+        """Record a departure reported by a peer; returns whether it was not known before.
 
-        :param version: the store's version at which it was known. A list as new goes before it.
+        :param version: the store version at which the peer knew it; ignored if the list is as new.
         """
         record = self._servers.get(name)
         if record is None or record.entry.instance != instance or version <= self.version:
@@ -79,11 +81,11 @@
         return newly_departing
 
     def remove(self, name: str, now: float, store_in_trouble: bool, list_fresh_at: float) -> None:
-        """Take in that an entry has gone.
+        """Record that an entry was removed from the list.
 
-        :param fresh_at: when the list, with the entry in it, was known to be as the store has it.
-            The entry may have gone just after that; one that lapsed while the store was away for
-            longer says nothing, and counts on from now.
+        :param list_fresh_at: when the list, including the entry, last matched the store. The grace
+            period starts there, since the entry may have been removed right after. If the store was
+            unavailable for longer, the removal tells nothing and the period starts now.
         """
         record = self._servers.get(name)
         if record is None:
@@ -97,25 +99,25 @@
             del self._servers[name]
 
     def is_departing(self, name: str) -> bool:
-        """Whether a server is known to leave, by its entry or by a peer."""
+        """Return whether a server is departing, according to its entry or a peer."""
         record = self._servers.get(name)
         if record is None:
             return False
         return record.entry.state is ServerState.DRAINING or record.departing_since_version > 0
 
     def note_replaced(self, entry: ServerEntry) -> None:
-        """Another server answers at the address of this one: this life of it is gone."""
+        """Record that another server responds at the address: this instance is gone."""
         record = self._servers.get(entry.name)
         if record is not None and record.entry.instance == entry.instance:
             record.is_replaced = True
 
     def get(self, name: str) -> ServerEntry | None:
-        """Return a server that is known, whatever its state."""
+        """Return a known server in any state, or None."""
         record = self._servers.get(name)
         return record.entry if record else None
 
     def usable(self, service: str, now: float) -> list[ServerEntry]:
-        """Return the servers of a service that may get new work."""
+        """Return the servers of a service that may receive requests."""
         return [
             record.entry
             for record in self._servers.values()
@@ -123,18 +125,18 @@
         ]
 
     def accepts_requests(self, entry: ServerEntry, now: float) -> bool:
-        """Whether a server may still get new work in the life that an entry names."""
+        """Return whether the server instance of an entry may still receive requests."""
         record = self._servers.get(entry.name)
         if record is None or record.entry.instance != entry.instance:
             return False
         return self._is_usable(record, now)
 
     def usable_count(self, now: float) -> int:
-        """Return how many servers of all services may get new work."""
+        """Return how many servers of all services may receive requests."""
         return sum(1 for record in self._servers.values() if self._is_usable(record, now))
 
     def entries(self) -> list[ServerEntry]:
-        """Return all servers that are known."""
+        """Return all known servers that were not replaced."""
         return [record.entry for record in self._servers.values() if not record.is_replaced]
 
     def _is_usable(self, record: _ServerRecord, now: float) -> bool:
