--- a/loomwind/serving/server_list.py
+++ b/loomwind/serving/server_list.py
@@ -20,14 +20,14 @@
 from loomwind.settings import BoundSettings
 
 # Parts of the time in which a leaving server must be known to leave.
-PERIOD_PART = 0.3
-STALE_PART = 0.7
-ANSWER_MARGIN_SECONDS = 0.25
+POLL_PERIOD_FRACTION = 0.3
+MAX_AGE_FRACTION = 0.7
+RESPONSE_MARGIN_SECONDS = 0.25
 # Mirrors that a daemon asks in one period, so that a store that is away costs few messages.
-MOST_ASKED = 3
-LEAST_PAUSE_SECONDS = 0.01
+MAX_MIRRORS_PER_PERIOD = 3
+MIN_PAUSE_SECONDS = 0.01
 # Told of a list that was never fresh; a number, since it goes over the wire.
-LONGEST_AGE_MS = 1e9
+MAX_REPORTED_AGE_MS = 1e9
 
 
 class ServerListFollower:
@@ -47,81 +47,81 @@
         self._transport = transport
         self._peers = peers
         self._replicated_state = replicated_state
-        self._asked = asyncio.Event()
+        self._mirrors_queried = asyncio.Event()
         self.set_bounds(bounds)
 
     def set_bounds(self, bounds: BoundSettings) -> None:
         """Hold to other bounds from now on."""
-        self._period = PERIOD_PART * bounds.drain_seconds
-        self._longest_age = STALE_PART * bounds.drain_seconds
+        self._period_seconds = POLL_PERIOD_FRACTION * bounds.drain_seconds
+        self._max_age_seconds = MAX_AGE_FRACTION * bounds.drain_seconds
 
     async def run(self) -> None:
         """Follow for ever."""
-        async with asyncio.TaskGroup() as ways:
-            ways.create_task(self._follow_store())
-            ways.create_task(self._follow_mirrors())
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self._poll_store())
+            tasks.create_task(self._poll_mirrors())
 
-    def _age(self) -> float:
+    def _age_seconds(self) -> float:
         """Return how many seconds ago the list was as the store has it."""
         return self._now() - self._replicated_state.servers_fresh_at
 
     # The store.
 
-    async def _follow_store(self) -> None:
+    async def _poll_store(self) -> None:
         """Read the store for ever: as a mirror, or while the list is too old."""
-        await self._let_mirrors_answer()
+        await self._wait_for_first_query()
         while True:
-            began = self._now()
-            due = self._replicated_state.servers_fresh_at + self._longest_age
-            if not self._peers.is_mirror() and began < due:
-                await asyncio.sleep(max(LEAST_PAUSE_SECONDS, due - began))
-            elif await self._read_store():
-                await asyncio.sleep(max(0.0, began + self._period - self._now()))
-
-    async def _let_mirrors_answer(self) -> None:
+            started_at = self._now()
+            stale_at = self._replicated_state.servers_fresh_at + self._max_age_seconds
+            if not self._peers.is_mirror() and started_at < stale_at:
+                await asyncio.sleep(max(MIN_PAUSE_SECONDS, stale_at - started_at))
+            elif await self._poll_store_once():
+                await asyncio.sleep(max(0.0, started_at + self._period_seconds - self._now()))
+
+    async def _wait_for_first_query(self) -> None:
         """Wait a moment for the first mirror that is asked, which may spare a call of the store."""
         try:
-            async with asyncio.timeout(ANSWER_MARGIN_SECONDS):
-                await self._asked.wait()
+            async with asyncio.timeout(RESPONSE_MARGIN_SECONDS):
+                await self._mirrors_queried.wait()
         except TimeoutError:
             return
 
-    async def _read_store(self) -> bool:
+    async def _poll_store_once(self) -> bool:
         """Make one call; returns whether the list is fresh by it."""
-        began = self._now()
+        started_at = self._now()
         self._table.resume_from(self._replicated_state.server_version)
-        fresh = await self._table.poll_once(self._period)
+        fresh = await self._table.poll_once(self._period_seconds)
         if fresh:
             self._replicated_state.servers_fresh_at = max(
-                self._replicated_state.servers_fresh_at, began
+                self._replicated_state.servers_fresh_at, started_at
             )
         return fresh
 
     # The mirrors.
 
-    async def _follow_mirrors(self) -> None:
+    async def _poll_mirrors(self) -> None:
         """Ask mirrors for ever: one in each period, and others when that one does not help."""
         while True:
-            began = self._now()
-            if not self._peers.is_mirror() or self._age() >= self._longest_age:
-                await self._ask_until_fresh()
-            self._asked.set()
-            await asyncio.sleep(max(0.0, began + self._period - self._now()))
+            started_at = self._now()
+            if not self._peers.is_mirror() or self._age_seconds() >= self._max_age_seconds:
+                await self._query_until_fresh()
+            self._mirrors_queried.set()
+            await asyncio.sleep(max(0.0, started_at + self._period_seconds - self._now()))
 
-    async def _ask_until_fresh(self) -> None:
+    async def _query_until_fresh(self) -> None:
         """Ask one mirror after the other until the list is fresh by what they say."""
         mirrors = [mirror for mirror in self._peers.mirrors() if mirror.life != self._own.life]
-        for mirror in random.sample(mirrors, min(MOST_ASKED, len(mirrors))):
-            if await self._ask(mirror) and self._age() < self._longest_age:
+        for mirror in random.sample(mirrors, min(MAX_MIRRORS_PER_PERIOD, len(mirrors))):
+            if await self._query_mirror(mirror) and self._age_seconds() < self._max_age_seconds:
                 return
 
-    async def _ask(self, mirror: PeerEntry) -> bool:
+    async def _query_mirror(self, mirror: PeerEntry) -> bool:
         """Ask a daemon that reads the store; returns whether it answered."""
-        sent = self._now()
+        sent_at = self._now()
         question = ServerListQuestion(
-            self._replicated_state.server_version, round(self._period * MS_PER_SECOND)
+            self._replicated_state.server_version, round(self._period_seconds * MS_PER_SECOND)
         )
-        timeout = self._period + ANSWER_MARGIN_SECONDS
+        timeout = self._period_seconds + RESPONSE_MARGIN_SECONDS
         try:
             answer = await self._transport.call(mirror.address, question, timeout)
         except PeerUnreachable as error:
@@ -131,9 +131,9 @@
             return False
         if answer.copy is not None:
             self._replicated_state.on_directory_copy(answer.copy, mirror.address)
-        told_at = sent + (answer.held_ms - answer.age_ms) / MS_PER_SECOND
+        fresh_at = sent_at + (answer.held_ms - answer.age_ms) / MS_PER_SECOND
         self._replicated_state.servers_fresh_at = max(
-            self._replicated_state.servers_fresh_at, told_at
+            self._replicated_state.servers_fresh_at, fresh_at
         )
         return True
 
@@ -142,15 +142,15 @@
 
         A daemon whose own list is too old answers at once, so that the peer asks another.
         """
-        began = self._now()
-        may_wait = self._age() < self._longest_age
-        if may_wait and question.version >= self._replicated_state.server_version:
-            wait = min(question.wait_ms / MS_PER_SECOND, self._period)
+        started_at = self._now()
+        can_wait = self._age_seconds() < self._max_age_seconds
+        if can_wait and question.version >= self._replicated_state.server_version:
+            wait = min(question.wait_ms / MS_PER_SECOND, self._period_seconds)
             await self._replicated_state.wait_for_server_change(wait)
         now = self._now()
         return ServerListAnswer(
-            held_ms=(now - began) * MS_PER_SECOND,
-            age_ms=min(LONGEST_AGE_MS, self._age() * MS_PER_SECOND),
+            held_ms=(now - started_at) * MS_PER_SECOND,
+            age_ms=min(MAX_REPORTED_AGE_MS, self._age_seconds() * MS_PER_SECOND),
             copy=self._replicated_state.directory_changes(question.version),
         )
 
