--- a/loomwind/serving/server_list.py
+++ b/loomwind/serving/server_list.py
@@ -1,8 +1,8 @@
-"""Keeps the list of servers fresh: a few daemons read the store, and the others ask one of them.
+"""Keeps the server list fresh: a few daemons, the mirrors, poll the store; the others query them.
 
-Each answer says how old the store's word behind it is. A daemon whose list gets too old by that
-asks the store itself, beside the peers that it goes on asking, so that neither a silent peer nor a
-silent store holds up the other way.
+Each response states how long ago its sender's list matched the store. A daemon whose list gets too
+old by that polls the store itself while it goes on querying mirrors, so that neither an
+unresponsive peer nor an unresponsive store delays the other way.
 """
 
 import asyncio
@@ -19,19 +19,19 @@
 from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.settings import BoundSettings
 
-# Parts of the time in which a leaving server must be known to leave.
+# Fractions of the drain bound, within which every daemon must know of a departure.
 POLL_PERIOD_FRACTION = 0.3
 MAX_AGE_FRACTION = 0.7
 RESPONSE_MARGIN_SECONDS = 0.25
-# Mirrors that a daemon asks in one period, so that a store that is away costs few messages.
+# Bounds the messages that a daemon sends per period while the store is unavailable.
 MAX_MIRRORS_PER_PERIOD = 3
 MIN_PAUSE_SECONDS = 0.01
-# Told of a list that was never fresh; a number, since it goes over the wire.
+# Reported for a list that was never fresh, in place of infinity on the wire.
 MAX_REPORTED_AGE_MS = 1e9
 
 
 class ServerListFollower:
-    """One daemon's way to a fresh list."""
+    """Keeps one daemon's server list up to date."""
 
     def __init__(
         self,
@@ -51,24 +51,24 @@
         self.set_bounds(bounds)
 
     def set_bounds(self, bounds: BoundSettings) -> None:
-        """Hold to other bounds from now on."""
+        """Apply changed bounds."""
         self._period_seconds = POLL_PERIOD_FRACTION * bounds.drain_seconds
         self._max_age_seconds = MAX_AGE_FRACTION * bounds.drain_seconds
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Poll the store and the mirrors until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._poll_store())
             tasks.create_task(self._poll_mirrors())
 
     def _age_seconds(self) -> float:
-        """Return how many seconds ago the list was as the store has it."""
+        """Return how many seconds ago the list last matched the store."""
         return self._now() - self._replicated_state.servers_fresh_at
 
-    # The store.
+    # Store polling.
 
     async def _poll_store(self) -> None:
-        """Read the store for ever: as a mirror, or while the list is too old."""
+        """Poll the store: always as a mirror, otherwise only while the list is too old."""
         await self._wait_for_first_query()
         while True:
             started_at = self._now()
@@ -79,7 +79,7 @@
                 await asyncio.sleep(max(0.0, started_at + self._period_seconds - self._now()))
 
     async def _wait_for_first_query(self) -> None:
-        """Wait a moment for the first mirror that is asked, which may spare a call of the store."""
+        """Wait briefly for the first mirror queries, which may save a call to the store."""
         try:
             async with asyncio.timeout(RESPONSE_MARGIN_SECONDS):
                 await self._mirrors_queried.wait()
@@ -87,7 +87,7 @@
             return
 
     async def _poll_store_once(self) -> bool:
-        """Make one call; returns whether the list is fresh by it."""
+        """Make one call; returns whether it refreshed the list."""
         started_at = self._now()
         self._table.resume_from(self._replicated_state.server_version)
         fresh = await self._table.poll_once(self._period_seconds)
@@ -97,10 +97,10 @@
             )
         return fresh
 
-    # The mirrors.
+    # Mirror queries.
 
     async def _poll_mirrors(self) -> None:
-        """Ask mirrors for ever: one in each period, and others when that one does not help."""
+        """Query one mirror per period, and further ones if the list is still too old."""
         while True:
             started_at = self._now()
             if not self._peers.is_mirror() or self._age_seconds() >= self._max_age_seconds:
@@ -109,14 +109,14 @@
             await asyncio.sleep(max(0.0, started_at + self._period_seconds - self._now()))
 
     async def _query_until_fresh(self) -> None:
-        """Ask one mirror after the other until the list is fresh by what they say."""
+        """Query mirrors one after the other until the list is fresh."""
         mirrors = [mirror for mirror in self._peers.mirrors() if mirror.life != self._own.life]
         for mirror in random.sample(mirrors, min(MAX_MIRRORS_PER_PERIOD, len(mirrors))):
             if await self._query_mirror(mirror) and self._age_seconds() < self._max_age_seconds:
                 return
 
     async def _query_mirror(self, mirror: PeerEntry) -> bool:
-        """Ask a daemon that reads the store; returns whether it answered."""
+        """Query a mirror; returns whether it responded."""
         sent_at = self._now()
         question = ServerListQuestion(
             self._replicated_state.server_version, round(self._period_seconds * MS_PER_SECOND)
@@ -138,9 +138,9 @@
         return True
 
     async def answer(self, question: ServerListQuestion) -> ServerListAnswer:
-        """Return what changed for a peer, as soon as something has, or after its waiting time.
+        """Return the changes for a peer, once there are any or its waiting time is over.
 
-        A daemon whose own list is too old answers at once, so that the peer asks another.
+        If this daemon's own list is too old it responds at once, so that the peer asks another.
         """
         started_at = self._now()
         can_wait = self._age_seconds() < self._max_age_seconds
