--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -18,9 +18,9 @@
 from loomwind.settings import BoundSettings
 
 # A daemon that restarts forgets what it has spent, so it may spend its allowance twice in a window.
-RESTART_PART = 0.5
+RESTART_FRACTION = 0.5
 # Before the list of daemons is known, so many are taken to share the budget.
-UNKNOWN_DAEMONS = 32
+DEFAULT_DAEMON_COUNT = 32
 
 
 class ServerPool:
@@ -36,9 +36,9 @@
         self.demand = DemandBoard()
         self.expectations = Expectations()
         self.probe_needed = asyncio.Event()
-        self._reaches: dict[str, ServerReach] = {}
+        self._connectivity: dict[str, ServerReach] = {}
         self._bounds = bounds
-        self._daemons = UNKNOWN_DAEMONS
+        self._daemon_count = DEFAULT_DAEMON_COUNT
         self._health: dict[str, ServerHealth] = {}
         self._budgets: dict[str, RetryBudget] = {}
 
@@ -74,12 +74,12 @@
 
     def connectivity_of(self, service: str) -> ServerReach:
         """Return whether this daemon reaches the servers of a service."""
-        if service not in self._reaches:
-            forget = partial(self._forget_unreachable, service)
+        if service not in self._connectivity:
+            forget = partial(self._reset_unreachable_servers, service)
             reach = ServerReach(service, self.probe_needed.set, forget)
             reach.list_servers(self._instances_by_service()[service])
-            self._reaches[service] = reach
-        return self._reaches[service]
+            self._connectivity[service] = reach
+        return self._connectivity[service]
 
     def _instances_by_service(self) -> defaultdict[str, set[str]]:
         by_service: defaultdict[str, set[str]] = defaultdict(set)
@@ -89,11 +89,11 @@
 
     def services_to_probe(self) -> list[str]:
         """Return the services of which it should be found out whether they are reached."""
-        return [service for service, reach in self._reaches.items() if reach.needs_probe]
+        return [service for service, reach in self._connectivity.items() if reach.needs_probe]
 
     def unreachable_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
-        return tuple(service for service, reach in self._reaches.items() if reach.is_cut)
+        return tuple(service for service, reach in self._connectivity.items() if reach.is_cut)
 
     def retry_budget(self, service: str) -> RetryBudget:
         """Return the budget for repeated sends to a service."""
@@ -101,14 +101,14 @@
             bounds = self._bounds
             self._budgets[service] = RetryBudget(
                 bounds.retry_ratio * bounds.retry_safety,
-                self._allowance(),
+                self._retry_allowance(),
                 bounds.retry_window_seconds,
             )
         return self._budgets[service]
 
-    def _allowance(self) -> float:
-        part = self._bounds.retry_safety * RESTART_PART
-        return self._bounds.retry_allowance * part / self._daemons
+    def _retry_allowance(self) -> float:
+        fraction = self._bounds.retry_safety * RESTART_FRACTION
+        return self._bounds.retry_allowance * fraction / self._daemon_count
 
     def set_bounds(self, bounds: BoundSettings) -> None:
         """Hold to other bounds from now on; what was spent of a retry budget stays spent."""
@@ -117,15 +117,15 @@
         for budget in self._budgets.values():
             budget.set_limits(
                 bounds.retry_ratio * bounds.retry_safety,
-                self._allowance(),
+                self._retry_allowance(),
                 bounds.retry_window_seconds,
             )
 
     def set_daemon_count(self, count: int) -> None:
         """Share the retry budget with so many daemons."""
-        self._daemons = max(1, count)
+        self._daemon_count = max(1, count)
         for budget in self._budgets.values():
-            budget.set_allowance(self._allowance())
+            budget.set_allowance(self._retry_allowance())
 
     def note_failure(
         self, entry: ServerEntry, target: ModelKey | None, failure: SendFailed, now: float
@@ -161,7 +161,7 @@
             if entry.address == address:
                 self.connectivity_of(entry.service).doubt()
 
-    def _forget_unreachable(self, service: str) -> None:
+    def _reset_unreachable_servers(self, service: str) -> None:
         """Forget which servers accepted no connection: the fault was on this daemon's side."""
         for entry in self.directory.usable(service, self.now()):
             self.health(entry).note_reachable()
@@ -172,7 +172,7 @@
         known = {entry.instance for entry in self.directory.entries()}
         self.residency.forget(known)
         by_service = self._instances_by_service()
-        for service, reach in self._reaches.items():
+        for service, reach in self._connectivity.items():
             reach.list_servers(by_service[service])
         self._health = {name: health for name, health in self._health.items() if name in known}
         self.demand.wake()
