--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -49,9 +49,9 @@
             self._total_running[instance] += count
 
     def _add(self, server: ServerLedger, now: float) -> None:
-        room = server.room_reserved_for(now)
-        if room is not None:
-            self.reserved.add(room)
+        reserved_model = server.room_reserved_for(now)
+        if reserved_model is not None:
+            self.reserved.add(reserved_model)
         report = server.report
         if report is None:
             return
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -49,9 +49,9 @@
             for server in self._inputs.servers
             if server.room_reserved_for(self._inputs.now) == name
         ]
-        server_free_in = self._draft.reserved_load_ready_in(name)
-        if server_free_in is not None:
-            times.append(server_free_in + ORDER_LATENCY_SECONDS)
+        reserved_ready_in = self._draft.reserved_load_ready_in(name)
+        if reserved_ready_in is not None:
+            times.append(reserved_ready_in + ORDER_LATENCY_SECONDS)
         if name in self._queue_positions:
             times.append(self._queued_load_ready_in(name))
         return min(times, default=None)
