--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -1,9 +1,9 @@
-"""How many loads at once the weight store serves at full speed, learned from how long they take.
+"""Adaptive limit on concurrent loads from the weight store.
 
-Beyond some number that no setting tells, each load takes proportionally longer: more of them at
-once bring nothing and hold up the servers. The number is found as a sender finds the room of a
-network path: twice as many at once while none is slow, and back to what was served when one is.
-Pure; time is passed in.
+Above a concurrency that is not configured, each load slows down in proportion: more concurrent loads
+add no throughput and keep servers busy longer. The limit is found as in TCP congestion control: it
+doubles per load time while no load is slow, and falls to the sustained concurrency when loads slow
+down. After that it grows by one per load time. Pure: the time is an argument.
 """
 
 from collections import deque
@@ -16,10 +16,11 @@
 INITIAL_LIMIT = 4
 SLOW_LOAD_FACTOR = 1.15
 OVERDUE_FACTOR = 1.3
-# A load that had fewer beside it than this part of the limit as it began says nothing of a higher
-# one.
+# A load raises the limit only if its mean concurrency was at least this fraction of the limit at its
+# start; a less used limit gives no evidence for a higher one.
 MIN_UTILIZATION = 0.75
-# A server that runs many requests loads slowly too: the store is slow when so many in a row are.
+# A load is also slow on a server that runs many requests, so the store counts as slow only after this
+# many slow loads in a row.
 CONSECUTIVE_SLOW_LOADS = 3
 PROBE_AFTER_MS = 20_000.0
 SAMPLE_RETENTION_MS = 120_000.0
@@ -27,11 +28,11 @@
 
 @attrs.frozen
 class FinishedLoad:
-    """A load from the weight store that is done.
+    """A finished load from the weight store.
 
-    :ivar began_ms: when it began.
-    :ivar done_ms: when it was done.
-    :ivar expected_ms: how long it should take, by its model's profile.
+    :ivar began_ms: start time.
+    :ivar done_ms: end time.
+    :ivar expected_ms: expected duration by the model's profile.
     """
 
     began_ms: float
@@ -40,29 +41,29 @@
 
     @property
     def slowdown(self) -> float:
-        """Return the time it took as a multiple of what it should take; 1 or more."""
+        """Return the actual duration divided by the expected one, at least 1."""
         return max(1.0, (self.done_ms - self.began_ms) / max(1.0, self.expected_ms))
 
 
 @attrs.frozen
 class LoadInProgress:
-    """A load from the weight store that is under way.
+    """A load from the weight store that is in progress.
 
-    :ivar began_ms: when it began.
-    :ivar expected_ms: how long it should take, by its model's profile.
+    :ivar began_ms: start time.
+    :ivar expected_ms: expected duration by the model's profile.
     """
 
     began_ms: float
     expected_ms: float
 
     def slowdown(self, now_ms: float) -> float:
-        """Return the time it has taken by now as a multiple of what it should take."""
+        """Return the elapsed time divided by the expected duration."""
         return (now_ms - self.began_ms) / max(1.0, self.expected_ms)
 
 
 @attrs.frozen
 class _Sample:
-    """How many loads were under way up to a time, summed over time, and the limit from then on."""
+    """The integral of concurrency over time up to a moment, and the limit at that moment."""
 
     at_ms: float
     cumulative_load_ms: float
@@ -71,9 +72,9 @@
 
 @attrs.frozen
 class _LoadMeasurement:
-    """What one load has shown.
+    """The slowdown of one load and the concurrency under which it ran.
 
-    :ivar at_once: loads that were under way with it on the whole, itself among them.
+    :ivar concurrency: mean number of loads in progress during this load, including itself.
     """
 
     slowdown: float
@@ -81,12 +82,12 @@
 
 
 class StoreConcurrencyLimit:
-    """The number of loads at once that is worth having."""
+    """Limit on concurrent loads that adapts to the slowdown of loads."""
 
     def __init__(self, learned: LearnedPace | None = None, now_ms: float = 0.0) -> None:
-        """Begin to learn.
+        """Initialize the limit.
 
-        :param learned: what an earlier leader has learned.
+        :param learned: the state that the previous leader learned, if any.
         """
         self._limit = float(INITIAL_LIMIT if learned is None else learned.loads_at_once)
         was_slow = learned is not None and learned.was_slow
@@ -98,15 +99,15 @@
 
     @property
     def limit(self) -> int:
-        """Return how many loads may be under way at once."""
+        """Return the maximum number of concurrent loads."""
         return max(1, round(self._limit))
 
     def snapshot(self, service: str) -> LearnedPace:
-        """Return what the next leader should begin with."""
+        """Return the state from which the next leader starts."""
         return LearnedPace(service, self.limit, self._last_slow_ms is not None)
 
     def observe(self, in_progress: int, now_ms: float) -> None:
-        """Take in how many loads are under way from now on."""
+        """Record the number of loads in progress from now on."""
         last = self._samples[-1]
         cumulative_load_ms = last.cumulative_load_ms + self._in_progress * (now_ms - last.at_ms)
         self._samples.append(_Sample(now_ms, cumulative_load_ms, self._limit))
@@ -115,7 +116,7 @@
             self._samples.pop(0)
 
     def _mean_concurrency(self, load: FinishedLoad) -> float:
-        """Return how many loads were under way while one was, itself among them, on the whole."""
+        """Return the mean number of loads in progress during a load, including itself."""
         samples = [s for s in self._samples if load.began_ms <= s.at_ms <= load.done_ms]
         if len(samples) < 2:
             return float(max(1, self._in_progress))
@@ -127,10 +128,10 @@
         )
 
     def record_finished(self, load: FinishedLoad, now_ms: float) -> None:
-        """Learn from a load."""
+        """Adjust the limit by a finished load."""
         concurrency = self._mean_concurrency(load)
         self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
-        slowdown = min(measurement.slowdown for measurement in self._recent)
+        slowdown = min(m.slowdown for m in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
             sustained = max(
                 measurement.concurrency / measurement.slowdown for measurement in self._recent
@@ -144,15 +145,15 @@
             self._increase_limit(now_ms)
 
     def _limit_at(self, at_ms: float) -> float:
-        """Return the limit of a time."""
+        """Return the limit that applied at a time."""
         since = (sample.limit for sample in self._samples if sample.at_ms >= at_ms)
         return next(since, self._limit)
 
     def check_overdue(self, loads: Sequence[LoadInProgress], now_ms: float) -> None:
-        """Learn from loads that have not ended yet: halve the limit while several are overdue.
+        """Halve the limit if several loads in progress are overdue.
 
-        Where all are slow, none may end for long. Once a load's time, since what began before the
-        limit fell goes on being slow.
+        When all loads are slow, none may finish for a long time. The limit is halved at most once
+        per expected load duration, since loads that started before it fell stay slow.
         """
         overdue = [load for load in loads if load.slowdown(now_ms) > OVERDUE_FACTOR]
         if len(overdue) < CONSECUTIVE_SLOW_LOADS:
