--- a/loomwind/placement/load_rate_limiter.py
+++ b/loomwind/placement/load_rate_limiter.py
@@ -1,22 +1,22 @@
-"""Keeps the loads begun from the weight store under its rate in each sliding window. Pure."""
+"""Sliding-window rate limit for loads from the weight store. Pure."""
 
 from collections import deque
 from collections.abc import Iterable
 
-# Loads that the leader before may have begun without a word having reached this daemon.
+# Loads that the previous leader may have started without this daemon having been told.
 UNREPORTED_LOADS = 2
 
 
 class LoadRateLimiter:
-    """Loads begun lately, by this leader and by the one before."""
+    """Limits load starts per window, counting those of this leader and of the previous one."""
 
     def __init__(
         self, per_second: float, window_seconds: float, now: float, seen: Iterable[float] = ()
     ) -> None:
-        """Begin with the loads that this daemon was told of while another one led.
+        """Initialize the window with the loads announced by the previous leader.
 
-        :param per_second: what the weight store allows.
-        :param seen: when those were told.
+        :param per_second: the maximum rate of load starts.
+        :param seen: the times at which this daemon was told of those loads.
         """
         self._max_loads = max(1, int(per_second * window_seconds))
         self._window = window_seconds
@@ -24,11 +24,11 @@
         self._start_times.extend([now] * UNREPORTED_LOADS)
 
     def allows(self, now: float) -> bool:
-        """Whether one more load may begin."""
+        """Return whether one more load may start now."""
         while self._start_times and self._start_times[0] <= now - self._window:
             self._start_times.popleft()
         return len(self._start_times) < self._max_loads
 
     def record(self, now: float) -> None:
-        """A load begins."""
+        """Record the start of a load."""
         self._start_times.append(now)
