--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -1,43 +1,44 @@
-"""Which loads from the weight store may begin. Every order that needs one asks here. Pure.
+"""Admission control for loads from the weight store, used by every order that needs one. Pure.
 
-The weight store serves few loads at once, and more models are asked for than it can bring. So each
-place goes to the model that lacks a copy for most callers: one that is asked for and has none on
-its way, or one whose servers are all full. Any other copy has to wait until all of these have come.
+The weight store serves only a few concurrent loads, and more models may be requested than it can
+deliver. Each slot therefore goes to the model that needs a copy for the most callers: a requested
+model that is neither loaded nor loading, or a model whose servers are all full. All other copies wait
+until these have been served.
 """
 
 from collections.abc import Mapping
 
 
 class StoreAdmission:
-    """The places of one plan.
+    """Allocates the load slots of one plan by priority.
 
-    :ivar places: how many more loads may begin.
+    :ivar slots: the number of loads that may still start.
     """
 
     def __init__(self, slots: int, missing: Mapping[str, float]) -> None:
-        """Begin a plan.
+        """Initialize the slots and order the models by callers, most first.
 
-        :param places: how many more loads may be under way.
-        :param missing: the models that lack a copy, with the callers that a copy would serve.
+        :param slots: the number of loads that may still start.
+        :param missing: models that need a copy, with the number of callers each would serve.
         """
         self.slots = slots
         self._missing = dict.fromkeys(sorted(missing, key=lambda name: -missing[name]))
 
     def admits(self, name: str) -> bool:
-        """Whether a load of a model may begin: no model that goes before it needs the place."""
+        """Return whether a slot is left for a model after all models of higher priority."""
         if name not in self._missing:
             return self.slots > len(self._missing)
         position = list(self._missing).index(name)
         return self.slots > position
 
     def models_needing_copy(self) -> tuple[str, ...]:
-        """Return the models that lack a copy, the next one first."""
+        """Return the models that need a copy, highest priority first."""
         return tuple(self._missing)
 
     def discard(self, name: str) -> None:
-        """Keep no place for a model: it is on its way, by whichever copy, or cannot be taken."""
+        """Stop reserving a slot for a model that is being loaded or that no server can take."""
         self._missing.pop(name, None)
 
     def acquire_slot(self) -> None:
-        """A load from the weight store begins, or another model makes way for one."""
+        """Use one slot, for a load or for an unload that frees memory for one."""
         self.slots -= 1
