--- a/loomwind/placement/overload.py
+++ b/loomwind/placement/overload.py
@@ -1,4 +1,4 @@
-"""Which models have more callers than the servers that hold them have places. Pure."""
+"""Finds models with more requests than their servers have slots. Pure."""
 
 from collections.abc import Iterable
 
@@ -6,9 +6,9 @@
 
 
 def excess_callers(inputs: PlanInput, names: Iterable[str]) -> dict[str, float]:
-    """Return, of some models, those whose servers are all full, with the callers beyond the places.
+    """Return the models whose servers are all full, with the number of requests beyond capacity.
 
-    Models of one server share its places, and so what it has too few of.
+    The models of a server share its slots, so its excess is split by their running requests.
     """
     excess_by_model: dict[str, float] = {}
     for name in names:
@@ -20,7 +20,7 @@
 
 
 def _excess_requests(inputs: PlanInput, instance: str, name: str) -> float:
-    """Return how many of a model's requests at a server are beyond its places."""
+    """Return a model's share of the requests that exceed a server's slots."""
     server = inputs.index.server(instance)
     running = inputs.index.total_requests(instance)
     excess = running - server.profile.slots
