--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -1,4 +1,4 @@
-"""What a plan looks up again and again, found once: who holds what, copies, runs. Pure."""
+"""Lookup tables for one plan: servers and running requests by model. Pure."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -8,24 +8,24 @@
 
 
 class ServersByModel(dict[str, list[ServerLedger]]):
-    """Servers by a model's name. A look at a model without any adds nothing."""
+    """Servers by model name. Looking up an unknown model returns an empty list and adds no entry."""
 
     def __missing__(self, name: str) -> list[ServerLedger]:
         return []
 
     def add(self, name: str, server: ServerLedger) -> None:
-        """Add a server of a model."""
+        """Add a server to the list of a model."""
         self.setdefault(name, []).append(server)
 
 
 class PlacementIndex:
-    """The state of one service's servers at one moment, by model.
+    """Snapshot of a service's servers, indexed by model.
 
-    :ivar holders: the servers that hold a model now, by its name.
-    :ivar arriving: the servers that load a model's weights now, by its name.
-    :ivar copies: the servers with a copy of a model's weights in memory or on disk, by its name.
-    :ivar available: all that is held or on its way, with adapters.
-    :ivar reserved: the models that another one makes way for.
+    :ivar holders: servers that hold a model, by model name.
+    :ivar loading: servers that are loading a model, by model name.
+    :ivar cached_copies: servers with the weights in host memory or on disk, by model name.
+    :ivar available: models and adapters that are loaded or being loaded.
+    :ivar reserved: models for which memory is reserved by evicting another one.
     """
 
     def __init__(
@@ -68,23 +68,23 @@
                 self.loading.add(target.model, server)
 
     def server(self, instance: str) -> ServerLedger:
-        """Return the server of that name."""
+        """Return the server with an instance ID."""
         return self._servers[instance]
 
     def running_requests(self, instance: str, name: str) -> int:
-        """Return how many requests run at a server for a model and its adapters."""
+        """Return the number of requests running at a server for a model and its adapters."""
         return self._running.get((instance, name), 0)
 
     def total_requests(self, instance: str) -> int:
-        """Return how many requests run at a server, or wait there."""
+        """Return the number of requests running or queued at a server."""
         return self._total_running[instance]
 
     def running_models(self) -> set[str]:
-        """Return the models for which requests run."""
+        """Return the models with running requests."""
         return {name for _, name in self._running}
 
     def loaded_adapters(self, name: str) -> set[str]:
-        """Return the adapters of a model that some server has."""
+        """Return the adapters of a model that are loaded on any server."""
         held = (model for server in self.holders[name] for model in _held_models(server))
         return {adapter for model in held if model.name == name for adapter in model.adapters}
 
@@ -94,7 +94,7 @@
 
 
 def _load_targets(server: ServerLedger) -> Iterable[ModelKey]:
-    """Yield what a server is loading, or was just told to load."""
+    """Yield what a server is loading or has been ordered to load."""
     order, operation = server.in_flight, server.operation
     if order is not None and order.kind is OrderKind.LOAD:
         yield order.target
