--- a/loomwind/placement/server_state.py
+++ b/loomwind/placement/server_state.py
@@ -1,10 +1,10 @@
-"""What a model server's report says of its memory, its copies and how long loads take. Pure."""
+"""Memory use, cached copies and load times derived from a model server's report. Pure."""
 
 from loomwind.serving.views import EngineProfile, ServerReport
 
 
 def used_mb(profile: EngineProfile, report: ServerReport) -> float:
-    """Return the memory of all that a server holds or is getting, in MB."""
+    """Return the memory used by held models, their adapters and pending adapters, in MB."""
     total = 0.0
     for held in report.held:
         model = profile.model(held.name)
@@ -17,12 +17,12 @@
 
 
 def has_copy(report: ServerReport, name: str) -> bool:
-    """Whether a copy of a model's weights lies in host memory or on disk."""
+    """Return whether a model's weights are cached in host memory or on disk."""
     return name in report.in_memory or name in report.on_disk
 
 
 def load_seconds(profile: EngineProfile, report: ServerReport, name: str) -> float:
-    """Return the seconds that a load of a model takes, from the nearest copy in a report."""
+    """Return the load time of a model in seconds, from its fastest cached copy or the store."""
     model = profile.model(name)
     if model is None:
         return 0.0
