--- a/loomwind/placement/__init__.py
+++ b/loomwind/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which model server holds what: pure planning, and the controller that carries the plan out."""
+"""Model placement: the pure planner and the controller that executes its plans."""
