--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -1,9 +1,10 @@
 """Adaptive limit on concurrent loads from the weight store.
 
-Above a concurrency that is not configured, each load slows down in proportion: more concurrent loads
-add no throughput and keep servers busy longer. The limit is found as in TCP congestion control: it
+Above some concurrency, which is not configured, each load slows down in proportion: more loads add
+no throughput and keep servers busy longer. The limit is found as in TCP congestion control: it
 doubles per load time while no load is slow, and falls to the sustained concurrency when loads slow
-down. After that it grows by one per load time. Pure: the time is an argument.
+down. After PROBE_AFTER_MS without a slow load it grows by one per load time. Pure: the time is an
+argument.
 """
 
 from collections import deque
@@ -16,11 +17,11 @@
 INITIAL_LIMIT = 4
 SLOW_LOAD_FACTOR = 1.15
 OVERDUE_FACTOR = 1.3
-# A load raises the limit only if its mean concurrency was at least this fraction of the limit at its
-# start; a less used limit gives no evidence for a higher one.
+# A load raises the limit only if its mean concurrency was at least this fraction of the limit at
+# its start; a less used limit gives no evidence for a higher one.
 MIN_UTILIZATION = 0.75
-# A load is also slow on a server that runs many requests, so the store counts as slow only after this
-# many slow loads in a row.
+# A load is also slow on a server that runs many requests, so the store counts as slow only after
+# this many slow loads in a row.
 CONSECUTIVE_SLOW_LOADS = 3
 PROBE_AFTER_MS = 20_000.0
 SAMPLE_RETENTION_MS = 120_000.0
@@ -133,9 +134,7 @@
         self._recent.append(_LoadMeasurement(load.slowdown, concurrency))
         slowdown = min(m.slowdown for m in self._recent)
         if len(self._recent) == CONSECUTIVE_SLOW_LOADS and slowdown > SLOW_LOAD_FACTOR:
-            sustained = max(
-                measurement.concurrency / measurement.slowdown for measurement in self._recent
-            )
+            sustained = max(m.concurrency / m.slowdown for m in self._recent)
             self._limit = max(1.0, min(self._limit, sustained))
             self._last_slow_ms = now_ms
             self._recent.clear()
