--- a/loomwind/placement/store_admission.py
+++ b/loomwind/placement/store_admission.py
@@ -2,8 +2,8 @@
 
 The weight store serves only a few concurrent loads, and more models may be requested than it can
 deliver. Each slot therefore goes to the model that needs a copy for the most callers: a requested
-model that is neither loaded nor loading, or a model whose servers are all full. All other copies wait
-until these have been served.
+model that is neither loaded nor loading, or a model whose servers are all full. All other copies
+wait until these have been served.
 """
 
 from collections.abc import Mapping
