--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -68,7 +68,7 @@
                 self.loading.add(target.model, server)
 
     def server(self, instance: str) -> ServerLedger:
-        """Return the server with an instance ID."""
+        """Return a server by its instance ID."""
         return self._servers[instance]
 
     def running_requests(self, instance: str, name: str) -> int:
