--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -1,4 +1,4 @@
-"""What a plan is made from, and the plan while it is made: orders, reserved turns, free servers."""
+"""The inputs of a plan, and the plan under construction with its orders and reservations."""
 
 import enum
 from collections.abc import Iterator, Mapping, Sequence
@@ -17,7 +17,11 @@
 
 
 class OrderPurpose(enum.Enum):
-    """What an order is for."""
+    """Why a load is ordered; the values appear in logs and metrics.
+
+    WANTED: requests wait for it. FURTHER_COPY: another server holds the model already.
+    AHEAD: an adapter loaded before it is requested. STAGED: a model loaded before it is requested.
+    """
 
     WANTED = "wanted"
     FURTHER_COPY = "further-copy"
@@ -27,11 +31,11 @@
 
 @attrs.frozen
 class PlannedOrder:
-    """An order that should be given next to a server.
+    """An order to send to a server next.
 
-    :ivar purpose: what the load is for; for an unload, the load that it makes way for.
-    :ivar from_store: whether the load comes from the weight store.
-    :ivar makes_way_for: for an unload: the model that the room is for.
+    :ivar purpose: why the target is loaded; for an unload, the purpose of the load that follows.
+    :ivar from_store: whether the load reads from the weight store.
+    :ivar evicts_for: for an unload, the model that needs the memory; empty for an adapter.
     """
 
     instance: str
@@ -44,14 +48,14 @@
 
 @attrs.frozen
 class PlanInput:
-    """Everything that a plan is made from.
-
-    :ivar servers: the model servers of one service that may get work.
-    :ivar running: requests that run, by instance and target.
-    :ivar now: loop time in seconds.
-    :ivar store_load_allowed: whether the weight store's rate allows one more load.
-    :ivar store_loads_left: how many more may be under way at once.
-    :ivar may_stage: whether there is time to load models that nobody has asked for.
+    """The state from which a plan is computed.
+
+    :ivar servers: the model servers of one service that may receive orders.
+    :ivar running: the number of running requests, by instance and target.
+    :ivar now: event loop time in seconds.
+    :ivar store_load_allowed: whether the rate limit of the weight store allows one more load.
+    :ivar staging_allowed: whether models may be loaded before they are requested.
+    :ivar store_loads_left: how many more concurrent loads the weight store may serve.
     """
 
     service: str
@@ -68,27 +72,27 @@
         object.__setattr__(self, "index", PlacementIndex(self.servers, self.running, self.now))
 
     def rate(self, target: ModelKey) -> float:
-        """Return the recent rate of requests for a target, a second."""
+        """Return the recent rate of requests for a target, per second."""
         return self.demand.rate(self.service, target, self.now)
 
     def known_servers(self) -> list[ServerLedger]:
-        """Return the servers whose state is known."""
+        """Return the servers that have reported their state."""
         return [server for server in self.servers if server.report is not None]
 
     def models(self) -> Sequence[ModelProfile]:
-        """Return the service's models, in the configuration's order."""
+        """Return the service's models in configuration order."""
         return self.servers[0].profile.models if self.servers else ()
 
     def model(self, name: str) -> ModelProfile | None:
-        """Return a model of the service, or None."""
+        """Return a model of the service, or None if it is not configured."""
         return self.servers[0].profile.model(name) if self.servers else None
 
     def position(self, name: str) -> int | None:
-        """Return a model's place in the configuration's order; None when it has none."""
+        """Return a model's position in configuration order, or None if it is not configured."""
         return self.servers[0].profile.positions.get(name) if self.servers else None
 
     def holders(self, name: str) -> list[ServerLedger]:
-        """Return the servers that hold a model now."""
+        """Return the servers that hold a model."""
         return self.index.holders[name]
 
     def held_models(self, server: ServerLedger) -> Iterator[str]:
@@ -98,7 +102,7 @@
 
 
 class DraftPlan:
-    """The orders of one step, at most one for each server, and the turns that are reserved."""
+    """The orders of one step, at most one per server, and reservations of busy servers."""
 
     def __init__(
         self,
@@ -106,10 +110,10 @@
         callers: Mapping[str, float] | None = None,
         overloaded: Mapping[str, float] | None = None,
     ) -> None:
-        """Begin a plan.
+        """Start an empty plan.
 
-        :param callers: how many callers ask for each wanted model.
-        :param overloaded: how many callers of a held model are beyond the places of its servers.
+        :param callers: the number of callers of each requested model.
+        :param overloaded: the number of requests beyond the slots of a model's servers.
         """
         self.orders: list[PlannedOrder] = []
         self._inputs = inputs
@@ -132,7 +136,7 @@
         self._admission = StoreAdmission(slots, missing)
 
     def load(self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose) -> None:
-        """Order a model or an adapter to be loaded."""
+        """Add an order to load a model or an adapter."""
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
         if from_store and server.room_reserved_for(self._inputs.now) != target.model:
@@ -142,7 +146,7 @@
     def unload(
         self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, evicts_for: str = ""
     ) -> None:
-        """Order a model or an adapter to be unloaded."""
+        """Add an order to unload a model or an adapter."""
         instance = server.entry.instance
         order = PlannedOrder(instance, OrderKind.UNLOAD, target, purpose, evicts_for=evicts_for)
         if evicts_for and server.loads_from_store(evicts_for):
@@ -150,21 +154,22 @@
         self._add(order)
 
     def can_load_from_store(self, name: str) -> bool:
-        """Whether one more load from the weight store may be planned."""
+        """Return whether the plan may load a model from the weight store."""
         return self._admission.admits(name)
 
     def skip(self, name: str) -> None:
-        """Leave a model's place to the next one: no server can take it now."""
+        """Release a model's store slot, since no server can take the model now."""
         self._admission.discard(name)
 
     def models_needing_copy(self) -> tuple[str, ...]:
-        """Return the models that lack a copy; the one that is brought next comes first."""
+        """Return the models that need a copy, highest priority first."""
         return self._admission.models_needing_copy()
 
     def can_use_reserved_memory(self, server: ServerLedger, name: str) -> bool:
-        """Whether a model may be loaded where another one has made way for it.
+        """Return whether a model may be loaded into the memory reserved for it.
 
-        Its place has been taken already. One that is on its way elsewhere does not need it.
+        Its store slot was taken by the unload. A model that is loading elsewhere no longer needs
+        the memory.
         """
         if not server.loads_from_store(name):
             return True
@@ -182,7 +187,7 @@
         self.orders.append(order)
 
     def reserve(self, server: ServerLedger, name: str) -> None:
-        """Keep a turn of a busy server for a load of a model."""
+        """Reserve the next load of a busy server for a model."""
         instance = server.entry.instance
         seconds = server.load_seconds(name)
         self._admission.discard(name)
@@ -190,15 +195,15 @@
         self._reserved_seconds[instance] = self._reserved_seconds.get(instance, 0.0) + seconds
 
     def reserved_load_ready_in(self, name: str) -> float | None:
-        """Return the time until a model is loaded for which a turn is kept; None without one."""
+        """Return the time until a reserved load is done, or None without a reservation."""
         return self._reserved_ready_in.get(name)
 
     def plans_load(self, name: str) -> bool:
-        """Whether this plan orders a model to be loaded, or another one makes way for it."""
+        """Return whether a model is loaded by this plan or has memory reserved for it."""
         return ModelKey(name) in self._ordered_loads or self.has_reserved_memory(name)
 
     def is_free(self, server: ServerLedger) -> bool:
-        """Whether a server can take an order now."""
+        """Return whether a server can take an order now."""
         if not server.idle or server.entry.instance in self._assigned:
             return False
         return server.quiet_until <= self._inputs.now
@@ -208,7 +213,7 @@
         return [server for server in self._inputs.servers if self.is_free(server)]
 
     def busy_seconds(self, server: ServerLedger) -> float:
-        """Return the time until a server can begin another load."""
+        """Return the time until a server can start another load."""
         reserved = self._reserved_seconds.get(server.entry.instance, 0.0)
         if self.is_free(server):
             return reserved
@@ -218,11 +223,11 @@
         return reserved + max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
 
     def is_available(self, target: ModelKey) -> bool:
-        """Whether a target is held somewhere, or on its way."""
+        """Return whether a target is loaded on any server or being loaded."""
         if target in self._inputs.index.available or target in self._ordered_loads:
             return True
         return not target.adapter and self.has_reserved_memory(target.model)
 
     def has_reserved_memory(self, name: str) -> bool:
-        """Whether another model makes way for one, or will by this plan."""
+        """Return whether another model is evicted for a model, already or by this plan."""
         return name in self._evicted_for or name in self._inputs.index.reserved
