--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -1,8 +1,8 @@
-"""Decides the next orders from typed views. Pure: the same views give the same plan.
+"""Plans the next orders for the model servers. Pure: equal inputs give equal plans.
 
-What is waited for comes first, the most urgent first. A model goes to the server where it costs
-least: the time until it is loaded there, from the nearest copy, and the worth of what has to make
-way. See :mod:`loomwind.placement.model_planner` and :mod:`loomwind.placement.adapter_planner`.
+Pending requests are planned first, by urgency. A model is loaded on the server with the least cost:
+the load time from the fastest copy plus the value of the evicted models. See
+:mod:`loomwind.placement.model_planner` and :mod:`loomwind.placement.adapter_planner`.
 """
 
 from loomwind.clock import MS_PER_SECOND
@@ -21,7 +21,7 @@
 
 
 class Planner:
-    """Makes the orders of one step."""
+    """Computes the orders of one step."""
 
     def __init__(self, inputs: PlanInput) -> None:
         wants = [w for w in inputs.demand.wants(inputs.now) if w.key.service == inputs.service]
@@ -35,7 +35,7 @@
         self._models = ModelPlanner(inputs, self._draft, cost_model, self._adapters)
 
     def plan(self) -> list[PlannedOrder]:
-        """Return the orders, at most one for each server."""
+        """Return the orders, at most one per server."""
         self._models.load_into_reserved_memory()
         self._models.plan_overload_copies(self._overloaded)
         for want in self._wants:
@@ -54,11 +54,11 @@
         return self._draft.orders
 
     def models_needing_copy(self) -> tuple[str, ...]:
-        """Return the models that lack a copy; the one that is brought next comes first."""
+        """Return the models that need a copy, highest priority first."""
         return self._draft.models_needing_copy()
 
     def expectations(self) -> tuple[ExpectedTarget, ...]:
-        """Return when what requests wait for should be ready, by the plan that was made."""
+        """Return when the targets of waiting requests should be ready under this plan."""
         readiness = ReadinessEstimator(self._inputs, self._draft, self._models.queue())
         expected = []
         for want in self._wants:
@@ -75,7 +75,7 @@
             self._adapters.plan_load(target)
 
     def _load_seconds(self, want: Want) -> float:
-        """Return the longest time that a load for a want takes."""
+        """Return the load time without a cached copy, the longest case."""
         for server in self._inputs.servers:
             model = server.profile.model(want.key.target.model)
             if model is not None:
@@ -83,14 +83,14 @@
         return 0.0
 
     def _can_wait(self, want: Want) -> bool:
-        """Whether a want's objective can be met by a load that begins a while later."""
+        """Return whether the objective can still be met by a load that starts later."""
         return want.slack_seconds >= self._load_seconds(want) + SLACK_MARGIN_SECONDS
 
     def _is_urgent(self, want: Want) -> bool:
-        """Whether a load is longer than the objective: each moment of it counts."""
+        """Return whether a load takes longer than the remaining objective, so any delay counts."""
         return want.urgency_seconds < self._load_seconds(want)
 
     def _deferrable_sort_key(self, want: Want) -> tuple[bool, float]:
-        """Order wants whose objective can still be met before the others, the oldest first."""
+        """Sort demand whose objective can still be met first, then by least slack."""
         in_time = want.slack_seconds >= self._load_seconds(want)
         return (not in_time, want.slack_seconds)
