--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -1,4 +1,4 @@
-"""Decides which models are loaded where, and what makes way for them. Pure."""
+"""Plans which models are loaded on which servers and which are evicted. Pure."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -19,7 +19,7 @@
 class ModelPlanner:
     """Adds orders for models to a plan.
 
-    :ivar queued: models that wait for the weight store, in the order in which they were asked for.
+    :ivar queued: models that wait for the weight store, in planning order.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self.queued: list[str] = []
 
     def load_into_reserved_memory(self) -> None:
-        """Load what other models have made way for."""
+        """Load models into the memory that evictions have freed for them."""
         for server in self._draft.free_servers():
             name = server.room_reserved_for(self._inputs.now)
             model = server.profile.model(name) if name is not None else None
@@ -48,15 +48,15 @@
                 )
                 self._draft.load(server, ModelKey(name), purpose)
 
-    # What requests wait for.
+    # Loads for pending requests.
 
     def plan_load(self, name: str, can_wait: bool) -> None:
-        """Bring a model to the server where it is ready soonest at the least cost.
+        """Plan the load of a model on the server with the least cost, including the wait for it.
 
-        A server that is busy may still be the best, since it has a copy nearby: then its turn is
-        reserved, and the order is given when it is free.
+        A busy server with a cached copy may still be the best one. Its next load is then reserved,
+        and the order follows when the server is free.
 
-        :param may_wait: whether its objective can be met by a load that begins later.
+        :param can_wait: whether the objective can be met by a load that starts later.
         """
         options = [self._load_option(server, name) for server in self._candidates(name, can_wait)]
         best = _cheapest(options, self._cost_with_wait)
@@ -72,7 +72,7 @@
             self._draft.reserve(best.server, name)
 
     def _candidates(self, name: str, can_wait: bool) -> list[ServerLedger]:
-        """Return the servers that a model may be brought to."""
+        """Return the servers on which a model may be loaded."""
         servers = self._inputs.known_servers()
         if not can_wait:
             return servers
@@ -82,7 +82,7 @@
         return self._cost_model.load_option(server, name)
 
     def _cost(self, option: LoadOption) -> float:
-        """Return what a choice costs, with what it holds up."""
+        """Return the cost of an option, including the delay of adapter loads."""
         adapter_delay = ADAPTER_DELAY_COST_SECONDS * self._adapters.missing_adapter_rate(
             option.server
         )
@@ -92,7 +92,10 @@
         return self._cost(option) + self._draft.busy_seconds(option.server)
 
     def _order_load(self, option: LoadOption, name: str, purpose: OrderPurpose) -> None:
-        """Load a model; adapters first, since a server that loads weights takes no other order."""
+        """Order a load or the eviction before it.
+
+        An adapter is prefetched first, since a server that loads weights takes no other order.
+        """
         server = option.server
         if not self._adapters.has_pending() and self._adapters.prefetch(server):
             return
@@ -102,10 +105,10 @@
         else:
             self._draft.load(server, ModelKey(name), purpose)
 
-    # Ahead of need.
+    # Loads before they are requested.
 
     def plan_second_copies(self) -> None:
-        """Keep two copies of what is asked for often: servers fail, and one copy is none then."""
+        """Plan second copies of frequently requested models, since a server may fail."""
         for model in self._inputs.models():
             key = ModelKey(model.name)
             rate = self._inputs.rate(key)
@@ -117,9 +120,9 @@
                 self._plan_copy(model.name, rate)
 
     def plan_overload_copies(self, overloaded: Mapping[str, float]) -> None:
-        """Bring one more copy of each model whose servers are full, most callers first.
+        """Plan one more copy of each model whose servers are full, largest excess first.
 
-        :param overloaded: how many callers of each are beyond the places of its servers.
+        :param overloaded: the number of requests beyond the slots of each model's servers.
         """
         for name in sorted(overloaded, key=lambda name: -overloaded[name]):
             if not self._inputs.index.loading[name] and not self._draft.plans_load(name):
@@ -128,18 +131,18 @@
                 self._draft.skip(name)
 
     def retry_queued(self) -> None:
-        """Try once more what was behind models that no server could take."""
+        """Retry queued models, since models that no server could take have released their slots."""
         queued, self.queued = self.queued, []
         for name in queued:
             self.plan_load(name, can_wait=True)
 
     def queue(self) -> list[str]:
-        """Return the models that wait for the weight store; the one that is next comes first."""
+        """Return the models that wait for the weight store, highest priority first."""
         queued = set(self.queued)
         return [name for name in self._draft.models_needing_copy() if name in queued]
 
     def _plan_copy(self, name: str, rate: float) -> None:
-        """Bring one more copy of a model, if what makes way is asked for much less."""
+        """Plan one more copy of a model if the evicted models have a much lower value."""
         servers = [s for s in self._draft.free_servers() if not s.holds(ModelKey(name))]
         options = [self._load_option(server, name) for server in servers]
         worthwhile = [
@@ -154,7 +157,7 @@
             self._order_load(best, name, OrderPurpose.FURTHER_COPY)
 
     def plan_staging(self) -> None:
-        """Load models that no server has a copy of, once: later loads come from that copy."""
+        """Load models without any copy once, so that later loads use the cached copy."""
         for server in self._draft.free_servers():
             if server.staged >= MAX_STAGED_PER_SERVER:
                 continue
@@ -166,14 +169,14 @@
                 self._order_load(option, name, OrderPurpose.STAGED)
 
     def _can_evict_for_staging(self, server: ServerLedger, name: str) -> bool:
-        """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
+        """Return whether a model may be evicted for staging: cached here and rarely requested."""
         return (
             server.has_copy(name)
             and self._cost_model.expected_rate(name) < STAGING_EVICTION_MAX_RATE
         )
 
     def _next_to_stage(self) -> str | None:
-        """Return the first model of the list that no server holds, has a copy of, or is getting."""
+        """Return the first configured model that no server holds, has cached or is loading."""
         for model in self._inputs.models():
             if self._draft.is_available(ModelKey(model.name)):
                 continue
@@ -185,6 +188,6 @@
 def _cheapest(
     options: Iterable[LoadOption | None], cost: Callable[[LoadOption], float]
 ) -> LoadOption | None:
-    """Return the choice of least cost; None when there is none."""
+    """Return the option of least cost, or None if there is none."""
     possible = [option for option in options if option is not None]
     return min(possible, key=cost, default=None)
