--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -1,4 +1,4 @@
-"""Decides which adapters are loaded and unloaded. Pure."""
+"""Plans which adapters are loaded and unloaded. Pure."""
 
 from collections.abc import Sequence
 
@@ -30,7 +30,7 @@
         self._missing: dict[str, list[ModelKey]] = {}
 
     def plan_load(self, target: ModelKey) -> None:
-        """Bring an adapter to a server that holds its model."""
+        """Plan the load of an adapter on a free server that holds its model."""
         best: tuple[float, ServerLedger] | None = None
         for server in self._draft.free_servers():
             if not server.holds(ModelKey(target.model)):
@@ -56,7 +56,7 @@
         return server.free_adapter_slots() > 0 and server.free_mb() >= model.adapter_mb
 
     def _cost(self, server: ServerLedger, target: ModelKey) -> float | None:
-        """Return what it costs to bring an adapter to a server; None when it cannot be."""
+        """Return the cost of loading an adapter on a server, or None if it cannot be loaded."""
         if server.profile.model(target.model) is None:
             return None
         if self._has_capacity(server, target.model):
@@ -65,7 +65,7 @@
         return None if victim is None else 1.0 + EVICTION_COST_PER_RATE * self._inputs.rate(victim)
 
     def _victim(self, server: ServerLedger) -> ModelKey | None:
-        """Return the adapter used longest ago that nobody uses or waits for."""
+        """Return the least recently used adapter without running or waiting requests."""
         inputs = self._inputs
         pending = {want.key.target for want in self._wants}
         report = server.report
@@ -78,24 +78,24 @@
         ]
         return min(idle, key=lambda k: inputs.demand.last_used(inputs.service, k), default=None)
 
-    # Ahead of need.
+    # Prefetching.
 
     def has_pending(self) -> bool:
-        """Whether a request waits for an adapter: others on their way would slow it down."""
+        """Return whether a request waits for an adapter, which prefetching would delay."""
         return any(
             want.key.target.adapter and self._draft.is_available(ModelKey(want.key.target.model))
             for want in self._wants
         )
 
     def prefetch_all(self) -> None:
-        """Fill free adapter places with adapters of the models that are asked for."""
+        """Prefetch adapters of requested models into free adapter slots."""
         if self.has_pending():
             return
         for server in self._draft.free_servers():
             self.prefetch(server)
 
     def prefetch(self, server: ServerLedger) -> bool:
-        """Order one adapter ahead of need; returns whether there was one to order."""
+        """Order the prefetch of one adapter. Return whether there was one to prefetch."""
         has_free_slot = server.free_adapter_slots() > 0
         if not has_free_slot or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
             return False
@@ -105,7 +105,7 @@
         return target is not None
 
     def _next_prefetch(self, server: ServerLedger) -> ModelKey | None:
-        """Return the adapter most asked for that no server has, of a model held here."""
+        """Return the most requested adapter that no server has, of the models held here."""
         best: tuple[float, ModelKey] | None = None
         for name in self._inputs.held_models(server):
             model = server.profile.model(name)
@@ -123,7 +123,7 @@
         return best[1] if best else None
 
     def _most_requested_missing(self, model: ModelProfile) -> ModelKey | None:
-        """Return the adapter of a model most asked for that no server has; None when all are."""
+        """Return the most requested adapter of a model that no server has, or None."""
         missing = self._missing.get(model.name)
         if missing is None:
             targets = [ModelKey(model.name, f"a{n}") for n in range(1, model.adapters + 1)]
@@ -134,10 +134,10 @@
             missing.pop(0)
         return missing[0] if missing else None
 
-    # What a load of weights would hold up.
+    # Adapter loads that a load of weights would delay.
 
     def must_stay_free(self, server: ServerLedger) -> bool:
-        """Whether a load here would hold up adapters, while other servers can take it soon."""
+        """Return whether a load here would delay adapters that other servers would not delay."""
         if self.missing_adapter_rate(server) < MAX_MISSING_ADAPTER_RATE:
             return False
         others = [other for other in self._inputs.known_servers() if other is not server]
@@ -147,9 +147,9 @@
         return len(fit) >= MIN_ALTERNATIVE_SERVERS
 
     def missing_adapter_rate(self, server: ServerLedger) -> float:
-        """Return the rate of requests whose adapter is missing and could come only here.
+        """Return the rate of requests for missing adapters that this server would have to load.
 
-        A server that loads weights refuses orders for adapters meanwhile.
+        A server that loads weights refuses adapter orders until it is done.
         """
         instance = server.entry.instance
         if instance not in self._missing_adapter_rates:
