--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -1,4 +1,4 @@
-"""When what is waited for should be ready, by the plan of a moment. Pure; times are in seconds."""
+"""Estimates when targets will be ready under a plan. Pure; times are in seconds."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
 from loomwind.serving.views import ModelKey, OrderKind
 
-# Until an order is taken, and until the daemons know that it is done.
+# Until a server accepts an order, and until the daemons learn that it is done.
 ORDER_LATENCY_SECONDS = 0.15
 UNLOAD_SECONDS = 0.25
 ADAPTER_LOAD_SECONDS = 0.1
@@ -14,9 +14,9 @@
 
 
 class ReadinessEstimator:
-    """Tells the time until targets are ready.
+    """Estimates the time until targets are ready.
 
-    :param queued: models whose loads wait for the weight store, in their order.
+    :param queued: models that wait for the weight store, in queue order.
     """
 
     def __init__(self, inputs: PlanInput, draft: DraftPlan, queued: Sequence[str]) -> None:
@@ -26,7 +26,7 @@
         self._store_load_ends = sorted(self._estimate_store_load_ends())
 
     def ready_in(self, target: ModelKey) -> float | None:
-        """Return the time until a target is ready; None when that is not known."""
+        """Return the time until a target is ready, or None if it is unknown."""
         model_ready_in = self._model_ready_in(target.model)
         if model_ready_in is None or not target.adapter:
             return model_ready_in
@@ -74,10 +74,10 @@
             )
         return max(0.0, operation.done_at - self._inputs.now) + ORDER_LATENCY_SECONDS
 
-    # The weight store's queue.
+    # The queue for the weight store.
 
     def _estimate_store_load_ends(self) -> list[float]:
-        """Return when each load of the weight store should end, planned ones included."""
+        """Return the time until each current or planned load from the weight store ends."""
         ends = [
             self._remaining_load_seconds(server) if server.operation else DEFAULT_LOAD_SECONDS
             for server in self._inputs.servers
@@ -90,7 +90,7 @@
         return ends
 
     def _queued_load_ready_in(self, name: str) -> float:
-        """Return when a queued load should be done: after as many as stand before it."""
+        """Return the time until a queued load is done, after the loads queued before it."""
         position = self._queue_positions[name]
         load_seconds = self._store_load_seconds(name)
         concurrency = max(1, len(self._store_load_ends))
