--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -8,7 +8,7 @@
 
 
 class ServersByModel(dict[str, list[ServerLedger]]):
-    """Servers by model name. Looking up an unknown model returns an empty list and adds no entry."""
+    """Servers by model name. Looking up an unknown model gives an empty list and adds no entry."""
 
     def __missing__(self, name: str) -> list[ServerLedger]:
         return []
