--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -137,7 +137,7 @@
     # Adapter loads that a load of weights would delay.
 
     def must_stay_free(self, server: ServerLedger) -> bool:
-        """Return whether a load here would delay adapters that other servers would not delay."""
+        """Return whether a load here would delay adapters while enough other servers would not."""
         if self.missing_adapter_rate(server) < MAX_MISSING_ADAPTER_RATE:
             return False
         others = [other for other in self._inputs.known_servers() if other is not server]
