--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.support.made_store import SERVICE, server_document
+from features.support.fake_store import SERVICE, server_document
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.http.client import HttpClient
 from loomwind.http.messages import HttpRequest
@@ -13,12 +13,12 @@
 from loomwind.metrics import Metrics
 from loomwind.platform.dialect import PlatformDialect
 from loomwind.platform.documents import PlatformDocuments
-from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.forwarder import Forwarder, OutgoingRequest
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Snapshot, StoredRow
+from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.views import CallerRequest, RequestKind, RouteRule, WeightedService
 from loomwind.settings import BoundSettings
 
@@ -26,7 +26,7 @@
 @given("a daemon that lists server {name:w} as ready at version {version:d}")
 def step_lists(context: Any, name: str, version: int) -> None:
     context.health = StoreHealth()
-    context.listing = Beliefs(
+    context.listing = ReplicatedState(
         PlatformDocuments(), "config", ServerPool(BoundSettings()), context.health, Metrics()
     )
     context.passed_on = []
@@ -46,7 +46,7 @@
 
 @given("whose call of the store has just failed")
 def step_store_failed(context: Any) -> None:
-    context.health.failed(0.0, "reset")
+    context.health.record_failure(0.0, "reset")
 
 
 @when("a peer says that {name:w} leaves as of version {version:d}")
@@ -86,7 +86,7 @@
 )
 def step_went_and_came(context: Any, name: str, gone: int, back: int) -> None:
     rows = (
-        StoredRow(name, gone, gone=True),
+        StoredRow(name, gone, deleted=True),
         StoredRow(name, back, server_document("ready", held=back)),
     )
     run_in_virtual_time(_at_once(context.listing.on_server_rows, Snapshot(rows, back), False))
@@ -132,9 +132,11 @@
 @when("a request is sent to {name:w}, which says that it leaves before the connection is made")
 def step_sent_meanwhile(context: Any, name: str) -> None:
     leaving = StoredRow(name, 9, server_document("draining"))
-    beliefs: Beliefs = context.listing
-    context.client = SlowClient(lambda: beliefs.on_server_rows(Snapshot((leaving,), 9), False))
-    context.failure = run_in_virtual_time(_send(context.client, beliefs.pool, name))
+    replicated_state: ReplicatedState = context.listing
+    context.client = SlowClient(
+        lambda: replicated_state.on_server_rows(Snapshot((leaving,), 9), False)
+    )
+    context.failure = run_in_virtual_time(_send(context.client, replicated_state.pool, name))
 
 
 async def _send(client: SlowClient, pool: ServerPool, name: str) -> SendFailed | None:
@@ -146,7 +148,7 @@
         HttpRequest("POST", "/"), CallerRequest("id-1", "h", 30.0), route, 30.0
     )
     forwarder = Forwarder(
-        cast(HttpClient, client), PlatformDialect(), pool.reach_of, pool.gets_work
+        cast(HttpClient, client), PlatformDialect(), pool.reach_of, pool.accepts_requests
     )
     try:
         connection = await forwarder.connect(entry)
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -10,7 +10,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.serving.errors import SendFailed
-from loomwind.serving.ports import AnswerVerdict, Dialect
+from loomwind.serving.ports import Dialect, ResponseCheck
 from loomwind.serving.reach import ServerReach
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
@@ -54,17 +54,17 @@
         client: HttpClient,
         dialect: Dialect,
         reach_of: Callable[[str], ServerReach],
-        gets_work: Callable[[ServerEntry], bool] = lambda entry: True,
+        accepts_requests: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Make a forwarder.
 
         :param reach_of: returns what is told of each new connection to a service, made or failed.
-        :param gets_work: whether a server may still get work, asked once it is connected.
+        :param accepts_requests: whether a server may still get work, asked once it is connected.
         """
         self._client = client
         self._dialect = dialect
         self._reach_of = reach_of
-        self._gets_work = gets_work
+        self._accepts_requests = accepts_requests
         self._clock = Clock()
 
     async def connect(self, entry: ServerEntry) -> ClientConnection:
@@ -73,7 +73,7 @@
         :raises SendFailed: there is none, or the server gets no more work.
         """
         connection = self._client.take_idle(entry.address) or await self.open_connection(entry)
-        if not self._gets_work(entry):
+        if not self._accepts_requests(entry):
             self._client.release(connection)
             detail = f"{entry.instance}: began to leave while a connection was made"
             raise SendFailed(detail, ran=False, at_fault=False, unsent=True)
@@ -94,8 +94,8 @@
         request = self._server_request(outgoing, entry, now, last_event_id)
         try:
             connection.send_request(request)
-            head, verdict = await self._read_matching_head(connection, request, outgoing, entry)
-            if not verdict.ran:
+            head, check = await self._read_matching_head(connection, request, outgoing, entry)
+            if not check.may_have_run:
                 await self._drain_refusal(connection)
         except HttpError as error:
             connection.close()
@@ -103,8 +103,8 @@
         except BaseException:
             connection.close()
             raise
-        if not verdict.ran:
-            raise _refusal_error(entry, head, verdict)
+        if not check.may_have_run:
+            raise _refusal_error(entry, head, check)
         return OpenResponse(connection, head)
 
     async def open_connection(self, entry: ServerEntry) -> ClientConnection:
@@ -137,23 +137,23 @@
         request: HttpRequest,
         outgoing: OutgoingRequest,
         entry: ServerEntry,
-    ) -> tuple[HttpResponse, AnswerVerdict]:
+    ) -> tuple[HttpResponse, ResponseCheck]:
         """Read heads until one answers this request; a late surplus answer is skipped."""
         request_id = outgoing.caller.request_id
         for _ in range(1 + MAX_STALE_RESPONSES):
             head = await connection.read_head()
-            verdict = self._dialect.judge(request_id, entry.name, head)
+            check = self._dialect.check_response(request_id, entry.name, head)
             connection.note_keep_alive(head)
-            if verdict.ours:
-                return self._check_genuine(head, verdict, entry), verdict
+            if check.matches_request:
+                return self._check_genuine(head, check, entry), check
             await connection.skip_answer(request)
         raise SendFailed(f"{entry.instance}: answers to other requests only", ran=True)
 
     @staticmethod
     def _check_genuine(
-        head: HttpResponse, verdict: AnswerVerdict, entry: ServerEntry
+        head: HttpResponse, check: ResponseCheck, entry: ServerEntry
     ) -> HttpResponse:
-        if verdict.ran and not verdict.genuine:
+        if check.may_have_run and not check.from_server:
             raise SendFailed(f"{entry.instance}: an answer without the server's mark", ran=True)
         return head
 
@@ -193,11 +193,11 @@
         self._client.release(connection)
 
 
-def _refusal_error(entry: ServerEntry, head: HttpResponse, verdict: AnswerVerdict) -> SendFailed:
+def _refusal_error(entry: ServerEntry, head: HttpResponse, check: ResponseCheck) -> SendFailed:
     return SendFailed(
         f"{entry.instance}: refused unstarted with {head.status}",
         ran=False,
-        missing_target=verdict.missing_target,
-        other_instance=verdict.other_instance,
-        at_fault=not verdict.missing_target,
+        missing_target=check.missing_target,
+        other_instance=check.other_instance,
+        at_fault=not check.missing_target,
     )
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -114,7 +114,7 @@
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
-            self._pool.budget(self._service).note_request(self._arrived_at)
+            self._pool.retry_budget(self._service).note_request(self._arrived_at)
         timeout = asyncio.timeout_at(self._request.deadline - DEADLINE_MARGIN_SECONDS)
         self._handler.timeouts.add(timeout)
         try:
@@ -246,7 +246,7 @@
 
     def _spend_retry(self) -> bool:
         """Take one repeat out of the budget, if it has room."""
-        allowed = self._pool.budget(self._service).try_spend(self._handler.now())
+        allowed = self._pool.retry_budget(self._service).try_spend(self._handler.now())
         self._handler.metrics.repeats.labels("allowed" if allowed else "over-budget").inc()
         return allowed
 
