--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -179,7 +179,7 @@
     if not hasattr(context, "replicated_state"):
         context.replicated_state, context.peer = replicated_state(), replicated_state()
     for snapshot in snapshots:
-        context.replicated_state.on_server_rows(snapshot, whole=False)
+        context.replicated_state.on_server_rows(snapshot, is_full=False)
     copy = context.replicated_state.directory_changes(context.peer.server_version)
     context.copy = copy
     context.peer.on_directory_copy(copy)
@@ -339,11 +339,11 @@
 def step_next_call(context: Any) -> None:
     store = WaitRecorder()
     table = TableFollower(cast(Store, store), "op", context.health, lambda rows, whole: None)
-    table.adopt(1)
+    table.resume_from(1)
     asyncio.run(_follow_twice(table))
     assert store.waits_seconds == [0.0, 25.0], store.waits_seconds
 
 
 async def _follow_twice(table: TableFollower) -> None:
-    await table.follow_once(25.0)
-    await table.follow_once(25.0)
+    await table.poll_once(25.0)
+    await table.poll_once(25.0)
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -53,17 +53,17 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        reach_of: Callable[[str], ServerReach],
+        connectivity_of: Callable[[str], ServerReach],
         accepts_requests: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Create a forwarder.
 
-        :param reach_of: returns the tracker of a service that records the result of each connect.
+        :param connectivity_of: returns the tracker of a service that records the result of each connect.
         :param accepts_requests: whether a server may get requests; checked once it is connected.
         """
         self._client = client
         self._dialect = dialect
-        self._reach_of = reach_of
+        self._connectivity_of = connectivity_of
         self._accepts_requests = accepts_requests
         self._clock = Clock()
 
@@ -114,7 +114,7 @@
 
         :raises SendFailed: no connection can be made.
         """
-        reach = self._reach_of(entry.service)
+        reach = self._connectivity_of(entry.service)
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
