--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -6,7 +6,7 @@
 
 from features.steps.planner_steps import SERVICE, plan, profile, report
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
 from loomwind.placement.store_pace import FinishedLoad, StorePace
@@ -30,7 +30,7 @@
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
         heard = context.residency.load_under_way(name)
-        context.ledgers[name] = ServerLedger(entry, profile(100), heard)
+        context.ledgers[name] = ServerTracker(entry, profile(100), heard)
         context.ledgers[name].note_report(state, now)
 
 
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -7,7 +7,7 @@
 
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import NO_LIMIT, PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.serving.demand import TargetDemand
@@ -52,7 +52,7 @@
     context.demand = DemandView()
     for name in [*first.split(", "), second]:
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        context.ledgers[name] = ServerLedger(entry, profile(memory))
+        context.ledgers[name] = ServerTracker(entry, profile(memory))
 
 
 @given("{first:w} holds {held_first}, {second:w} holds {held_second}")
@@ -74,7 +74,7 @@
 
 @given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     assert ledger.report is not None
     held = [known.name for known in ledger.report.held]
     ledger.note_report(report(held, {*held, model}), 9.0)
@@ -82,7 +82,7 @@
     ledger.note_answer(_order(ledger, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
 
 
-def _order(ledger: ServerLedger, kind: OrderKind, model: str) -> Order:
+def _order(ledger: ServerTracker, kind: OrderKind, model: str) -> Order:
     assert ledger.report is not None
     revision = ledger.report.revision
     return Order(kind, ModelKey(model), ledger.entry.instance, "daemon", FENCE, revision)
@@ -98,7 +98,7 @@
 @when("the first order of the plan is accepted at {now:f} s")
 def step_accept(context: Any, now: float) -> None:
     planned = plan(context)[0]
-    ledger: ServerLedger = context.ledgers[planned.instance]
+    ledger: ServerTracker = context.ledgers[planned.instance]
     order = _order(ledger, planned.kind, planned.target.model)
     ledger.reserve_room(planned.makes_way_for, now)
     ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
@@ -108,7 +108,7 @@
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    ledger: ServerLedger = context.ledgers[context.given_order.instance]
+    ledger: ServerTracker = context.ledgers[context.given_order.instance]
     assert ledger.report is not None
     held = [known.name for known in ledger.report.held]
     ledger.note_report(report(held, set(held), ledger.report.revision), now)
@@ -147,21 +147,21 @@
 
 @when("{name:w} begins to load {model} from the weight store at {now:f} s")
 def step_begin_load(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
     context.loading = model
 
 
 @when("{name:w} leaves an order to load {model} unanswered at {now:f} s, at revision 0")
 def step_unanswered(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
 
 
 @when("{name:w} starts again and says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_starts_again(context: Any, name: str, now: float, revision: int) -> None:
-    earlier: ServerLedger = context.ledgers[name]
-    context.ledgers[name] = ServerLedger(earlier.entry, earlier.profile)
+    earlier: ServerTracker = context.ledgers[name]
+    context.ledgers[name] = ServerTracker(earlier.entry, earlier.profile)
     context.ledgers[name].late_orders.inherit(earlier.late_orders)
     step_says_nothing_held(context, name, now, revision)
 
@@ -179,7 +179,7 @@
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
     """Let a server's loads settle, and return whether it holds what it was loading."""
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     ledger.settle(now, running)
     return ledger.holds(ModelKey(context.loading))
 
@@ -198,7 +198,7 @@
 
 @when("a report of {name:w} at {now:f} s still shows the load")
 def step_old_report(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     assert ledger.report is not None
     ledger.note_report(ServerReport(ledger.report.revision, True, (HeldModel("a"),)), now)
 
@@ -208,7 +208,7 @@
     "that still shows the load"
 )
 def step_report_beside_order(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     context.sent_order = _order(ledger, OrderKind.UNLOAD, model)
     ledger.in_flight = context.sent_order
     step_old_report(context, name, now)
@@ -216,7 +216,7 @@
 
 @when("{name:w} takes that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     ledger.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
 
@@ -232,14 +232,14 @@
 
 @when("{name:w} is ordered to unload {model} at {now:f} s, and {who} uses it")
 def step_unload_ordered(context: Any, name: str, model: str, now: float, who: str) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     order = _order(ledger, OrderKind.UNLOAD, model)
     ledger.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
     """Whether a server can take an order at a time."""
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     return ledger.idle and ledger.quiet_until <= now
 
 
@@ -258,7 +258,7 @@
 
 @when("{name:w} is ordered to load the adapter a/x at {now:f} s")
 def step_adapter_ordered(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     assert ledger.report is not None
     revision = ledger.report.revision
     order = Order(OrderKind.LOAD, ADAPTER, ledger.entry.instance, "daemon", FENCE, revision)
@@ -267,14 +267,14 @@
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
 def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     assert not ledger.settle_adapters(early) and not ledger.holds(ADAPTER)
     assert ledger.settle_adapters(late) and ledger.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
 def step_adapter_pending(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     assert ledger.report is not None
     held = (HeldModel("a"),)
     revision = ledger.report.revision
@@ -291,7 +291,7 @@
     assert not context.ledgers[name].holds(ADAPTER)
 
 
-class CountingLedger(ServerLedger):
+class CountingLedger(ServerTracker):
     """A server whose look-ups of what it holds are counted."""
 
     look_ups = 0
@@ -352,7 +352,7 @@
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    ledger: ServerTracker = context.ledgers[name]
     context.beliefs_while_loading = []
     now = 14.3
     while now < last:
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -13,7 +13,7 @@
 from features.steps.planner_steps import FENCE, SERVICE, hold, profile, report
 from features.support.made_pool import MadePool
 from loomwind.messages.serving import PoolDemand
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress, StorePace
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
@@ -125,7 +125,7 @@
 @when("an earlier leader has told at {told:f} s that {name} loads {model}")
 def step_heard(context: Any, told: float, name: str, model: str) -> None:
     entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-    context.ledgers[name] = ServerLedger(entry, profile(100), LoadUnderWay(model, told))
+    context.ledgers[name] = ServerTracker(entry, profile(100), LoadUnderWay(model, told))
 
 
 @then("at {now:f} s {count} load from the weight store is known to be under way")
@@ -149,7 +149,7 @@
 
 @when("two has unloaded for it at {now:f} s")
 def step_unloaded(context: Any, now: float) -> None:
-    ledger: ServerLedger = context.ledgers["two"]
+    ledger: ServerTracker = context.ledgers["two"]
     assert ledger.report is not None
     held = [known.name for known in ledger.report.held]
     ledger.note_report(report(held, set(held), ledger.report.revision), now)
@@ -160,7 +160,7 @@
 def step_two_loads(context: Any) -> None:
     hold(context, "one", "a")
     hold(context, "two", "nothing")
-    ledger: ServerLedger = context.ledgers["two"]
+    ledger: ServerTracker = context.ledgers["two"]
     order = Order(OrderKind.LOAD, ModelKey("b"), "two", "daemon", FENCE, 0)
     ledger.note_answer(order, OrderAnswer.ACCEPTED, 9.5)
 
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -10,7 +10,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
@@ -147,7 +147,7 @@
         self._pace = StorePace(learned, self.now * MS_PER_SECOND)
         self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
-        self._ledgers: dict[str, ServerLedger] = {}
+        self._ledgers: dict[str, ServerTracker] = {}
         self._heard = told
 
     def ask(self, model: int, count: int, waits: bool) -> None:
@@ -175,7 +175,7 @@
             ledger = self._ledgers.get(name)
             if ledger is None:
                 entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-                ledger = ServerLedger(entry, self._profile, self._heard.get(name))
+                ledger = ServerTracker(entry, self._profile, self._heard.get(name))
                 self._ledgers[name] = ledger
             elif self._draw.random() < 0.5:
                 ledger.note_report(server.report(), self.now)
--- a/loomwind/placement/adapters.py
+++ b/loomwind/placement/adapters.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from loomwind.placement.demand_view import Want
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.placement.valuation import Valuation
 from loomwind.serving.views import ModelKey, ModelProfile
@@ -31,7 +31,7 @@
 
     def bring(self, target: ModelKey) -> None:
         """Bring an adapter to a server that holds its model."""
-        best: tuple[float, ServerLedger] | None = None
+        best: tuple[float, ServerTracker] | None = None
         for server in self._draft.free_servers():
             if not server.holds(ModelKey(target.model)):
                 continue
@@ -41,7 +41,7 @@
         if best is not None:
             self._bring_to(best[1], target)
 
-    def _bring_to(self, server: ServerLedger, target: ModelKey) -> None:
+    def _bring_to(self, server: ServerTracker, target: ModelKey) -> None:
         if self._has_room(server, target.model):
             self._draft.load(server, target, OrderPurpose.WANTED)
             return
@@ -49,13 +49,13 @@
         if victim is not None:
             self._draft.unload(server, victim, OrderPurpose.WANTED)
 
-    def _has_room(self, server: ServerLedger, name: str) -> bool:
+    def _has_room(self, server: ServerTracker, name: str) -> bool:
         model = server.profile.model(name)
         if model is None:
             return False
         return server.free_adapter_slots() > 0 and server.free_mb() >= model.adapter_mb
 
-    def _cost(self, server: ServerLedger, target: ModelKey) -> float | None:
+    def _cost(self, server: ServerTracker, target: ModelKey) -> float | None:
         """Return what it costs to bring an adapter to a server; None when it cannot be."""
         if server.profile.model(target.model) is None:
             return None
@@ -64,7 +64,7 @@
         victim = self._victim(server)
         return None if victim is None else 1.0 + EVICTION_SCALE * self._given.rate(victim)
 
-    def _victim(self, server: ServerLedger) -> ModelKey | None:
+    def _victim(self, server: ServerTracker) -> ModelKey | None:
         """Return the adapter used longest ago that nobody uses or waits for."""
         given = self._given
         waited = {want.key.target for want in self._wants}
@@ -94,7 +94,7 @@
         for server in self._draft.free_servers():
             self.fill(server)
 
-    def fill(self, server: ServerLedger) -> bool:
+    def fill(self, server: ServerTracker) -> bool:
         """Order one adapter ahead of need; returns whether there was one to order."""
         room = server.free_adapter_slots() > 0
         if not room or server.pending_adapters() >= MAX_PENDING_ADAPTERS:
@@ -104,7 +104,7 @@
             self._draft.load(server, target, OrderPurpose.AHEAD)
         return target is not None
 
-    def _next(self, server: ServerLedger) -> ModelKey | None:
+    def _next(self, server: ServerTracker) -> ModelKey | None:
         """Return the adapter most asked for that no server has, of a model held here."""
         best: tuple[float, ModelKey] | None = None
         for name in self._given.held_by(server):
@@ -136,7 +136,7 @@
 
     # What a load of weights would hold up.
 
-    def needs(self, server: ServerLedger) -> bool:
+    def needs(self, server: ServerTracker) -> bool:
         """Whether a load here would hold up adapters, while other servers can take it soon."""
         if self.pressure(server) < MOST_PRESSURE:
             return False
@@ -144,7 +144,7 @@
         fit = [other for other in others if self.pressure(other) < MOST_PRESSURE]
         return len(fit) >= SERVERS_FOR_RARE
 
-    def pressure(self, server: ServerLedger) -> float:
+    def pressure(self, server: ServerTracker) -> float:
         """Return the rate of requests whose adapter is missing and could come only here.
 
         A server that loads weights refuses orders for adapters meanwhile.
@@ -154,7 +154,7 @@
             self._pressures[instance] = self._pressure(server)
         return self._pressures[instance]
 
-    def _pressure(self, server: ServerLedger) -> float:
+    def _pressure(self, server: ServerTracker) -> float:
         pressure = 0.0
         for name in self._given.held_by(server):
             model = server.profile.model(name)
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -10,7 +10,7 @@
 from loomwind.metrics import Metrics
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.expectation_notices import ExpectationNotices
-from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerLedger, store_load_of
+from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerTracker, store_load_of
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
@@ -62,7 +62,7 @@
         self._bounds = bounds
         self._metrics = metrics
         self._demand = DemandView()
-        self._ledgers: dict[str, ServerLedger] = {}
+        self._ledgers: dict[str, ServerTracker] = {}
         self._windows: dict[str, LoadWindow] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
@@ -163,7 +163,7 @@
                 ledger = self._ledgers.get(entry.instance)
                 if ledger is None:
                     heard = self._residency.load_under_way(entry.instance)
-                    ledger = ServerLedger(entry, service.engine, heard)
+                    ledger = ServerTracker(entry, service.engine, heard)
                     self._inherit_orders(ledger)
                     self._ledgers[entry.instance] = ledger
                 ledger.entry = entry
@@ -171,7 +171,7 @@
         for instance in [name for name in self._ledgers if name not in listed]:
             del self._ledgers[instance]
 
-    def _inherit_orders(self, ledger: ServerLedger) -> None:
+    def _inherit_orders(self, ledger: ServerTracker) -> None:
         """Let a new life of a server count on orders that an earlier one left unanswered."""
         for earlier in self._ledgers.values():
             if ledger.entry.name == earlier.entry.name:
@@ -194,7 +194,7 @@
 
     # Reading servers.
 
-    def _should_read(self, ledger: ServerLedger) -> bool:
+    def _should_read(self, ledger: ServerTracker) -> bool:
         if ledger.reading or ledger.in_flight is not None:
             return False
         now = self._now()
@@ -213,7 +213,7 @@
             return age >= WORKING_READ_SECONDS
         return age >= SETTLED_READ_SECONDS
 
-    async def _read(self, ledger: ServerLedger) -> None:
+    async def _read(self, ledger: ServerTracker) -> None:
         report = await self._control.report(ledger.entry, REPORT_TIMEOUT_SECONDS)
         ledger.reading = False
         ledger.doubted = False
@@ -228,7 +228,7 @@
         if busy_before and ledger.idle:
             self._wake.set()
 
-    def _learn_pace(self, ledger: ServerLedger) -> None:
+    def _learn_pace(self, ledger: ServerTracker) -> None:
         finished = ledger.take_finished()
         pace = self._paces.get(ledger.entry.service)
         if finished is None or pace is None:
@@ -243,7 +243,7 @@
                 slowness=round(finished.slowness, 2),
             )
 
-    def _tell_holdings(self, ledgers: list[ServerLedger]) -> None:
+    def _tell_holdings(self, ledgers: list[ServerTracker]) -> None:
         fence = self._election.lease.fence
         if fence is None:
             return
@@ -354,7 +354,7 @@
             ledger.reserve_room(planned.makes_way_for, self._now())
         self._spawn(self._give(ledger, order, planned))
 
-    async def _give(self, ledger: ServerLedger, order: Order, planned: PlannedOrder) -> None:
+    async def _give(self, ledger: ServerTracker, order: Order, planned: PlannedOrder) -> None:
         answer = await self._control.order(ledger.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
         ledger.note_answer(
--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -3,17 +3,17 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.serving.views import HeldModel, ModelKey, OrderKind
 
 
-class ServersByModel(dict[str, list[ServerLedger]]):
+class ServersByModel(dict[str, list[ServerTracker]]):
     """Servers by a model's name. A look at a model without any adds nothing."""
 
-    def __missing__(self, name: str) -> list[ServerLedger]:
+    def __missing__(self, name: str) -> list[ServerTracker]:
         return []
 
-    def add(self, name: str, server: ServerLedger) -> None:
+    def add(self, name: str, server: ServerTracker) -> None:
         """Add a server of a model."""
         self.setdefault(name, []).append(server)
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        servers: Sequence[ServerLedger],
+        servers: Sequence[ServerTracker],
         running: Mapping[tuple[str, ModelKey], int],
         now: float,
     ) -> None:
@@ -48,7 +48,7 @@
             self._runs[(instance, target.model)] += count
             self._runs_of[instance] += count
 
-    def _add(self, server: ServerLedger, now: float) -> None:
+    def _add(self, server: ServerTracker, now: float) -> None:
         room = server.room_reserved_for(now)
         if room is not None:
             self.reserved.add(room)
@@ -67,7 +67,7 @@
             if not target.adapter:
                 self.arriving.add(target.model, server)
 
-    def server(self, instance: str) -> ServerLedger:
+    def server(self, instance: str) -> ServerTracker:
         """Return the server of that name."""
         return self._servers[instance]
 
@@ -89,11 +89,11 @@
         return {adapter for model in held if model.name == name for adapter in model.adapters}
 
 
-def _held(server: ServerLedger) -> Iterable[HeldModel]:
+def _held(server: ServerTracker) -> Iterable[HeldModel]:
     return () if server.report is None else server.report.held
 
 
-def _coming(server: ServerLedger) -> Iterable[ModelKey]:
+def _coming(server: ServerTracker) -> Iterable[ModelKey]:
     """Yield what a server is loading, or was just told to load."""
     order, operation = server.in_flight, server.operation
     if order is not None and order.kind is OrderKind.LOAD:
--- a/loomwind/placement/ledger.py
+++ b/loomwind/placement/ledger.py
@@ -61,7 +61,7 @@
     overdue: bool = False
 
 
-class ServerLedger:
+class ServerTracker:
     """One model server.
 
     :ivar report: the newest state, with the effect of orders that were taken since.
@@ -387,7 +387,7 @@
         return not self.has_copy(name)
 
 
-def store_load_of(ledger: ServerLedger) -> LoadInProgress | None:
+def store_load_of(ledger: ServerTracker) -> LoadInProgress | None:
     """Return the load from the weight store that a server carries out; None when there is none."""
     operation = ledger.operation
     if operation is None or not operation.from_store:
--- a/loomwind/placement/models.py
+++ b/loomwind/placement/models.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from loomwind.placement.adapters import AdapterPlanner
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.placement.valuation import LoadChoice, Valuation
 from loomwind.serving.views import ModelKey
@@ -71,14 +71,14 @@
         else:
             self._draft.reserve(best.server, name)
 
-    def _candidates(self, name: str, may_wait: bool) -> list[ServerLedger]:
+    def _candidates(self, name: str, may_wait: bool) -> list[ServerTracker]:
         """Return the servers that a model may be brought to."""
         servers = self._given.known_servers()
         if not may_wait:
             return servers
         return [s for s in servers if s.has_copy(name) or not self._adapters.needs(s)]
 
-    def _choice(self, server: ServerLedger, name: str) -> LoadChoice | None:
+    def _choice(self, server: ServerTracker, name: str) -> LoadChoice | None:
         return self._valuation.load_choice(server, name)
 
     def _cost(self, choice: LoadChoice) -> float:
@@ -162,7 +162,7 @@
             if all(self._may_be_staged_over(server, victim) for victim in choice.victims):
                 self._carry_out(choice, name, OrderPurpose.STAGED)
 
-    def _may_be_staged_over(self, server: ServerLedger, name: str) -> bool:
+    def _may_be_staged_over(self, server: ServerTracker, name: str) -> bool:
         """Whether a model may make way before anyone has asked: it comes back fast, and is rare."""
         return server.has_copy(name) and self._valuation.expected_rate(name) < STAGING_KEEPS_RATE
 
--- a/loomwind/placement/outlook.py
+++ b/loomwind/placement/outlook.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
 from loomwind.serving.views import ModelKey, OrderKind
 
@@ -63,7 +63,7 @@
         making_way = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
         return server.load_seconds(name) + making_way + NOTICE_SECONDS
 
-    def _until_done(self, server: ServerLedger) -> float:
+    def _until_done(self, server: ServerTracker) -> float:
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             order = server.in_flight
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -7,7 +7,7 @@
 
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.index import PlacementIndex
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.store_admission import StoreAdmission
 from loomwind.serving.views import ModelKey, ModelProfile, OrderKind
 
@@ -55,7 +55,7 @@
     """
 
     service: str
-    servers: Sequence[ServerLedger]
+    servers: Sequence[ServerTracker]
     demand: DemandView
     running: dict[tuple[str, ModelKey], int]
     now: float
@@ -71,7 +71,7 @@
         """Return the recent rate of requests for a target, a second."""
         return self.demand.rate(self.service, target, self.now)
 
-    def known_servers(self) -> list[ServerLedger]:
+    def known_servers(self) -> list[ServerTracker]:
         """Return the servers whose state is known."""
         return [server for server in self.servers if server.report is not None]
 
@@ -87,11 +87,11 @@
         """Return a model's place in the configuration's order; None when it has none."""
         return self.servers[0].profile.positions.get(name) if self.servers else None
 
-    def holders(self, name: str) -> list[ServerLedger]:
+    def holders(self, name: str) -> list[ServerTracker]:
         """Return the servers that hold a model now."""
         return self.index.holders[name]
 
-    def held_by(self, server: ServerLedger) -> Iterator[str]:
+    def held_by(self, server: ServerTracker) -> Iterator[str]:
         """Yield the models that a server holds."""
         if server.report is not None:
             yield from (held.name for held in server.report.held)
@@ -131,7 +131,7 @@
         places = given.store_loads_left if given.store_load_allowed else 0
         self._admission = StoreAdmission(places, missing)
 
-    def load(self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose) -> None:
+    def load(self, server: ServerTracker, target: ModelKey, purpose: OrderPurpose) -> None:
         """Order a model or an adapter to be loaded."""
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
@@ -140,7 +140,11 @@
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
     def unload(
-        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, makes_way_for: str = ""
+        self,
+        server: ServerTracker,
+        target: ModelKey,
+        purpose: OrderPurpose,
+        makes_way_for: str = "",
     ) -> None:
         """Order a model or an adapter to be unloaded."""
         instance = server.entry.instance
@@ -163,7 +167,7 @@
         """Return the models that lack a copy; the one that is brought next comes first."""
         return self._admission.waiting()
 
-    def may_use_room(self, server: ServerLedger, name: str) -> bool:
+    def may_use_room(self, server: ServerTracker, name: str) -> bool:
         """Whether a model may be loaded where another one has made way for it.
 
         Its place has been taken already. One that is on its way elsewhere does not need it.
@@ -183,7 +187,7 @@
             self._admission.leave_out(order.makes_way_for)
         self.orders.append(order)
 
-    def reserve(self, server: ServerLedger, name: str) -> None:
+    def reserve(self, server: ServerTracker, name: str) -> None:
         """Keep a turn of a busy server for a load of a model."""
         instance = server.entry.instance
         seconds = server.load_seconds(name)
@@ -199,17 +203,17 @@
         """Whether this plan orders a model to be loaded, or another one makes way for it."""
         return ModelKey(name) in self._ordered or self.has_reserved_room(name)
 
-    def is_free(self, server: ServerLedger) -> bool:
+    def is_free(self, server: ServerTracker) -> bool:
         """Whether a server can take an order now."""
         if not server.idle or server.entry.instance in self._taken:
             return False
         return server.quiet_until <= self._given.now
 
-    def free_servers(self) -> list[ServerLedger]:
+    def free_servers(self) -> list[ServerTracker]:
         """Return the servers that can take an order now."""
         return [server for server in self._given.servers if self.is_free(server)]
 
-    def busy_seconds(self, server: ServerLedger) -> float:
+    def busy_seconds(self, server: ServerTracker) -> float:
         """Return the time until a server can begin another load."""
         reserved = self._reserved.get(server.entry.instance, 0.0)
         if self.is_free(server):
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -5,7 +5,7 @@
 from loomwind.logs import log_state
 from loomwind.metrics import Metrics
 from loomwind.placement.demand_view import UnservedModel
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 
 MOST_MODELS_NAMED = 8
 # The store's use changes with each load, and a line names all of them.
@@ -32,7 +32,7 @@
     def note_store_use(
         self,
         service: str,
-        loading: Iterable[ServerLedger],
+        loading: Iterable[ServerTracker],
         limit: int,
         queued: Sequence[str],
         now_ms: float,
--- a/loomwind/placement/valuation.py
+++ b/loomwind/placement/valuation.py
@@ -6,7 +6,7 @@
 import attrs
 
 from loomwind.placement.demand_view import Want
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, PlanInput
 from loomwind.serving.views import HeldModel, ModelKey, ModelProfile
 
@@ -27,7 +27,7 @@
     :ivar victims: the models that have to make way, the least worth first.
     """
 
-    server: ServerLedger
+    server: ServerTracker
     cost_seconds: float
     victims: tuple[str, ...]
 
@@ -42,7 +42,7 @@
         self._expected: dict[str, float] = {}
         self._waited_for = {want.key.target.model for want in wants}
 
-    def load_choice(self, server: ServerLedger, name: str) -> LoadChoice | None:
+    def load_choice(self, server: ServerTracker, name: str) -> LoadChoice | None:
         """Return how a model would be brought to a server; None when it cannot be."""
         model = server.profile.model(name)
         if model is None or model.memory_mb > server.profile.memory_mb:
@@ -58,7 +58,7 @@
             cost += STORE_LOAD_SECONDS
         return LoadChoice(server, cost, victims)
 
-    def _victims(self, server: ServerLedger, needed_mb: float) -> tuple[str, ...] | None:
+    def _victims(self, server: ServerTracker, needed_mb: float) -> tuple[str, ...] | None:
         """Return the models of least worth whose going makes room; None when none is enough."""
         report = server.report
         assert report is not None
@@ -73,11 +73,11 @@
             free_mb += _size_mb(server.profile.model(held.name), held)
         return tuple(victims) if free_mb >= needed_mb else None
 
-    def worth_of(self, server: ServerLedger, names: Sequence[str]) -> float:
+    def worth_of(self, server: ServerTracker, names: Sequence[str]) -> float:
         """Return what a server's copies of some models are worth together."""
         return sum(self.worth(server, name) for name in names)
 
-    def worth(self, server: ServerLedger, name: str) -> float:
+    def worth(self, server: ServerTracker, name: str) -> float:
         """Return what a server's copy of a model is worth, in requests a second."""
         rate = self.expected_rate(name)
         copies = len(self._given.holders(name))
