--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -6,9 +6,9 @@
 
 from features.steps.planner_steps import SERVICE, plan, profile, report
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import FinishedLoad, StorePace
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ServerEntry, ServerReport, ServerState
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -7,9 +7,9 @@
 
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import NO_LIMIT, PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.views import (
     EngineProfile,
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -13,7 +13,7 @@
 from features.steps.planner_steps import FENCE, SERVICE, hold, profile, report
 from features.support.made_pool import MadePool
 from loomwind.messages.serving import PoolDemand
-from loomwind.placement.ledger import ServerTracker
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress, StorePace
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -10,10 +10,10 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import StorePace
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.residency import LearnedPace, LoadUnderWay
--- a/loomwind/placement/adapters.py
+++ b/loomwind/placement/adapters.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from loomwind.placement.demand_view import Want
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.valuation import Valuation
 from loomwind.serving.views import ModelKey, ModelProfile
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -10,10 +10,10 @@
 from loomwind.metrics import Metrics
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.expectation_notices import ExpectationNotices
-from loomwind.placement.ledger import ADAPTER_SETTLES_SECONDS, ServerTracker, store_load_of
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ADAPTER_SETTLES_SECONDS, ServerTracker, store_load_of
 from loomwind.placement.shortage_log import ShortageLog
 from loomwind.placement.store_pace import StorePace
 from loomwind.serving.beliefs import Beliefs
--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 
-from loomwind.placement.ledger import ServerTracker
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import HeldModel, ModelKey, OrderKind
 
 
--- a/loomwind/placement/models.py
+++ b/loomwind/placement/models.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from loomwind.placement.adapters import AdapterPlanner
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.valuation import LoadChoice, Valuation
 from loomwind.serving.views import ModelKey
 
--- a/loomwind/placement/outlook.py
+++ b/loomwind/placement/outlook.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import ModelKey, OrderKind
 
 # Until an order is taken, and until the daemons know that it is done.
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -7,7 +7,7 @@
 
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.index import PlacementIndex
-from loomwind.placement.ledger import ServerTracker
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_admission import StoreAdmission
 from loomwind.serving.views import ModelKey, ModelProfile, OrderKind
 
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -5,7 +5,7 @@
 from loomwind.logs import log_state
 from loomwind.metrics import Metrics
 from loomwind.placement.demand_view import UnservedModel
-from loomwind.placement.ledger import ServerTracker
+from loomwind.placement.server_tracker import ServerTracker
 
 MOST_MODELS_NAMED = 8
 # The store's use changes with each load, and a line names all of them.
--- a/loomwind/placement/valuation.py
+++ b/loomwind/placement/valuation.py
@@ -6,8 +6,8 @@
 import attrs
 
 from loomwind.placement.demand_view import Want
-from loomwind.placement.ledger import ServerTracker
 from loomwind.placement.plan import DraftPlan, PlanInput
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import HeldModel, ModelKey, ModelProfile
 
 POSITION_WEIGHT = 0.06
