--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -74,18 +74,18 @@
 
 @given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    assert ledger.report is not None
-    held = [known.name for known in ledger.report.held]
-    ledger.note_report(report(held, {*held, model}), 9.0)
+    tracker: ServerTracker = context.ledgers[name]
+    assert tracker.report is not None
+    held = [known.name for known in tracker.report.held]
+    tracker.note_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
+    tracker.note_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
 
 
-def _order(ledger: ServerTracker, kind: OrderKind, model: str) -> Order:
-    assert ledger.report is not None
-    revision = ledger.report.revision
-    return Order(kind, ModelKey(model), ledger.entry.instance, "daemon", FENCE, revision)
+def _order(tracker: ServerTracker, kind: OrderKind, model: str) -> Order:
+    assert tracker.report is not None
+    revision = tracker.report.revision
+    return Order(kind, ModelKey(model), tracker.entry.instance, "daemon", FENCE, revision)
 
 
 @when("a request waits for {model} at {now:f} s")
@@ -98,20 +98,20 @@
 @when("the first order of the plan is accepted at {now:f} s")
 def step_accept(context: Any, now: float) -> None:
     planned = plan(context)[0]
-    ledger: ServerTracker = context.ledgers[planned.instance]
-    order = _order(ledger, planned.kind, planned.target.model)
-    ledger.reserve_room(planned.makes_way_for, now)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.ledgers[planned.instance]
+    order = _order(tracker, planned.kind, planned.target.model)
+    tracker.reserve_room(planned.makes_way_for, now)
+    tracker.note_answer(order, OrderAnswer.ACCEPTED, now)
     context.now, context.given_order = now, planned
 
 
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    ledger: ServerTracker = context.ledgers[context.given_order.instance]
-    assert ledger.report is not None
-    held = [known.name for known in ledger.report.held]
-    ledger.note_report(report(held, set(held), ledger.report.revision), now)
+    tracker: ServerTracker = context.ledgers[context.given_order.instance]
+    assert tracker.report is not None
+    held = [known.name for known in tracker.report.held]
+    tracker.note_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
 
@@ -147,15 +147,15 @@
 
 @when("{name:w} begins to load {model} from the weight store at {now:f} s")
 def step_begin_load(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.ledgers[name]
+    tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
     context.loading = model
 
 
 @when("{name:w} leaves an order to load {model} unanswered at {now:f} s, at revision 0")
 def step_unanswered(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
+    tracker: ServerTracker = context.ledgers[name]
+    tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
 
 
 @when("{name:w} starts again and says at {now:f} s that it holds nothing, at revision {revision:d}")
@@ -179,9 +179,9 @@
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
     """Let a server's loads settle, and return whether it holds what it was loading."""
-    ledger: ServerTracker = context.ledgers[name]
-    ledger.settle(now, running)
-    return ledger.holds(ModelKey(context.loading))
+    tracker: ServerTracker = context.ledgers[name]
+    tracker.settle(now, running)
+    return tracker.holds(ModelKey(context.loading))
 
 
 @then("{name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
@@ -198,9 +198,9 @@
 
 @when("a report of {name:w} at {now:f} s still shows the load")
 def step_old_report(context: Any, name: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    assert ledger.report is not None
-    ledger.note_report(ServerReport(ledger.report.revision, True, (HeldModel("a"),)), now)
+    tracker: ServerTracker = context.ledgers[name]
+    assert tracker.report is not None
+    tracker.note_report(ServerReport(tracker.report.revision, True, (HeldModel("a"),)), now)
 
 
 @when(
@@ -208,16 +208,16 @@
     "that still shows the load"
 )
 def step_report_beside_order(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    context.sent_order = _order(ledger, OrderKind.UNLOAD, model)
-    ledger.in_flight = context.sent_order
+    tracker: ServerTracker = context.ledgers[name]
+    context.sent_order = _order(tracker, OrderKind.UNLOAD, model)
+    tracker.in_flight = context.sent_order
     step_old_report(context, name, now)
 
 
 @when("{name:w} takes that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    ledger.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
+    tracker: ServerTracker = context.ledgers[name]
+    tracker.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
 
 @then("{name:w} holds c")
@@ -232,15 +232,15 @@
 
 @when("{name:w} is ordered to unload {model} at {now:f} s, and {who} uses it")
 def step_unload_ordered(context: Any, name: str, model: str, now: float, who: str) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    order = _order(ledger, OrderKind.UNLOAD, model)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
+    tracker: ServerTracker = context.ledgers[name]
+    order = _order(tracker, OrderKind.UNLOAD, model)
+    tracker.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
     """Whether a server can take an order at a time."""
-    ledger: ServerTracker = context.ledgers[name]
-    return ledger.idle and ledger.quiet_until <= now
+    tracker: ServerTracker = context.ledgers[name]
+    return tracker.idle and tracker.quiet_until <= now
 
 
 @then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
@@ -258,27 +258,27 @@
 
 @when("{name:w} is ordered to load the adapter a/x at {now:f} s")
 def step_adapter_ordered(context: Any, name: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    assert ledger.report is not None
-    revision = ledger.report.revision
-    order = Order(OrderKind.LOAD, ADAPTER, ledger.entry.instance, "daemon", FENCE, revision)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.ledgers[name]
+    assert tracker.report is not None
+    revision = tracker.report.revision
+    order = Order(OrderKind.LOAD, ADAPTER, tracker.entry.instance, "daemon", FENCE, revision)
+    tracker.note_answer(order, OrderAnswer.ACCEPTED, now)
 
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
 def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    assert not ledger.settle_adapters(early) and not ledger.holds(ADAPTER)
-    assert ledger.settle_adapters(late) and ledger.holds(ADAPTER)
+    tracker: ServerTracker = context.ledgers[name]
+    assert not tracker.settle_adapters(early) and not tracker.holds(ADAPTER)
+    assert tracker.settle_adapters(late) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
 def step_adapter_pending(context: Any, name: str, now: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
-    assert ledger.report is not None
+    tracker: ServerTracker = context.ledgers[name]
+    assert tracker.report is not None
     held = (HeldModel("a"),)
-    revision = ledger.report.revision
-    ledger.note_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
+    revision = tracker.report.revision
+    tracker.note_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
 
 
 @then("{name:w} has a/x")
@@ -313,9 +313,9 @@
     context.ledgers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        ledger = CountingLedger(entry, many)
-        ledger.note_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
-        context.ledgers[entry.instance] = ledger
+        tracker = CountingLedger(entry, many)
+        tracker.note_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
+        context.ledgers[entry.instance] = tracker
 
 
 @when("requests wait for {count:d} models that no server has, and no load may begin")
@@ -352,17 +352,17 @@
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
-    ledger: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.ledgers[name]
     context.beliefs_while_loading = []
     now = 14.3
     while now < last:
         now += step
-        ledger.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
-        ledger.settle(now, 0)
-        state = (now, ledger.holds(ModelKey("c")), ledger.coming)
+        tracker.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
+        tracker.settle(now, 0)
+        state = (now, tracker.holds(ModelKey("c")), tracker.coming)
         context.beliefs_while_loading.append(state)
-    ledger.note_report(report(["a", "c"], {"a", "c"}, 1), end)
-    context.finished = ledger.take_finished()
+    tracker.note_report(report(["a", "c"], {"a", "c"}, 1), end)
+    context.finished = tracker.take_finished()
 
 
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -130,7 +130,7 @@
 
 @then("at {now:f} s {count} load from the weight store is known to be under way")
 def step_known(context: Any, now: float, count: str) -> None:
-    used = sum(ledger.uses_store(now) for ledger in context.ledgers.values())
+    used = sum(tracker.uses_store(now) for tracker in context.ledgers.values())
     assert used == (0 if count == "no" else 1), used
 
 
@@ -149,10 +149,10 @@
 
 @when("two has unloaded for it at {now:f} s")
 def step_unloaded(context: Any, now: float) -> None:
-    ledger: ServerTracker = context.ledgers["two"]
-    assert ledger.report is not None
-    held = [known.name for known in ledger.report.held]
-    ledger.note_report(report(held, set(held), ledger.report.revision), now)
+    tracker: ServerTracker = context.ledgers["two"]
+    assert tracker.report is not None
+    held = [known.name for known in tracker.report.held]
+    tracker.note_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
 
@@ -160,9 +160,9 @@
 def step_two_loads(context: Any) -> None:
     hold(context, "one", "a")
     hold(context, "two", "nothing")
-    ledger: ServerTracker = context.ledgers["two"]
+    tracker: ServerTracker = context.ledgers["two"]
     order = Order(OrderKind.LOAD, ModelKey("b"), "two", "daemon", FENCE, 0)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, 9.5)
+    tracker.note_answer(order, OrderAnswer.ACCEPTED, 9.5)
 
 
 @when(
@@ -170,10 +170,10 @@
     "which is too large for any server"
 )
 def step_too_large(context: Any, count: int, seconds: float) -> None:
-    for ledger in context.ledgers.values():
+    for tracker in context.ledgers.values():
         models = tuple(
             msgspec.structs.replace(model, memory_mb=1e9) if model.name == "h" else model
-            for model in ledger.profile.models
+            for model in tracker.profile.models
         )
-        ledger.profile = msgspec.structs.replace(ledger.profile, models=models)
+        tracker.profile = msgspec.structs.replace(tracker.profile, models=models)
     step_many_wait(context, count, seconds, "h", 10.0)
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -172,14 +172,14 @@
 
     def _read(self) -> None:
         for name, server in self._servers.items():
-            ledger = self._ledgers.get(name)
-            if ledger is None:
+            tracker = self._ledgers.get(name)
+            if tracker is None:
                 entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-                ledger = ServerTracker(entry, self._profile, self._heard.get(name))
-                self._ledgers[name] = ledger
+                tracker = ServerTracker(entry, self._profile, self._heard.get(name))
+                self._ledgers[name] = tracker
             elif self._draw.random() < 0.5:
-                ledger.note_report(server.report(), self.now)
-            finished = ledger.take_finished()
+                tracker.note_report(server.report(), self.now)
+            finished = tracker.take_finished()
             if finished is not None:
                 self._pace.note(finished, self.now * MS_PER_SECOND)
 
@@ -240,15 +240,15 @@
         return self._ledgers[server].room_reserved_for(self.now) or ""
 
     def _give(self, order: PlannedOrder) -> None:
-        ledger = self._ledgers[order.instance]
-        report = ledger.report
+        tracker = self._ledgers[order.instance]
+        report = tracker.report
         assert report is not None
         if order.makes_way_for:
-            ledger.reserve_room(order.makes_way_for, self.now)
+            tracker.reserve_room(order.makes_way_for, self.now)
         given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
-            ledger.note_answer(given, OrderAnswer.CONFLICT, self.now)
+            tracker.note_answer(given, OrderAnswer.CONFLICT, self.now)
             return
         server.take(order)
-        ledger.note_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
+        tracker.note_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -90,9 +90,9 @@
         for demand in report.demand:
             if not demand.waiting:
                 continue
-            for ledger in self._ledgers.values():
-                if ledger.holds(demand.target):
-                    ledger.note_doubt(demand.target, self._now())
+            for tracker in self._ledgers.values():
+                if tracker.holds(demand.target):
+                    tracker.note_doubt(demand.target, self._now())
 
     def _note_leadership(self) -> bool:
         """Begin or end to lead, and return whether this daemon leads.
@@ -140,10 +140,10 @@
             return
         self._update_ledgers(configuration)
         self._settle_loads()
-        for ledger in self._ledgers.values():
-            if self._should_read(ledger):
-                ledger.reading = True
-                self._spawn(self._read(ledger))
+        for tracker in self._ledgers.values():
+            if self._should_read(tracker):
+                tracker.reading = True
+                self._spawn(self._read(tracker))
         for service in configuration.services:
             if service.engine is not None:
                 self._plan(service.name, service.engine.loads_per_second)
@@ -160,77 +160,77 @@
                 continue
             for entry in self._directory.usable(service.name, self._now()):
                 listed[entry.instance] = entry
-                ledger = self._ledgers.get(entry.instance)
-                if ledger is None:
+                tracker = self._ledgers.get(entry.instance)
+                if tracker is None:
                     heard = self._residency.load_under_way(entry.instance)
-                    ledger = ServerTracker(entry, service.engine, heard)
-                    self._inherit_orders(ledger)
-                    self._ledgers[entry.instance] = ledger
-                ledger.entry = entry
-                ledger.profile = service.engine
+                    tracker = ServerTracker(entry, service.engine, heard)
+                    self._inherit_orders(tracker)
+                    self._ledgers[entry.instance] = tracker
+                tracker.entry = entry
+                tracker.profile = service.engine
         for instance in [name for name in self._ledgers if name not in listed]:
             del self._ledgers[instance]
 
-    def _inherit_orders(self, ledger: ServerTracker) -> None:
+    def _inherit_orders(self, tracker: ServerTracker) -> None:
         """Let a new life of a server count on orders that an earlier one left unanswered."""
         for earlier in self._ledgers.values():
-            if ledger.entry.name == earlier.entry.name:
-                ledger.late_orders.inherit(earlier.late_orders)
+            if tracker.entry.name == earlier.entry.name:
+                tracker.late_orders.inherit(earlier.late_orders)
 
     def _settle_loads(self) -> None:
         """Take loads as done whose time is over, and look again when the next one's is."""
         now = self._now()
         running = self._demand.running_by_instance(now)
         settled = []
-        for ledger in self._ledgers.values():
-            count = running[ledger.entry.instance]
-            if ledger.settle(now, count) or ledger.settle_adapters(now):
-                settled.append(ledger)
-            elif 0 < ledger.settles_at(count) - now < STEP_SECONDS:
-                delay = ledger.settles_at(count) - now
+        for tracker in self._ledgers.values():
+            count = running[tracker.entry.instance]
+            if tracker.settle(now, count) or tracker.settle_adapters(now):
+                settled.append(tracker)
+            elif 0 < tracker.settles_at(count) - now < STEP_SECONDS:
+                delay = tracker.settles_at(count) - now
                 asyncio.get_running_loop().call_later(delay, self._wake.set)
         if settled:
             self._tell_holdings(settled)
 
     # Reading servers.
 
-    def _should_read(self, ledger: ServerTracker) -> bool:
-        if ledger.reading or ledger.in_flight is not None:
+    def _should_read(self, tracker: ServerTracker) -> bool:
+        if tracker.reading or tracker.in_flight is not None:
             return False
         now = self._now()
-        age = now - ledger.read_at
-        if ledger.doubted and age >= WORKING_READ_SECONDS:
+        age = now - tracker.read_at
+        if tracker.doubted and age >= WORKING_READ_SECONDS:
             return True
-        if ledger.failed_reads:
+        if tracker.failed_reads:
             return age >= SILENT_READ_SECONDS
-        if ledger.report is None:
+        if tracker.report is None:
             return True
-        operation = ledger.operation
+        operation = tracker.operation
         if operation is not None:
             near = now >= operation.done_at - EARLY_READ_SECONDS
             return near and age >= WORKING_READ_SECONDS
-        if ledger.report.busy or ledger.report.pending_adapters or ledger.quiet_until > now:
+        if tracker.report.busy or tracker.report.pending_adapters or tracker.quiet_until > now:
             return age >= WORKING_READ_SECONDS
         return age >= SETTLED_READ_SECONDS
 
-    async def _read(self, ledger: ServerTracker) -> None:
-        report = await self._control.report(ledger.entry, REPORT_TIMEOUT_SECONDS)
-        ledger.reading = False
-        ledger.doubted = False
+    async def _read(self, tracker: ServerTracker) -> None:
+        report = await self._control.report(tracker.entry, REPORT_TIMEOUT_SECONDS)
+        tracker.reading = False
+        tracker.doubted = False
         if report is None:
-            ledger.note_silence()
-            ledger.read_at = self._now()
+            tracker.note_silence()
+            tracker.read_at = self._now()
             return
-        busy_before = ledger.report is None or not ledger.idle
-        if ledger.note_report(report, self._now()):
-            self._tell_holdings([ledger])
-        self._learn_pace(ledger)
-        if busy_before and ledger.idle:
+        busy_before = tracker.report is None or not tracker.idle
+        if tracker.note_report(report, self._now()):
+            self._tell_holdings([tracker])
+        self._learn_pace(tracker)
+        if busy_before and tracker.idle:
             self._wake.set()
 
-    def _learn_pace(self, ledger: ServerTracker) -> None:
-        finished = ledger.take_finished()
-        pace = self._paces.get(ledger.entry.service)
+    def _learn_pace(self, tracker: ServerTracker) -> None:
+        finished = tracker.take_finished()
+        pace = self._paces.get(tracker.entry.service)
         if finished is None or pace is None:
             return
         before = pace.limit
@@ -249,10 +249,10 @@
             return
         holdings = tuple(
             ServerHolding(
-                ledger.entry.instance, ledger.report.revision, ledger.report.held, ledger.coming
+                tracker.entry.instance, tracker.report.revision, tracker.report.held, tracker.coming
             )
-            for ledger in ledgers
-            if ledger.report is not None
+            for tracker in ledgers
+            if tracker.report is not None
         )
         if holdings:
             paces = tuple(pace.learned(service) for service, pace in self._paces.items())
@@ -270,9 +270,9 @@
             self._windows[service] = window
         pace = self._pace_of(service, now)
         servers = [
-            ledger
-            for ledger in self._ledgers.values()
-            if ledger.entry.service == service and not ledger.failed_reads
+            tracker
+            for tracker in self._ledgers.values()
+            if tracker.entry.service == service and not tracker.failed_reads
         ]
         store_loads = sum(server.uses_store(now) for server in servers)
         pace.observe(store_loads, now * MS_PER_SECOND)
@@ -336,8 +336,8 @@
         return now - self._led_since > STAGE_AFTER_SECONDS and not self._demand.any_yet
 
     def _begin_order(self, planned: PlannedOrder) -> None:
-        ledger = self._ledgers[planned.instance]
-        report = ledger.report
+        tracker = self._ledgers[planned.instance]
+        report = tracker.report
         fence = self._election.lease.fence
         if report is None or fence is None or not self._election.leads():
             return
@@ -349,15 +349,15 @@
             fence,
             report.revision,
         )
-        ledger.in_flight = order
+        tracker.in_flight = order
         if planned.makes_way_for:
-            ledger.reserve_room(planned.makes_way_for, self._now())
-        self._spawn(self._give(ledger, order, planned))
+            tracker.reserve_room(planned.makes_way_for, self._now())
+        self._spawn(self._give(tracker, order, planned))
 
-    async def _give(self, ledger: ServerTracker, order: Order, planned: PlannedOrder) -> None:
-        answer = await self._control.order(ledger.entry, order, ORDER_TIMEOUT_SECONDS)
+    async def _give(self, tracker: ServerTracker, order: Order, planned: PlannedOrder) -> None:
+        answer = await self._control.order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
-        ledger.note_answer(
+        tracker.note_answer(
             order, answer, now, self._demand.runs_at(order.instance, order.target.model, now)
         )
         self._metrics.orders.labels(answer.value).inc()
@@ -378,7 +378,7 @@
                 loop = asyncio.get_running_loop()
                 loop.call_later(ADAPTER_SETTLES_SECONDS, self._wake.set)
             else:
-                self._tell_holdings([ledger])
+                self._tell_holdings([tracker])
         self._wake.set()
 
     async def finish_orders(self) -> None:
