--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -30,8 +30,8 @@
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
         heard = context.residency.load_under_way(name)
-        context.ledgers[name] = ServerTracker(entry, profile(100), heard)
-        context.ledgers[name].note_report(state, now)
+        context.trackers[name] = ServerTracker(entry, profile(100), heard)
+        context.trackers[name].note_report(state, now)
 
 
 @then("the plan of the new leader orders nothing")
@@ -48,7 +48,7 @@
 @then("{model:w} is expected at {at:f} s")
 def step_expected(context: Any, model: str, at: float) -> None:
     given_input = PlanInput(
-        SERVICE, list(context.ledgers.values()), context.demand, {}, context.now, True
+        SERVICE, list(context.trackers.values()), context.demand, {}, context.now, True
     )
     planner = Planner(given_input)
     planner.plan()
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -48,11 +48,11 @@
 
 @given("model servers {first} and {second} of {memory:d} GB")
 def step_servers(context: Any, first: str, second: str, memory: int) -> None:
-    context.ledgers = {}
+    context.trackers = {}
     context.demand = DemandView()
     for name in [*first.split(", "), second]:
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        context.ledgers[name] = ServerTracker(entry, profile(memory))
+        context.trackers[name] = ServerTracker(entry, profile(memory))
 
 
 @given("{first:w} holds {held_first}, {second:w} holds {held_second}")
@@ -69,12 +69,12 @@
 def hold(context: Any, name: str, held: str) -> None:
     """Let a server say what it holds, with a copy of each model on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
-    context.ledgers[name].note_report(report(models, set(models)), 9.0)
+    context.trackers[name].note_report(report(models, set(models)), 9.0)
 
 
 @given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
     tracker.note_report(report(held, {*held, model}), 9.0)
@@ -98,7 +98,7 @@
 @when("the first order of the plan is accepted at {now:f} s")
 def step_accept(context: Any, now: float) -> None:
     planned = plan(context)[0]
-    tracker: ServerTracker = context.ledgers[planned.instance]
+    tracker: ServerTracker = context.trackers[planned.instance]
     order = _order(tracker, planned.kind, planned.target.model)
     tracker.reserve_room(planned.makes_way_for, now)
     tracker.note_answer(order, OrderAnswer.ACCEPTED, now)
@@ -108,7 +108,7 @@
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    tracker: ServerTracker = context.ledgers[context.given_order.instance]
+    tracker: ServerTracker = context.trackers[context.given_order.instance]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
     tracker.note_report(report(held, set(held), tracker.report.revision), now)
@@ -117,7 +117,7 @@
 
 def plan(context: Any) -> list[PlannedOrder]:
     """Return the plan of this moment."""
-    servers = list(context.ledgers.values())
+    servers = list(context.trackers.values())
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", NO_LIMIT)
     running = getattr(context, "running", {})
@@ -147,39 +147,39 @@
 
 @when("{name:w} begins to load {model} from the weight store at {now:f} s")
 def step_begin_load(context: Any, name: str, model: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
     context.loading = model
 
 
 @when("{name:w} leaves an order to load {model} unanswered at {now:f} s, at revision 0")
 def step_unanswered(context: Any, name: str, model: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
 
 
 @when("{name:w} starts again and says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_starts_again(context: Any, name: str, now: float, revision: int) -> None:
-    earlier: ServerTracker = context.ledgers[name]
-    context.ledgers[name] = ServerTracker(earlier.entry, earlier.profile)
-    context.ledgers[name].late_orders.inherit(earlier.late_orders)
+    earlier: ServerTracker = context.trackers[name]
+    context.trackers[name] = ServerTracker(earlier.entry, earlier.profile)
+    context.trackers[name].late_orders.inherit(earlier.late_orders)
     step_says_nothing_held(context, name, now, revision)
 
 
 @when("{name:w} says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_says_nothing_held(context: Any, name: str, now: float, revision: int) -> None:
-    context.ledgers[name].note_report(report([], set(), revision), now)
+    context.trackers[name].note_report(report([], set(), revision), now)
 
 
 @then("{name:w} has room for {count:d} model")
 @then("{name:w} has room for {count:d} models")
 def step_room(context: Any, name: str, count: int) -> None:
-    assert context.ledgers[name].free_mb() // MODEL_MB == count, context.ledgers[name].free_mb()
+    assert context.trackers[name].free_mb() // MODEL_MB == count, context.trackers[name].free_mb()
 
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
     """Let a server's loads settle, and return whether it holds what it was loading."""
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     tracker.settle(now, running)
     return tracker.holds(ModelKey(context.loading))
 
@@ -198,7 +198,7 @@
 
 @when("a report of {name:w} at {now:f} s still shows the load")
 def step_old_report(context: Any, name: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
     tracker.note_report(ServerReport(tracker.report.revision, True, (HeldModel("a"),)), now)
 
@@ -208,7 +208,7 @@
     "that still shows the load"
 )
 def step_report_beside_order(context: Any, name: str, model: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     context.sent_order = _order(tracker, OrderKind.UNLOAD, model)
     tracker.in_flight = context.sent_order
     step_old_report(context, name, now)
@@ -216,30 +216,30 @@
 
 @when("{name:w} takes that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     tracker.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
 
 @then("{name:w} holds c")
 def step_holds_now(context: Any, name: str) -> None:
-    assert context.ledgers[name].holds(ModelKey("c"))
+    assert context.trackers[name].holds(ModelKey("c"))
 
 
 @then("{name:w} does not hold c")
 def step_holds_not(context: Any, name: str) -> None:
-    assert not context.ledgers[name].holds(ModelKey("c"))
+    assert not context.trackers[name].holds(ModelKey("c"))
 
 
 @when("{name:w} is ordered to unload {model} at {now:f} s, and {who} uses it")
 def step_unload_ordered(context: Any, name: str, model: str, now: float, who: str) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     order = _order(tracker, OrderKind.UNLOAD, model)
     tracker.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
     """Whether a server can take an order at a time."""
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     return tracker.idle and tracker.quiet_until <= now
 
 
@@ -258,7 +258,7 @@
 
 @when("{name:w} is ordered to load the adapter a/x at {now:f} s")
 def step_adapter_ordered(context: Any, name: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
     revision = tracker.report.revision
     order = Order(OrderKind.LOAD, ADAPTER, tracker.entry.instance, "daemon", FENCE, revision)
@@ -267,14 +267,14 @@
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
 def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     assert not tracker.settle_adapters(early) and not tracker.holds(ADAPTER)
     assert tracker.settle_adapters(late) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
 def step_adapter_pending(context: Any, name: str, now: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
     held = (HeldModel("a"),)
     revision = tracker.report.revision
@@ -283,12 +283,12 @@
 
 @then("{name:w} has a/x")
 def step_has_adapter(context: Any, name: str) -> None:
-    assert context.ledgers[name].holds(ADAPTER)
+    assert context.trackers[name].holds(ADAPTER)
 
 
 @then("{name:w} does not have a/x")
 def step_has_no_adapter(context: Any, name: str) -> None:
-    assert not context.ledgers[name].holds(ADAPTER)
+    assert not context.trackers[name].holds(ADAPTER)
 
 
 class CountingLedger(ServerTracker):
@@ -310,12 +310,12 @@
         3 * MODEL_MB, 8, 4.0, tuple(ModelProfile(name, MODEL_MB, *load_s) for name in names)
     )
     context.demand = DemandView()
-    context.ledgers = {}
+    context.trackers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
         tracker = CountingLedger(entry, many)
         tracker.note_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
-        context.ledgers[entry.instance] = tracker
+        context.trackers[entry.instance] = tracker
 
 
 @when("requests wait for {count:d} models that no server has, and no load may begin")
@@ -347,12 +347,12 @@
 
 @then("what a server holds was looked up at most {most:d} times for each server")
 def step_look_ups(context: Any, most: int) -> None:
-    assert CountingLedger.look_ups <= most * len(context.ledgers), CountingLedger.look_ups
+    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
-    tracker: ServerTracker = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     context.beliefs_while_loading = []
     now = 14.3
     while now < last:
@@ -369,7 +369,7 @@
 def step_not_held(context: Any, name: str, first: float, last: float) -> None:
     states = [state for state in context.beliefs_while_loading if first <= state[0] <= last]
     assert states and all(not held and coming == "c" for _, held, coming in states), states
-    assert context.ledgers[name].holds(ModelKey("c"))
+    assert context.trackers[name].holds(ModelKey("c"))
 
 
 @then("the load was seen to take {times:f} times as long")
@@ -379,7 +379,7 @@
 
 @then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
 def step_still_in_vain(context: Any, model: str, count: int) -> None:
-    servers, demand = list(context.ledgers.values()), context.demand
+    servers, demand = list(context.trackers.values()), context.demand
     given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
     planner = Planner(given)
     planner.plan()
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -134,7 +134,7 @@
 
 @then("c is expected in about {first:d} s, and d in about {second:d} s")
 def step_expected(context: Any, first: int, second: int) -> None:
-    servers = list(context.ledgers.values())
+    servers = list(context.trackers.values())
     given = PlanInput(SERVICE, servers, context.demand, {}, context.now, True, False, 0)
     planner = Planner(given)
     assert planner.plan() == []
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -125,12 +125,12 @@
 @when("an earlier leader has told at {told:f} s that {name} loads {model}")
 def step_heard(context: Any, told: float, name: str, model: str) -> None:
     entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-    context.ledgers[name] = ServerTracker(entry, profile(100), LoadUnderWay(model, told))
+    context.trackers[name] = ServerTracker(entry, profile(100), LoadUnderWay(model, told))
 
 
 @then("at {now:f} s {count} load from the weight store is known to be under way")
 def step_known(context: Any, now: float, count: str) -> None:
-    used = sum(tracker.uses_store(now) for tracker in context.ledgers.values())
+    used = sum(tracker.uses_store(now) for tracker in context.trackers.values())
     assert used == (0 if count == "no" else 1), used
 
 
@@ -143,13 +143,13 @@
 
 @when("{count:d} requests for {model} run at {server:w}, which has {places:d} places")
 def step_run(context: Any, count: int, model: str, server: str, places: int) -> None:
-    assert context.ledgers[server].profile.slots == places
+    assert context.trackers[server].profile.slots == places
     context.running = {(server, ModelKey(model)): count}
 
 
 @when("two has unloaded for it at {now:f} s")
 def step_unloaded(context: Any, now: float) -> None:
-    tracker: ServerTracker = context.ledgers["two"]
+    tracker: ServerTracker = context.trackers["two"]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
     tracker.note_report(report(held, set(held), tracker.report.revision), now)
@@ -160,7 +160,7 @@
 def step_two_loads(context: Any) -> None:
     hold(context, "one", "a")
     hold(context, "two", "nothing")
-    tracker: ServerTracker = context.ledgers["two"]
+    tracker: ServerTracker = context.trackers["two"]
     order = Order(OrderKind.LOAD, ModelKey("b"), "two", "daemon", FENCE, 0)
     tracker.note_answer(order, OrderAnswer.ACCEPTED, 9.5)
 
@@ -170,7 +170,7 @@
     "which is too large for any server"
 )
 def step_too_large(context: Any, count: int, seconds: float) -> None:
-    for tracker in context.ledgers.values():
+    for tracker in context.trackers.values():
         models = tuple(
             msgspec.structs.replace(model, memory_mb=1e9) if model.name == "h" else model
             for model in tracker.profile.models
--- a/features/steps/weight_store_share_steps.py
+++ b/features/steps/weight_store_share_steps.py
@@ -27,7 +27,7 @@
 
 def held_models(context: Any) -> list[str]:
     """Return the models that some server holds."""
-    reports = [tracker.report for tracker in context.ledgers.values() if tracker.report]
+    reports = [tracker.report for tracker in context.trackers.values() if tracker.report]
     return [held.name for known in reports for held in known.held]
 
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -243,7 +243,7 @@
                 slowness=round(finished.slowness, 2),
             )
 
-    def _tell_holdings(self, ledgers: list[ServerTracker]) -> None:
+    def _tell_holdings(self, trackers: list[ServerTracker]) -> None:
         fence = self._election.lease.fence
         if fence is None:
             return
@@ -251,7 +251,7 @@
             ServerHolding(
                 tracker.entry.instance, tracker.report.revision, tracker.report.held, tracker.coming
             )
-            for tracker in ledgers
+            for tracker in trackers
             if tracker.report is not None
         )
         if holdings:
