--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -62,7 +62,7 @@
         self._bounds = bounds
         self._metrics = metrics
         self._demand = DemandView()
-        self._ledgers: dict[str, ServerTracker] = {}
+        self._trackers: dict[str, ServerTracker] = {}
         self._windows: dict[str, LoadWindow] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
@@ -90,7 +90,7 @@
         for demand in report.demand:
             if not demand.waiting:
                 continue
-            for tracker in self._ledgers.values():
+            for tracker in self._trackers.values():
                 if tracker.holds(demand.target):
                     tracker.note_doubt(demand.target, self._now())
 
@@ -105,7 +105,7 @@
         self._leading = leads
         self._led_since = self._now()
         self._demand = DemandView()
-        self._ledgers.clear()
+        self._trackers.clear()
         self._windows.clear()
         self._paces.clear()
         self._notices.clear()
@@ -140,7 +140,7 @@
             return
         self._update_ledgers(configuration)
         self._settle_loads()
-        for tracker in self._ledgers.values():
+        for tracker in self._trackers.values():
             if self._should_read(tracker):
                 tracker.reading = True
                 self._spawn(self._read(tracker))
@@ -150,7 +150,7 @@
         self._reported.clear()
         if self._now() - self._told_all_at > self._exchange.paced(TELL_ALL_SECONDS):
             self._told_all_at = self._now()
-            self._tell_holdings(list(self._ledgers.values()))
+            self._tell_holdings(list(self._trackers.values()))
             self._shortages.note_unserved(self._demand.asked_in_vain())
 
     def _update_ledgers(self, configuration: Configuration) -> None:
@@ -160,20 +160,20 @@
                 continue
             for entry in self._directory.usable(service.name, self._now()):
                 listed[entry.instance] = entry
-                tracker = self._ledgers.get(entry.instance)
+                tracker = self._trackers.get(entry.instance)
                 if tracker is None:
                     heard = self._residency.load_under_way(entry.instance)
                     tracker = ServerTracker(entry, service.engine, heard)
                     self._inherit_orders(tracker)
-                    self._ledgers[entry.instance] = tracker
+                    self._trackers[entry.instance] = tracker
                 tracker.entry = entry
                 tracker.profile = service.engine
-        for instance in [name for name in self._ledgers if name not in listed]:
-            del self._ledgers[instance]
+        for instance in [name for name in self._trackers if name not in listed]:
+            del self._trackers[instance]
 
     def _inherit_orders(self, tracker: ServerTracker) -> None:
         """Let a new life of a server count on orders that an earlier one left unanswered."""
-        for earlier in self._ledgers.values():
+        for earlier in self._trackers.values():
             if tracker.entry.name == earlier.entry.name:
                 tracker.late_orders.inherit(earlier.late_orders)
 
@@ -182,7 +182,7 @@
         now = self._now()
         running = self._demand.running_by_instance(now)
         settled = []
-        for tracker in self._ledgers.values():
+        for tracker in self._trackers.values():
             count = running[tracker.entry.instance]
             if tracker.settle(now, count) or tracker.settle_adapters(now):
                 settled.append(tracker)
@@ -271,7 +271,7 @@
         pace = self._pace_of(service, now)
         servers = [
             tracker
-            for tracker in self._ledgers.values()
+            for tracker in self._trackers.values()
             if tracker.entry.service == service and not tracker.failed_reads
         ]
         store_loads = sum(server.uses_store(now) for server in servers)
@@ -305,7 +305,7 @@
                 window.note(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
             if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
-                self._ledgers[planned.instance].staged += 1
+                self._trackers[planned.instance].staged += 1
             self._begin_order(planned)
 
     def _pace_of(self, service: str, now: float) -> StorePace:
@@ -336,7 +336,7 @@
         return now - self._led_since > STAGE_AFTER_SECONDS and not self._demand.any_yet
 
     def _begin_order(self, planned: PlannedOrder) -> None:
-        tracker = self._ledgers[planned.instance]
+        tracker = self._trackers[planned.instance]
         report = tracker.report
         fence = self._election.lease.fence
         if report is None or fence is None or not self._election.leads():
