--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -138,7 +138,7 @@
         configuration = self._beliefs.configuration
         if configuration is None:
             return
-        self._update_ledgers(configuration)
+        self._update_trackers(configuration)
         self._settle_loads()
         for tracker in self._trackers.values():
             if self._should_read(tracker):
@@ -153,7 +153,7 @@
             self._tell_holdings(list(self._trackers.values()))
             self._shortages.note_unserved(self._demand.asked_in_vain())
 
-    def _update_ledgers(self, configuration: Configuration) -> None:
+    def _update_trackers(self, configuration: Configuration) -> None:
         listed: dict[str, ServerEntry] = {}
         for service in configuration.services:
             if service.engine is None:
