--- a/loomwind/placement/adapters.py
+++ b/loomwind/placement/adapters.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from loomwind.placement.demand_view import Want
+from loomwind.placement.demand_view import PendingDemand
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.valuation import Valuation
@@ -20,7 +20,11 @@
     """Adds orders for adapters to a plan."""
 
     def __init__(
-        self, given: PlanInput, wants: Sequence[Want], draft: DraftPlan, valuation: Valuation
+        self,
+        given: PlanInput,
+        wants: Sequence[PendingDemand],
+        draft: DraftPlan,
+        valuation: Valuation,
     ) -> None:
         self._given = given
         self._wants = wants
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -17,7 +17,7 @@
 ASKED_IN_VAIN = 2.0
 
 
-class Want(Struct, frozen=True):
+class PendingDemand(Struct, frozen=True):
     """Requests that wait for a target now.
 
     :param urgency_seconds: the smallest objective among them.
@@ -113,7 +113,7 @@
             for report in self._fresh(now)
         }
 
-    def wants(self, now: float) -> list[Want]:
+    def wants(self, now: float) -> list[PendingDemand]:
         """Return what is waited for or was promised, in the order in which it is taken on.
 
         A model that was asked for more than once in vain is wanted also when nobody waits.
@@ -133,7 +133,7 @@
                     slack[key] = max(slack.get(key, -1e9), demand.slack_seconds - age)
         self._since = {key: self._since.get(key, now) for key in waiting}
         wants = [
-            Want(
+            PendingDemand(
                 key,
                 count,
                 urgency[key],
@@ -145,13 +145,15 @@
             for key, count in waiting.items()
         ]
         wants += [
-            Want(each.key, 0, self._heat[each.key].objective_seconds, 0.0, 0, each.requests, now)
+            PendingDemand(
+                each.key, 0, self._heat[each.key].objective_seconds, 0.0, 0, each.requests, now
+            )
             for each in self.asked_in_vain()
             if each.key not in waiting
         ]
         return sorted(wants, key=lambda want: want.rank)
 
-    def callers(self, wants: Iterable[Want], now: float) -> dict[str, float]:
+    def callers(self, wants: Iterable[PendingDemand], now: float) -> dict[str, float]:
         """Return how many callers ask for each wanted model.
 
         These are the ones that wait or were told to come back, as many as come in the time over
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -7,7 +7,7 @@
 
 from loomwind.clock import MS_PER_SECOND
 from loomwind.placement.adapters import AdapterPlanner
-from loomwind.placement.demand_view import Want
+from loomwind.placement.demand_view import PendingDemand
 from loomwind.placement.models import ModelPlanner
 from loomwind.placement.outlook import Outlook
 from loomwind.placement.overload import callers_without_place
@@ -67,14 +67,14 @@
                 expected.append(ExpectedTarget(want.key, ready_in * MS_PER_SECOND))
         return tuple(expected)
 
-    def _plan_want(self, want: Want) -> None:
+    def _plan_want(self, want: PendingDemand) -> None:
         target = want.key.target
         if not self._draft.is_available(ModelKey(target.model)):
             self._models.bring(target.model, self._may_wait(want))
         elif target.adapter and not self._draft.is_available(target):
             self._adapters.bring(target)
 
-    def _load_seconds(self, want: Want) -> float:
+    def _load_seconds(self, want: PendingDemand) -> float:
         """Return the longest time that a load for a want takes."""
         for server in self._given.servers:
             model = server.profile.model(want.key.target.model)
@@ -82,15 +82,15 @@
                 return model.load_seconds
         return 0.0
 
-    def _may_wait(self, want: Want) -> bool:
+    def _may_wait(self, want: PendingDemand) -> bool:
         """Whether a want's objective can be met by a load that begins a while later."""
         return want.slack_seconds >= self._load_seconds(want) + SPARE_SECONDS
 
-    def _is_urgent(self, want: Want) -> bool:
+    def _is_urgent(self, want: PendingDemand) -> bool:
         """Whether a load is longer than the objective: each moment of it counts."""
         return want.urgency_seconds < self._load_seconds(want)
 
-    def _relaxed_order(self, want: Want) -> tuple[bool, float]:
+    def _relaxed_order(self, want: PendingDemand) -> tuple[bool, float]:
         """Order wants whose objective can still be met before the others, the oldest first."""
         in_time = want.slack_seconds >= self._load_seconds(want)
         return (not in_time, want.slack_seconds)
--- a/loomwind/placement/valuation.py
+++ b/loomwind/placement/valuation.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from loomwind.placement.demand_view import Want
+from loomwind.placement.demand_view import PendingDemand
 from loomwind.placement.plan import DraftPlan, PlanInput
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import HeldModel, ModelKey, ModelProfile
@@ -35,7 +35,7 @@
 class Valuation:
     """Worth and cost by the demand of one moment."""
 
-    def __init__(self, given: PlanInput, wants: Sequence[Want], draft: DraftPlan) -> None:
+    def __init__(self, given: PlanInput, wants: Sequence[PendingDemand], draft: DraftPlan) -> None:
         self._given = given
         self._draft = draft
         self._names = [model.name for model in given.models()]
