--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -134,7 +134,7 @@
         if len(self._servers) > 1:
             gone = self._draw.choice(sorted(self._servers))
             del self._servers[gone]
-            self._ledgers.pop(gone, None)
+            self._trackers.pop(gone, None)
 
     def change_leader(self) -> None:
         """Let another daemon lead: it knows what the one before has told."""
@@ -147,7 +147,7 @@
         self._pace = StorePace(learned, self.now * MS_PER_SECOND)
         self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
-        self._ledgers: dict[str, ServerTracker] = {}
+        self._trackers: dict[str, ServerTracker] = {}
         self._heard = told
 
     def ask(self, model: int, count: int, waits: bool) -> None:
@@ -172,11 +172,11 @@
 
     def _read(self) -> None:
         for name, server in self._servers.items():
-            tracker = self._ledgers.get(name)
+            tracker = self._trackers.get(name)
             if tracker is None:
                 entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
                 tracker = ServerTracker(entry, self._profile, self._heard.get(name))
-                self._ledgers[name] = tracker
+                self._trackers[name] = tracker
             elif self._draw.random() < 0.5:
                 tracker.note_report(server.report(), self.now)
             finished = tracker.take_finished()
@@ -184,7 +184,7 @@
                 self._pace.note(finished, self.now * MS_PER_SECOND)
 
     def _plan(self) -> None:
-        servers = list(self._ledgers.values())
+        servers = list(self._trackers.values())
         under_way = sum(server.uses_store(self.now) for server in servers)
         self._pace.observe(under_way, self.now * MS_PER_SECOND)
         given = PlanInput(
@@ -237,10 +237,10 @@
 
     def _room(self, server: str) -> str:
         """Return the model that another one has made way for at a server; empty for none."""
-        return self._ledgers[server].room_reserved_for(self.now) or ""
+        return self._trackers[server].room_reserved_for(self.now) or ""
 
     def _give(self, order: PlannedOrder) -> None:
-        tracker = self._ledgers[order.instance]
+        tracker = self._trackers[order.instance]
         report = tracker.report
         assert report is not None
         if order.makes_way_for:
