--- a/features/steps/large_fleet_demand_steps.py
+++ b/features/steps/large_fleet_demand_steps.py
@@ -39,12 +39,12 @@
 
 @then("the leader knows of it at {now:f} s")
 def step_knows(context: Any, now: float) -> None:
-    assert [want.waiting for want in context.demand.wants(now)] == [1]
+    assert [pending.waiting for pending in context.demand.pending_demand(now)] == [1]
 
 
 @then("the leader does not know of it any more at {now:f} s")
 def step_knows_not(context: Any, now: float) -> None:
-    assert context.demand.wants(now) == []
+    assert context.demand.pending_demand(now) == []
 
 
 @given("a daemon was told at {now:f} s that m1 should be there in {ready_in:f} s")
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -109,8 +109,10 @@
 
 @then("the wants are {names}")
 def step_wants(context: Any, names: str) -> None:
-    wants = context.demand.wants(context.now)
-    assert [want.key.target.model for want in wants] == names.split(", "), wants
+    pending_demand = context.demand.pending_demand(context.now)
+    assert [pending.key.target.model for pending in pending_demand] == names.split(", "), (
+        pending_demand
+    )
 
 
 @when("servers hold m1 by {now:f} s")
@@ -121,8 +123,8 @@
 
 @then("m1 was asked for in vain {count:d} times")
 def step_in_vain(context: Any, count: int) -> None:
-    want = next(w for w in context.demand.wants(context.now) if w.key == KEY)
-    assert want.unserved == count, want
+    pending = next(w for w in context.demand.pending_demand(context.now) if w.key == KEY)
+    assert pending.unserved == count, pending
 
 
 @when("requests wait for c and d at {now:f} s, and no more may be under way")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -197,7 +197,7 @@
             False,
             max(0, self._pace.limit - under_way),
         )
-        wanted = {want.key.target.model for want in self._demand.wants(self.now)}
+        wanted = {want.key.target.model for want in self._demand.pending_demand(self.now)}
         for order in Planner(given).plan():
             self._note_turn(order, wanted)
             if order.from_store:
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -113,7 +113,7 @@
             for report in self._fresh(now)
         }
 
-    def wants(self, now: float) -> list[PendingDemand]:
+    def pending_demand(self, now: float) -> list[PendingDemand]:
         """Return what is waited for or was promised, in the order in which it is taken on.
 
         A model that was asked for more than once in vain is wanted also when nobody waits.
@@ -132,7 +132,7 @@
                     age = now - self._heard[report.sender]
                     slack[key] = max(slack.get(key, -1e9), demand.slack_seconds - age)
         self._since = {key: self._since.get(key, now) for key in waiting}
-        wants = [
+        pending_demand = [
             PendingDemand(
                 key,
                 count,
@@ -144,28 +144,28 @@
             )
             for key, count in waiting.items()
         ]
-        wants += [
+        pending_demand += [
             PendingDemand(
                 each.key, 0, self._heat[each.key].objective_seconds, 0.0, 0, each.requests, now
             )
             for each in self.asked_in_vain()
             if each.key not in waiting
         ]
-        return sorted(wants, key=lambda want: want.rank)
+        return sorted(pending_demand, key=lambda pending: pending.rank)
 
-    def callers(self, wants: Iterable[PendingDemand], now: float) -> dict[str, float]:
+    def callers(self, pending_demand: Iterable[PendingDemand], now: float) -> dict[str, float]:
         """Return how many callers ask for each wanted model.
 
         These are the ones that wait or were told to come back, as many as come in the time over
         which a rate is taken, and those that were refused since it was last held.
         """
         callers: dict[str, float] = {}
-        for want in wants:
-            name = want.key.target.model
+        for pending in pending_demand:
+            name = pending.key.target.model
             if name not in callers:
-                rate = self.rate(want.key.service, ModelKey(name), now)
-                callers[name] = rate / DECAY_PER_SECOND + want.unserved
-            callers[name] += want.waiting + want.returning
+                rate = self.rate(pending.key.service, ModelKey(name), now)
+                callers[name] = rate / DECAY_PER_SECOND + pending.unserved
+            callers[name] += pending.waiting + pending.returning
         return callers
 
     def asked_in_vain(self) -> list[UnservedModel]:
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -24,7 +24,9 @@
     """Makes the orders of one step."""
 
     def __init__(self, given: PlanInput) -> None:
-        wants = [w for w in given.demand.wants(given.now) if w.key.service == given.service]
+        wants = [
+            w for w in given.demand.pending_demand(given.now) if w.key.service == given.service
+        ]
         self._given = given
         self._wants = wants
         self._overloaded = callers_without_place(given, given.index.running_models())
