--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -385,6 +385,6 @@
     planner.plan()
     planner.expectations()
     demand.note_available(SERVICE, given.index.holders)
-    assert [(each.key.target.model, each.requests) for each in demand.asked_in_vain()] == [
+    assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -151,7 +151,7 @@
         if self._now() - self._told_all_at > self._exchange.paced(TELL_ALL_SECONDS):
             self._told_all_at = self._now()
             self._tell_holdings(list(self._trackers.values()))
-            self._shortages.note_unserved(self._demand.asked_in_vain())
+            self._shortages.note_unserved(self._demand.unserved_models())
 
     def _update_trackers(self, configuration: Configuration) -> None:
         listed: dict[str, ServerEntry] = {}
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -148,7 +148,7 @@
             PendingDemand(
                 each.key, 0, self._heat[each.key].objective_seconds, 0.0, 0, each.requests, now
             )
-            for each in self.asked_in_vain()
+            for each in self.unserved_models()
             if each.key not in waiting
         ]
         return sorted(pending_demand, key=lambda pending: pending.rank)
@@ -168,7 +168,7 @@
             callers[name] += pending.waiting + pending.returning
         return callers
 
-    def asked_in_vain(self) -> list[UnservedModel]:
+    def unserved_models(self) -> list[UnservedModel]:
         """Return the models asked for more than once in vain, the most asked for first."""
         found = [UnservedModel(key, n) for key, n in self._unserved.items() if n >= ASKED_IN_VAIN]
         return sorted(found, key=lambda each: -each.requests)
