--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -14,7 +14,7 @@
 
 # How long a report counts once the next one is due: some are lost or late.
 REPORT_GRACE_SECONDS = 1.75
-ASKED_IN_VAIN = 2.0
+MIN_UNSERVED_REQUESTS = 2.0
 
 
 class PendingDemand(Struct, frozen=True):
@@ -170,7 +170,9 @@
 
     def unserved_models(self) -> list[UnservedModel]:
         """Return the models asked for more than once in vain, the most asked for first."""
-        found = [UnservedModel(key, n) for key, n in self._unserved.items() if n >= ASKED_IN_VAIN]
+        found = [
+            UnservedModel(key, n) for key, n in self._unserved.items() if n >= MIN_UNSERVED_REQUESTS
+        ]
         return sorted(found, key=lambda each: -each.requests)
 
     def note_available(self, service: str, names: Iterable[str]) -> None:
