--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -384,7 +384,7 @@
     planner = Planner(given)
     planner.plan()
     planner.expectations()
-    demand.note_available(SERVICE, given.index.holders)
+    demand.reset_unserved(SERVICE, given.index.holders)
     assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -117,7 +117,7 @@
 
 @when("servers hold m1 by {now:f} s")
 def step_held(context: Any, now: float) -> None:
-    context.demand.note_available(SERVICE, ["m1"])
+    context.demand.reset_unserved(SERVICE, ["m1"])
     context.now = now
 
 
--- a/features/steps/weight_store_share_steps.py
+++ b/features/steps/weight_store_share_steps.py
@@ -16,7 +16,7 @@
     arrivals = rate / DECAY_PER_SECOND
     asked = TargetDemand(SERVICE, ModelKey(model), 0, arrivals)
     context.demand.note(PoolDemand("daemon-2", (asked,), ()), now)
-    context.demand.note_available(SERVICE, held_models(context))
+    context.demand.reset_unserved(SERVICE, held_models(context))
 
 
 @when("{model} was asked for {count:d} times in vain at {now:f} s")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -203,7 +203,7 @@
             if order.from_store:
                 self._window.note(self.now)
             self._give(order)
-        self._demand.note_available(SERVICE, given.index.holders)
+        self._demand.reset_unserved(SERVICE, given.index.holders)
 
     def _note_turn(self, order: PlannedOrder, wanted: set[str]) -> None:
         """Note a load from the weight store, as it begins or as another model makes way for it."""
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -296,7 +296,7 @@
         self._shortages.note_store_use(
             service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
         )
-        self._demand.note_available(service, given.index.holders)
+        self._demand.reset_unserved(service, given.index.holders)
         self._tell_expectations(service, planner.expectations())
         for planned in orders:
             if planned.from_store:
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -175,7 +175,7 @@
         ]
         return sorted(found, key=lambda each: -each.requests)
 
-    def note_available(self, service: str, names: Iterable[str]) -> None:
+    def reset_unserved(self, service: str, names: Iterable[str]) -> None:
         """Begin to count anew for models that a server holds."""
         for name in names:
             self._unserved.pop(DemandKey(service, ModelKey(name)), None)
