--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -358,7 +358,10 @@
         answer = await self._control.order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
         tracker.note_answer(
-            order, answer, now, self._demand.runs_at(order.instance, order.target.model, now)
+            order,
+            answer,
+            now,
+            self._demand.has_running_requests(order.instance, order.target.model, now),
         )
         self._metrics.orders.labels(answer.value).inc()
         log_state(
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -195,7 +195,7 @@
             total[instance] += count
         return total
 
-    def runs_at(self, instance: str, model: str, now: float) -> bool:
+    def has_running_requests(self, instance: str, model: str, now: float) -> bool:
         """Whether requests run at an instance for a model or its adapters, as far as is known."""
         return any(
             known == instance and target.model == model for known, target in self.running(now)
