--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -333,7 +333,7 @@
 
     def _may_stage(self, now: float) -> bool:
         """Whether no request for a model has been heard of since this daemon began to lead."""
-        return now - self._led_since > STAGE_AFTER_SECONDS and not self._demand.any_yet
+        return now - self._led_since > STAGE_AFTER_SECONDS and not self._demand.has_seen_requests
 
     def _begin_order(self, planned: PlannedOrder) -> None:
         tracker = self._trackers[planned.instance]
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -72,7 +72,7 @@
     """
 
     def __init__(self) -> None:
-        self.any_yet = False
+        self.has_seen_requests = False
         self._reports: dict[str, PoolDemand] = {}
         self._heard: dict[str, float] = {}
         self._heat: dict[DemandKey, Heat] = defaultdict(Heat)
@@ -83,7 +83,7 @@
         """Take in a daemon's report."""
         self._reports[report.sender] = report
         self._heard[report.sender] = now
-        self.any_yet = self.any_yet or bool(report.demand)
+        self.has_seen_requests = self.has_seen_requests or bool(report.demand)
         for demand in report.demand:
             if not demand.arrivals:
                 continue
