--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -52,7 +52,7 @@
     requests: float
 
 
-class Heat(Struct):
+class RequestRate(Struct):
     """Recent use of a target: a rate that decays, and the last request."""
 
     rate: float = 0.0
@@ -75,7 +75,7 @@
         self.has_seen_requests = False
         self._reports: dict[str, PoolDemand] = {}
         self._heard: dict[str, float] = {}
-        self._heat: dict[DemandKey, Heat] = defaultdict(Heat)
+        self._heat: dict[DemandKey, RequestRate] = defaultdict(RequestRate)
         self._unserved: dict[DemandKey, float] = defaultdict(float)
         self._since: dict[DemandKey, float] = {}
 
