--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -153,7 +153,9 @@
         ]
         return sorted(pending_demand, key=lambda pending: pending.rank)
 
-    def callers(self, pending_demand: Iterable[PendingDemand], now: float) -> dict[str, float]:
+    def callers_by_model(
+        self, pending_demand: Iterable[PendingDemand], now: float
+    ) -> dict[str, float]:
         """Return how many callers ask for each wanted model.
 
         These are the ones that wait or were told to come back, as many as come in the time over
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -30,7 +30,7 @@
         self._given = given
         self._wants = wants
         self._overloaded = callers_without_place(given, given.index.running_models())
-        callers = given.demand.callers(wants, given.now)
+        callers = given.demand.callers_by_model(wants, given.now)
         self._draft = DraftPlan(given, callers, self._overloaded)
         valuation = Valuation(given, wants, self._draft)
         self._adapters = AdapterPlanner(given, wants, self._draft, valuation)
