--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -10,7 +10,7 @@
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
-from loomwind.serving.demand import DemandBoard, DemandKey, TargetDemand, WaitingRequest
+from loomwind.serving.demand import DemandKey, DemandTracker, TargetDemand, WaitingRequest
 from loomwind.serving.expectations import Expectations, ExpectedTarget
 from loomwind.serving.views import ModelKey
 from loomwind.serving.wait_policy import ComeBack, Hopeless, Wait, WaitTerms, decide
@@ -80,7 +80,7 @@
 
 @given("a board of demand, and a request for m1 that returns by {due:f} s")
 def step_board(context: Any, due: float) -> None:
-    context.board = DemandBoard()
+    context.board = DemandTracker()
     context.board.expect_return(KEY, WaitingRequest(due, 2.5))
 
 
--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -76,7 +76,7 @@
         self.updated = now
 
 
-class DemandBoard:
+class DemandTracker:
     """Counts demand and wakes waiting requests when something has changed."""
 
     def __init__(self) -> None:
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -15,7 +15,7 @@
 from loomwind.messages.serving import LeaderAnswer, LeaderQuestion, LeaseNotice
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.serving.demand import DemandBoard
+from loomwind.serving.demand import DemandTracker
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.peers import PeerTable
 
@@ -35,7 +35,7 @@
         peers: PeerTable,
         election: Election,
         health: StoreHealth,
-        demand: DemandBoard,
+        demand: DemandTracker,
     ) -> None:
         self._own = own
         self._transport = transport
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -8,7 +8,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.budget import RetryBudget
-from loomwind.serving.demand import DemandBoard
+from loomwind.serving.demand import DemandTracker
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.expectations import Expectations, ExpectedTarget
@@ -33,7 +33,7 @@
     def __init__(self, bounds: BoundSettings) -> None:
         self.directory = ServerDirectory(bounds.drain_seconds)
         self.residency = Residency()
-        self.demand = DemandBoard()
+        self.demand = DemandTracker()
         self.expectations = Expectations()
         self.reach_doubted = asyncio.Event()
         self._reaches: dict[str, ServerReach] = {}
