--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -81,7 +81,7 @@
 @given("a board of demand, and a request for m1 that returns by {due:f} s")
 def step_board(context: Any, due: float) -> None:
     context.board = DemandTracker()
-    context.board.expect_return(KEY, WaitingRequest(due, 2.5))
+    context.board.add_expected_retry(KEY, WaitingRequest(due, 2.5))
 
 
 @then("the leader hears of {waiting:d} waiting and {returning:d} returning at {now:f} s")
--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -104,7 +104,7 @@
         if not self._waiting[key]:
             del self._waiting[key]
 
-    def expect_return(self, key: DemandKey, request: WaitingRequest) -> None:
+    def add_expected_retry(self, key: DemandKey, request: WaitingRequest) -> None:
         """A request was refused and comes back; it counts until its objective is missed then."""
         self._returning.setdefault(key, []).append(request)
         self.new_demand.set()
--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -91,7 +91,7 @@
         if isinstance(verdict, ComeBack):
             back = now + verdict.returns_in_ms / MS_PER_SECOND + self._objective
             returning = WaitingRequest(back, self._objective)
-            self._pool.demand.expect_return(self._key, returning)
+            self._pool.demand.add_expected_retry(self._key, returning)
         raise ModelNotInTime(verdict.after_ms / MS_PER_SECOND)
 
     def _log(self, verdict: ComeBack | Hopeless, ready_in_ms: float | None) -> None:
