--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -85,9 +85,9 @@
 
 
 @then("the leader hears of {waiting:d} waiting and {returning:d} returning at {now:f} s")
-def step_hears(context: Any, waiting: int, returning: int, now: float) -> None:
+def step_hears(context: Any, waiting: int, expected_retries: int, now: float) -> None:
     (report,) = context.board.take_report(now)
-    assert (report.waiting, report.returning) == (waiting, returning), report
+    assert (report.waiting, report.expected_retries) == (waiting, expected_retries), report
 
 
 @then("the leader hears of nothing at {now:f} s")
@@ -95,9 +95,9 @@
     assert context.board.take_report(now) == ()
 
 
-def wanted(name: str, arrivals: float, waiting: int = 1, returning: int = 0) -> TargetDemand:
+def wanted(name: str, arrivals: float, waiting: int = 1, expected_retries: int = 0) -> TargetDemand:
     """Return the demand for a model, all with the same objective."""
-    return TargetDemand(SERVICE, ModelKey(name), waiting, arrivals, 2.5, 2.0, returning)
+    return TargetDemand(SERVICE, ModelKey(name), waiting, arrivals, 2.5, 2.0, expected_retries)
 
 
 @when("m1 was asked for 3 times and is waited for, m2 once, and m3 is promised, at {now:f} s")
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -31,14 +31,14 @@
     waiting: int
     urgency_seconds: float
     slack_seconds: float
-    returning: int = 0
+    expected_retries: int = 0
     unserved: float = 0.0
     since: float = 0.0
 
     @property
     def rank(self) -> tuple[float, bool, float, float]:
         """Order wants: the most urgent first; then those promised, those most often in vain."""
-        return (self.urgency_seconds, self.returning == 0, -self.unserved, self.since)
+        return (self.urgency_seconds, self.expected_retries == 0, -self.unserved, self.since)
 
 
 @attrs.frozen
@@ -119,15 +119,15 @@
         A model that was asked for more than once in vain is wanted also when nobody waits.
         """
         waiting: dict[DemandKey, int] = defaultdict(int)
-        returning: dict[DemandKey, int] = defaultdict(int)
+        expected_retries: dict[DemandKey, int] = defaultdict(int)
         urgency: dict[DemandKey, float] = {}
         slack: dict[DemandKey, float] = {}
         for report in self._fresh(now):
             for demand in report.demand:
-                if demand.waiting or demand.returning:
+                if demand.waiting or demand.expected_retries:
                     key = DemandKey(demand.service, demand.target)
                     waiting[key] += demand.waiting
-                    returning[key] += demand.returning
+                    expected_retries[key] += demand.expected_retries
                     urgency[key] = min(urgency.get(key, 1e9), demand.urgency_seconds)
                     age = now - self._heard[report.sender]
                     slack[key] = max(slack.get(key, -1e9), demand.slack_seconds - age)
@@ -138,7 +138,7 @@
                 count,
                 urgency[key],
                 slack[key],
-                returning[key],
+                expected_retries[key],
                 self._unserved.get(DemandKey(key.service, ModelKey(key.target.model)), 0.0),
                 self._since[key],
             )
@@ -167,7 +167,7 @@
             if name not in callers:
                 rate = self.rate(pending.key.service, ModelKey(name), now)
                 callers[name] = rate / DECAY_PER_SECOND + pending.unserved
-            callers[name] += pending.waiting + pending.returning
+            callers[name] += pending.waiting + pending.expected_retries
         return callers
 
     def unserved_models(self) -> list[UnservedModel]:
--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -32,7 +32,7 @@
     arrivals: float
     urgency_seconds: float = 0.0
     slack_seconds: float = 0.0
-    returning: int = 0
+    expected_retries: int = 0
 
 
 class WaitingRequest(Struct, frozen=True, order=True):
@@ -148,8 +148,8 @@
 
     def _demand_for(self, key: DemandKey, arrivals: float, now: float) -> TargetDemand:
         waiting = self._waiting.get(key, [])
-        returning = self._returning.get(key, [])
-        both = waiting + returning
+        expected_retries = self._returning.get(key, [])
+        both = waiting + expected_retries
         return TargetDemand(
             key.service,
             key.target,
@@ -157,7 +157,7 @@
             arrivals,
             min((request.objective_seconds for request in both), default=0.0),
             max((request.due - now for request in both), default=0.0),
-            len(returning),
+            len(expected_retries),
         )
 
     def running(self) -> tuple[RunningCount, ...]:
