--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -84,7 +84,7 @@
     context.board.add_expected_retry(KEY, WaitingRequest(due, 2.5))
 
 
-@then("the leader hears of {waiting:d} waiting and {returning:d} returning at {now:f} s")
+@then("the leader hears of {waiting:d} waiting and {expected_retries:d} returning at {now:f} s")
 def step_hears(context: Any, waiting: int, expected_retries: int, now: float) -> None:
     (report,) = context.board.take_report(now)
     assert (report.waiting, report.expected_retries) == (waiting, expected_retries), report
