--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -81,7 +81,7 @@
 
     def __init__(self) -> None:
         self._waiting: dict[DemandKey, list[WaitingRequest]] = {}
-        self._returning: dict[DemandKey, list[WaitingRequest]] = {}
+        self._expected_retries: dict[DemandKey, list[WaitingRequest]] = {}
         self._arrivals: Counter[DemandKey] = Counter()
         self._recent: dict[DemandKey, RecentCount] = {}
         self._running: Counter[tuple[str, ModelKey]] = Counter()
@@ -106,15 +106,15 @@
 
     def add_expected_retry(self, key: DemandKey, request: WaitingRequest) -> None:
         """A request was refused and comes back; it counts until its objective is missed then."""
-        self._returning.setdefault(key, []).append(request)
+        self._expected_retries.setdefault(key, []).append(request)
         self.new_demand.set()
 
     def _forget_returns(self, now: float) -> None:
         """Drop returns whose time is over."""
-        for key, requests in list(self._returning.items()):
-            self._returning[key] = [request for request in requests if request.due > now]
-            if not self._returning[key]:
-                del self._returning[key]
+        for key, requests in list(self._expected_retries.items()):
+            self._expected_retries[key] = [request for request in requests if request.due > now]
+            if not self._expected_retries[key]:
+                del self._expected_retries[key]
 
     def begin_run(self, instance: str, target: ModelKey) -> None:
         """A request is sent to a server."""
@@ -140,7 +140,7 @@
         self._recent = {key: self._recent[key] for key in recent if recent[key] > FORGOTTEN_COUNT}
         arrivals: Mapping[DemandKey, float] = recent if to_new_leader else self._arrivals
         self._forget_returns(now)
-        keys = set(self._waiting) | set(self._returning) | set(arrivals)
+        keys = set(self._waiting) | set(self._expected_retries) | set(arrivals)
         ordered = sorted(keys, key=lambda key: (key.service, key.target))
         report = tuple(self._demand_for(key, arrivals.get(key, 0.0), now) for key in ordered)
         self._arrivals.clear()
@@ -148,7 +148,7 @@
 
     def _demand_for(self, key: DemandKey, arrivals: float, now: float) -> TargetDemand:
         waiting = self._waiting.get(key, [])
-        expected_retries = self._returning.get(key, [])
+        expected_retries = self._expected_retries.get(key, [])
         both = waiting + expected_retries
         return TargetDemand(
             key.service,
