--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -88,7 +88,7 @@
         self._changed = asyncio.Event()
         self.new_demand = asyncio.Event()
 
-    def arrived(self, key: DemandKey, now: float) -> None:
+    def record_arrival(self, key: DemandKey, now: float) -> None:
         """Count a request."""
         self._arrivals[key] += 1
         self._recent.setdefault(key, RecentCount()).add(now)
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -265,7 +265,7 @@
             return entry
         key = DemandKey(self._service, target)
         if self._sends == 0 and self._waited_seconds == 0.0:
-            self._pool.demand.arrived(key, self._arrived)
+            self._pool.demand.record_arrival(key, self._arrived)
         if entry is not None:
             return entry
         began = self._serving.now()
