--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -127,7 +127,7 @@
             del self._running[(instance, target)]
 
     @property
-    def anyone_waits(self) -> bool:
+    def has_waiting_requests(self) -> bool:
         """Whether a request waits."""
         return bool(self._waiting)
 
