--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -60,7 +60,7 @@
     target: ModelKey
 
 
-class RecentCount(Struct):
+class DecayingCount(Struct):
     """A count of arrivals in which older ones count less."""
 
     count: float = 0.0
@@ -83,7 +83,7 @@
         self._waiting: dict[DemandKey, list[WaitingRequest]] = {}
         self._expected_retries: dict[DemandKey, list[WaitingRequest]] = {}
         self._arrivals: Counter[DemandKey] = Counter()
-        self._recent: dict[DemandKey, RecentCount] = {}
+        self._recent: dict[DemandKey, DecayingCount] = {}
         self._running: Counter[tuple[str, ModelKey]] = Counter()
         self._changed = asyncio.Event()
         self.new_demand = asyncio.Event()
@@ -91,7 +91,7 @@
     def record_arrival(self, key: DemandKey, now: float) -> None:
         """Count a request."""
         self._arrivals[key] += 1
-        self._recent.setdefault(key, RecentCount()).add(now)
+        self._recent.setdefault(key, DecayingCount()).add(now)
 
     def begin_wait(self, key: DemandKey, request: WaitingRequest) -> None:
         """A request begins to wait."""
