--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -11,7 +11,7 @@
 
 RATE_HALF_LIFE_SECONDS = 12.0
 DECAY_PER_SECOND = math.log(2) / RATE_HALF_LIFE_SECONDS
-FORGOTTEN_COUNT = 0.05
+MIN_RECENT_COUNT = 0.05
 
 
 class TargetDemand(Struct, frozen=True, array_like=True):
@@ -137,7 +137,7 @@
         :param to_new_leader: tell the arrivals of the last while, not those since the last report.
         """
         recent = {key: recent.at(now) for key, recent in self._recent.items()}
-        self._recent = {key: self._recent[key] for key in recent if recent[key] > FORGOTTEN_COUNT}
+        self._recent = {key: self._recent[key] for key in recent if recent[key] > MIN_RECENT_COUNT}
         arrivals: Mapping[DemandKey, float] = recent if to_new_leader else self._arrivals
         self._forget_returns(now)
         keys = set(self._waiting) | set(self._expected_retries) | set(arrivals)
