--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -16,7 +16,7 @@
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress, StorePace
 from loomwind.serving.demand import TargetDemand
-from loomwind.serving.residency import LearnedPace, LoadUnderWay
+from loomwind.serving.residency import AnnouncedLoad, LearnedPace
 from loomwind.serving.views import (
     ModelKey,
     Order,
@@ -125,7 +125,7 @@
 @when("an earlier leader has told at {told:f} s that {name} loads {model}")
 def step_heard(context: Any, told: float, name: str, model: str) -> None:
     entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-    context.trackers[name] = ServerTracker(entry, profile(100), LoadUnderWay(model, told))
+    context.trackers[name] = ServerTracker(entry, profile(100), AnnouncedLoad(model, told))
 
 
 @then("at {now:f} s {count} load from the weight store is known to be under way")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -16,7 +16,7 @@
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import StorePace
 from loomwind.serving.demand import TargetDemand
-from loomwind.serving.residency import LearnedPace, LoadUnderWay
+from loomwind.serving.residency import AnnouncedLoad, LearnedPace
 from loomwind.serving.views import (
     EngineProfile,
     HeldModel,
@@ -139,7 +139,7 @@
     def change_leader(self) -> None:
         """Let another daemon lead: it knows what the one before has told."""
         told = {
-            name: LoadUnderWay(server.loading, self.now)
+            name: AnnouncedLoad(server.loading, self.now)
             for name, server in self._servers.items()
             if server.loading
         }
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -13,7 +13,7 @@
 from loomwind.placement.report_changes import with_adapter, with_adapter_order, with_loaded
 from loomwind.placement.server_state import has_copy, load_seconds, used_mb
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress
-from loomwind.serving.residency import LoadUnderWay, holds
+from loomwind.serving.residency import AnnouncedLoad, holds
 from loomwind.serving.views import (
     EngineProfile,
     ModelKey,
@@ -71,7 +71,7 @@
     """
 
     def __init__(
-        self, entry: ServerEntry, profile: EngineProfile, heard_load: LoadUnderWay | None = None
+        self, entry: ServerEntry, profile: EngineProfile, heard_load: AnnouncedLoad | None = None
     ) -> None:
         """Begin to follow a server.
 
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -54,7 +54,7 @@
     was_slow: bool
 
 
-class LoadUnderWay(Struct, frozen=True):
+class AnnouncedLoad(Struct, frozen=True):
     """A load of a model's weights that a leader has told of.
 
     :param since: loop time at which it was first told.
@@ -83,7 +83,7 @@
         self._told_at: dict[str, float] = {}
         self.paces: dict[str, LearnedPace] = {}
         self._loads_seen: deque[float] = deque(maxlen=MOST_LOADS_SEEN)
-        self._loads: dict[str, LoadUnderWay] = {}
+        self._loads: dict[str, AnnouncedLoad] = {}
         self._absent: dict[tuple[str, ModelKey], Absence] = {}
 
     def loads_since(self, time: float) -> list[float]:
@@ -95,7 +95,7 @@
         known = self._told.get(holding.instance)
         if holding.coming and (known is None or known.coming != holding.coming):
             self._loads_seen.append(now)
-            self._loads[holding.instance] = LoadUnderWay(holding.coming, now)
+            self._loads[holding.instance] = AnnouncedLoad(holding.coming, now)
         if known is not None and known.revision > holding.revision:
             return
         self._told_at[holding.instance] = now
@@ -124,7 +124,7 @@
         """Whether a server loads a model, as far as the leader has told."""
         return any(holding.coming == model for holding in self._told.values())
 
-    def load_under_way(self, instance: str) -> LoadUnderWay | None:
+    def load_under_way(self, instance: str) -> AnnouncedLoad | None:
         """Return the load that a server carries out, as far as the leader has told."""
         told = self._told.get(instance)
         return self._loads.get(instance) if told is not None and told.coming else None
