--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -29,7 +29,7 @@
     states = {"one": ServerReport(1, True, ()), "two": report([], set())}
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        heard = context.residency.load_under_way(name)
+        heard = context.residency.announced_load(name)
         context.trackers[name] = ServerTracker(entry, profile(100), heard)
         context.trackers[name].note_report(state, now)
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -162,7 +162,7 @@
                 listed[entry.instance] = entry
                 tracker = self._trackers.get(entry.instance)
                 if tracker is None:
-                    heard = self._residency.load_under_way(entry.instance)
+                    heard = self._residency.announced_load(entry.instance)
                     tracker = ServerTracker(entry, service.engine, heard)
                     self._inherit_orders(tracker)
                     self._trackers[entry.instance] = tracker
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -124,7 +124,7 @@
         """Whether a server loads a model, as far as the leader has told."""
         return any(holding.coming == model for holding in self._told.values())
 
-    def load_under_way(self, instance: str) -> AnnouncedLoad | None:
+    def announced_load(self, instance: str) -> AnnouncedLoad | None:
         """Return the load that a server carries out, as far as the leader has told."""
         told = self._told.get(instance)
         return self._loads.get(instance) if told is not None and told.coming else None
