--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -71,7 +71,10 @@
     """
 
     def __init__(
-        self, entry: ServerEntry, profile: EngineProfile, heard_load: AnnouncedLoad | None = None
+        self,
+        entry: ServerEntry,
+        profile: EngineProfile,
+        announced_load: AnnouncedLoad | None = None,
     ) -> None:
         """Begin to follow a server.
 
@@ -86,7 +89,7 @@
         self.reading = False
         self.doubted = False
         self.staged = 0
-        self._heard_load = heard_load
+        self._heard_load = announced_load
         self._settled: Operation | None = None
         self._late_by = 0.0
         self._finished: FinishedLoad | None = None
