--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -89,7 +89,7 @@
         self.reading = False
         self.doubted = False
         self.staged = 0
-        self._heard_load = announced_load
+        self._announced_load = announced_load
         self._settled: Operation | None = None
         self._late_by = 0.0
         self._finished: FinishedLoad | None = None
@@ -119,7 +119,7 @@
 
     def _heard_operation(self, report: ServerReport, now: float) -> Operation | None:
         """Return the load that an earlier leader has ordered, if it can still go on."""
-        heard = self._heard_load
+        heard = self._announced_load
         target = ModelKey(heard.model) if heard is not None else None
         if heard is None or target is None or holds(report.held, target):
             return None
@@ -247,7 +247,7 @@
 
     def _heard_load_lasts(self, now: float) -> bool:
         """Whether a load that an earlier leader has told of can still be under way."""
-        heard = self._heard_load
+        heard = self._announced_load
         model = None if heard is None else self.profile.model(heard.model)
         if heard is None or model is None:
             return False
