--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -359,7 +359,7 @@
         now += step
         tracker.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
         tracker.settle(now, 0)
-        state = (now, tracker.holds(ModelKey("c")), tracker.coming)
+        state = (now, tracker.holds(ModelKey("c")), tracker.loading)
         context.beliefs_while_loading.append(state)
     tracker.note_report(report(["a", "c"], {"a", "c"}, 1), end)
     context.finished = tracker.take_finished()
@@ -368,7 +368,7 @@
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
 def step_not_held(context: Any, name: str, first: float, last: float) -> None:
     states = [state for state in context.beliefs_while_loading if first <= state[0] <= last]
-    assert states and all(not held and coming == "c" for _, held, coming in states), states
+    assert states and all(not held and loading == "c" for _, held, loading in states), states
     assert context.trackers[name].holds(ModelKey("c"))
 
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -249,7 +249,10 @@
             return
         holdings = tuple(
             ServerHolding(
-                tracker.entry.instance, tracker.report.revision, tracker.report.held, tracker.coming
+                tracker.entry.instance,
+                tracker.report.revision,
+                tracker.report.held,
+                tracker.loading,
             )
             for tracker in trackers
             if tracker.report is not None
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -175,8 +175,8 @@
         """
         if self.report is None and self.operation is None and self.in_flight is None:
             return self._heard_load_lasts(now)
-        coming = self.room_reserved_for(now)
-        return self.loads_from_store_now or (coming is not None and self.loads_from_store(coming))
+        loading = self.room_reserved_for(now)
+        return self.loads_from_store_now or (loading is not None and self.loads_from_store(loading))
 
     def settle(self, now: float, running: int) -> bool:
         """Take a load as done when its time is over; returns whether it was.
@@ -343,7 +343,7 @@
         return operation.target.model == target.model
 
     @property
-    def coming(self) -> str:
+    def loading(self) -> str:
         """Return the name of the model that is being loaded here; empty for none."""
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -46,7 +46,7 @@
         if not queued or now_ms - self._store_line_at_ms < STORE_LINE_INTERVAL_MS:
             return
         self._store_line_at_ms = now_ms
-        loads = [f"{server.entry.instance} {server.coming or 'unknown'}" for server in loading]
+        loads = [f"{server.entry.instance} {server.loading or 'unknown'}" for server in loading]
         log_state(
             "weight-store",
             "used",
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -40,7 +40,7 @@
     instance: str
     revision: int
     held: tuple[HeldModel, ...]
-    coming: str = ""
+    loading: str = ""
 
 
 class LearnedPace(Struct, frozen=True, array_like=True):
@@ -93,9 +93,9 @@
     def tell(self, holding: ServerHolding, now: float) -> None:
         """Take in what the leader has read."""
         known = self._told.get(holding.instance)
-        if holding.coming and (known is None or known.coming != holding.coming):
+        if holding.loading and (known is None or known.loading != holding.loading):
             self._loads_seen.append(now)
-            self._loads[holding.instance] = AnnouncedLoad(holding.coming, now)
+            self._loads[holding.instance] = AnnouncedLoad(holding.loading, now)
         if known is not None and known.revision > holding.revision:
             return
         self._told_at[holding.instance] = now
@@ -122,12 +122,12 @@
 
     def is_coming(self, model: str) -> bool:
         """Whether a server loads a model, as far as the leader has told."""
-        return any(holding.coming == model for holding in self._told.values())
+        return any(holding.loading == model for holding in self._told.values())
 
     def announced_load(self, instance: str) -> AnnouncedLoad | None:
         """Return the load that a server carries out, as far as the leader has told."""
         told = self._told.get(instance)
-        return self._loads.get(instance) if told is not None and told.coming else None
+        return self._loads.get(instance) if told is not None and told.loading else None
 
     def held_by(self, entry: ServerEntry, now: float) -> tuple[HeldModel, ...]:
         """Return what a server holds, by the newest source.
