--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -328,7 +328,7 @@
         """Whether the target can run here now."""
         return self.report is not None and holds(self.report.held, target)
 
-    def is_coming(self, target: ModelKey) -> bool:
+    def is_loading(self, target: ModelKey) -> bool:
         """Whether the target is being loaded here."""
         if self.report is None:
             return False
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -120,7 +120,7 @@
         pause = seconds * 2 ** min(refusals, MOST_DOUBLINGS)
         self._absent[(instance, target)] = Absence(now + pause, refusals + 1)
 
-    def is_coming(self, model: str) -> bool:
+    def is_loading(self, model: str) -> bool:
         """Whether a server loads a model, as far as the leader has told."""
         return any(holding.loading == model for holding in self._told.values())
 
