--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -20,8 +20,8 @@
 @given("one and two hold nothing, and daemons were told at {now:f} s that one loads {model}")
 def step_told(context: Any, now: float, model: str) -> None:
     context.residency = Residency()
-    context.residency.tell(ServerHolding("one", 1, (), model), now)
-    context.residency.tell(ServerHolding("two", 0, ()), now)
+    context.residency.update(ServerHolding("one", 1, (), model), now)
+    context.residency.update(ServerHolding("two", 0, ()), now)
 
 
 @when("a new leader reads at {now:f} s that one is busy and two is idle")
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -161,7 +161,7 @@
     assert 3 <= context.asked <= most, context.asked
     residency: Residency = context.residency
     assert not residency.can_run(lister(), TARGET, context.now)
-    residency.tell(ServerHolding("i-1", 4, (HeldModel("m1"),)), context.now)
+    residency.update(ServerHolding("i-1", 4, (HeldModel("m1"),)), context.now)
     assert residency.can_run(lister(), TARGET, context.now)
 
 
--- a/features/steps/server_entries_steps.py
+++ b/features/steps/server_entries_steps.py
@@ -55,7 +55,7 @@
 def step_told(context: Any, name: str, first: str, second: str) -> None:
     held = (HeldModel(first), HeldModel(second))
     instance = usable(context)[0].instance
-    context.beliefs.pool.residency.tell(ServerHolding(instance, 4, held), now())
+    context.beliefs.pool.residency.update(ServerHolding(instance, 4, held), now())
 
 
 @when("{name:w} is listed as started at {born:d} ms, with {model}")
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -249,7 +249,7 @@
 @when("the leader tells at {now:f} s that {name:w} holds m1 and m2 at revision {revision:d}")
 def step_leader_tells(context: Any, now: float, name: str, revision: int) -> None:
     held = (HeldModel("m1"), HeldModel("m2"))
-    context.residency.tell(ServerHolding(name, revision, held), now)
+    context.residency.update(ServerHolding(name, revision, held), now)
 
 
 @then("{name:w} can run m2 at {now:f} s")
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -145,7 +145,7 @@
     def tell(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
         for holding in holdings:
-            self.residency.tell(holding, self.now())
+            self.residency.update(holding, self.now())
         self.demand.wake()
 
     def expect(self, expected: Iterable[ExpectedTarget]) -> None:
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -90,7 +90,7 @@
         """Return when loads were told of, since a time."""
         return [seen for seen in self._loads_seen if seen >= time]
 
-    def tell(self, holding: ServerHolding, now: float) -> None:
+    def update(self, holding: ServerHolding, now: float) -> None:
         """Take in what the leader has read."""
         known = self._told.get(holding.instance)
         if holding.loading and (known is None or known.loading != holding.loading):
