--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -168,7 +168,7 @@
     def refresh(self) -> None:
         """Forget servers that are gone, and wake requests that wait."""
         known = {entry.instance for entry in self.directory.entries()}
-        self.residency.forget(known)
+        self.residency.retain_only(known)
         by_service = self._instances_by_service()
         for service, reach in self._reaches.items():
             reach.list_servers(by_service[service])
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -148,7 +148,7 @@
             return False
         return holds(self.held_by(entry, now), target)
 
-    def forget(self, instances: set[str]) -> None:
+    def retain_only(self, instances: set[str]) -> None:
         """Drop what is known of servers that are not among those."""
         self._told = {name: held for name, held in self._told.items() if name in instances}
         self._told_at = {name: at for name, at in self._told_at.items() if name in instances}
