--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -134,7 +134,7 @@
         if failure.other_instance:
             self.directory.note_replaced(entry)
         elif failure.missing_target and target is not None:
-            self.residency.note_absent(entry.instance, target, now)
+            self.residency.record_missing(entry.instance, target, now)
         elif failure.unreachable:
             self.health(entry).note_unreachable(now)
         elif not failure.ran and target is not None:
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -104,7 +104,7 @@
             for key in [key for key in self._absent if key[0] == holding.instance]:
                 del self._absent[key]
 
-    def note_absent(self, instance: str, target: ModelKey, now: float) -> None:
+    def record_missing(self, instance: str, target: ModelKey, now: float) -> None:
         """A server said that it does not hold the target."""
         seconds = ADAPTER_ABSENCE_SECONDS if target.adapter else ABSENCE_SECONDS
         self._keep_away(instance, target, now, seconds)
