--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -19,7 +19,7 @@
 MOST_LOADS_SEEN = 4096
 
 
-class Absence(Struct, frozen=True):
+class RefusalBackoff(Struct, frozen=True):
     """A server has refused a target.
 
     :param until: when it may be asked again.
@@ -84,7 +84,7 @@
         self.paces: dict[str, LearnedPace] = {}
         self._loads_seen: deque[float] = deque(maxlen=MOST_LOADS_SEEN)
         self._loads: dict[str, AnnouncedLoad] = {}
-        self._absent: dict[tuple[str, ModelKey], Absence] = {}
+        self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
 
     def loads_since(self, time: float) -> list[float]:
         """Return when loads were told of, since a time."""
@@ -118,7 +118,7 @@
         known = self._absent.get((instance, target))
         refusals = known.refusals if known and now < known.until + FORGIVEN_AFTER_SECONDS else 0
         pause = seconds * 2 ** min(refusals, MOST_DOUBLINGS)
-        self._absent[(instance, target)] = Absence(now + pause, refusals + 1)
+        self._absent[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
 
     def is_loading(self, model: str) -> bool:
         """Whether a server loads a model, as far as the leader has told."""
