--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -162,7 +162,7 @@
 def step_starts_again(context: Any, name: str, now: float, revision: int) -> None:
     earlier: ServerTracker = context.trackers[name]
     context.trackers[name] = ServerTracker(earlier.entry, earlier.profile)
-    context.trackers[name].late_orders.inherit(earlier.late_orders)
+    context.trackers[name].unanswered_orders.inherit(earlier.unanswered_orders)
     step_says_nothing_held(context, name, now, revision)
 
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -175,7 +175,7 @@
         """Let a new life of a server count on orders that an earlier one left unanswered."""
         for earlier in self._trackers.values():
             if tracker.entry.name == earlier.entry.name:
-                tracker.late_orders.inherit(earlier.late_orders)
+                tracker.unanswered_orders.inherit(earlier.unanswered_orders)
 
     def _settle_loads(self) -> None:
         """Take loads as done whose time is over, and look again when the next one's is."""
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -9,10 +9,10 @@
 from msgspec.structs import replace
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.late_orders import LateOrders
 from loomwind.placement.report_changes import with_adapter, with_adapter_order, with_loaded
 from loomwind.placement.server_state import has_copy, load_seconds, used_mb
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress
+from loomwind.placement.unanswered_orders import LateOrders
 from loomwind.serving.residency import AnnouncedLoad, holds
 from loomwind.serving.views import (
     EngineProfile,
@@ -97,7 +97,7 @@
         self._reserved_at = -1e9
         self._assumed_at = -1e9
         self._adapters_ordered: dict[ModelKey, float] = {}
-        self.late_orders = LateOrders()
+        self.unanswered_orders = LateOrders()
         self.quiet_until = 0.0
         self.failed_reads = 0
 
@@ -105,7 +105,7 @@
         """Take in a report; returns whether what the server holds has changed."""
         self.read_at = now
         self.failed_reads = 0
-        self.late_orders.forget_old(now)
+        self.unanswered_orders.forget_old(now)
         known = self.report
         if known is not None and report.revision < known.revision:
             return False
@@ -276,7 +276,7 @@
             self.read_at = -1e9
         else:
             self.quiet_until = now + UNKNOWN_PAUSE_SECONDS
-            self.late_orders.note_unanswered(order, now)
+            self.unanswered_orders.note_unanswered(order, now)
 
     def _apply(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
         report = self.report
@@ -354,7 +354,7 @@
         """Return the accelerator memory that nothing holds, in MB."""
         if self.report is None:
             return 0.0
-        late_mb = self.late_orders.memory_mb(self.profile, self.report.revision)
+        late_mb = self.unanswered_orders.memory_mb(self.profile, self.report.revision)
         taken_mb = used_mb(self.profile, self.report) + self._coming_mb() + late_mb
         return self.profile.memory_mb - taken_mb
 
@@ -371,7 +371,11 @@
             return 0
         loaded = sum(len(model.adapters) for model in self.report.held)
         taken = loaded + len(self.report.pending_adapters)
-        return self.profile.adapter_slots - taken - self.late_orders.adapters(self.report.revision)
+        return (
+            self.profile.adapter_slots
+            - taken
+            - self.unanswered_orders.adapters(self.report.revision)
+        )
 
     def pending_adapters(self) -> int:
         """Return how many adapters are on their way."""
