--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -12,7 +12,7 @@
 from loomwind.placement.report_changes import with_adapter, with_adapter_order, with_loaded
 from loomwind.placement.server_state import has_copy, load_seconds, used_mb
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress
-from loomwind.placement.unanswered_orders import LateOrders
+from loomwind.placement.unanswered_orders import UnansweredOrders
 from loomwind.serving.residency import AnnouncedLoad, holds
 from loomwind.serving.views import (
     EngineProfile,
@@ -97,7 +97,7 @@
         self._reserved_at = -1e9
         self._assumed_at = -1e9
         self._adapters_ordered: dict[ModelKey, float] = {}
-        self.unanswered_orders = LateOrders()
+        self.unanswered_orders = UnansweredOrders()
         self.quiet_until = 0.0
         self.failed_reads = 0
 
--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -26,7 +26,7 @@
     sent_at: float
 
 
-class LateOrders:
+class UnansweredOrders:
     """The unanswered orders to one server, over its lives."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         """Take in that an order to this life got no answer."""
         self._own.append(UnansweredOrder(order, now))
 
-    def inherit(self, earlier: "LateOrders") -> None:
+    def inherit(self, earlier: "UnansweredOrders") -> None:
         """Count on what an earlier life has left."""
         self._inherited = earlier._own + earlier._inherited
 
