--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -92,7 +92,7 @@
                 continue
             for tracker in self._trackers.values():
                 if tracker.holds(demand.target):
-                    tracker.note_doubt(demand.target, self._now())
+                    tracker.record_unreachable(demand.target, self._now())
 
     def _note_leadership(self) -> bool:
         """Begin or end to lead, and return whether this daemon leads.
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -144,7 +144,7 @@
             self._finished = _finished(done, now, on_time=settled is not None)
         self.operation = None
 
-    def note_doubt(self, target: ModelKey, now: float) -> None:
+    def record_unreachable(self, target: ModelKey, now: float) -> None:
         """A daemon waits for what should be here: read soon, and believe later loads later."""
         self.doubted = True
         settled = self._settled
