--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -199,7 +199,7 @@
             return False
         now = self._now()
         age = now - tracker.read_at
-        if tracker.doubted and age >= WORKING_READ_SECONDS:
+        if tracker.recheck_due and age >= WORKING_READ_SECONDS:
             return True
         if tracker.failed_reads:
             return age >= SILENT_READ_SECONDS
@@ -216,7 +216,7 @@
     async def _read(self, tracker: ServerTracker) -> None:
         report = await self._control.report(tracker.entry, REPORT_TIMEOUT_SECONDS)
         tracker.reading = False
-        tracker.doubted = False
+        tracker.recheck_due = False
         if report is None:
             tracker.note_silence()
             tracker.read_at = self._now()
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -87,7 +87,7 @@
         self.operation: Operation | None = None
         self.in_flight: Order | None = None
         self.reading = False
-        self.doubted = False
+        self.recheck_due = False
         self.staged = 0
         self._announced_load = announced_load
         self._settled: Operation | None = None
@@ -146,7 +146,7 @@
 
     def record_unreachable(self, target: ModelKey, now: float) -> None:
         """A daemon waits for what should be here: read soon, and believe later loads later."""
-        self.doubted = True
+        self.recheck_due = True
         settled = self._settled
         if settled is None or settled.target.model != target.model:
             return
