--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -240,7 +240,7 @@
 def takes_order(context: Any, name: str, now: float) -> bool:
     """Whether a server can take an order at a time."""
     tracker: ServerTracker = context.trackers[name]
-    return tracker.idle and tracker.quiet_until <= now
+    return tracker.idle and tracker.no_orders_until <= now
 
 
 @then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -209,7 +209,7 @@
         if operation is not None:
             near = now >= operation.done_at - EARLY_READ_SECONDS
             return near and age >= WORKING_READ_SECONDS
-        if tracker.report.busy or tracker.report.pending_adapters or tracker.quiet_until > now:
+        if tracker.report.busy or tracker.report.pending_adapters or tracker.no_orders_until > now:
             return age >= WORKING_READ_SECONDS
         return age >= SETTLED_READ_SECONDS
 
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -207,7 +207,7 @@
         """Whether a server can take an order now."""
         if not server.idle or server.entry.instance in self._taken:
             return False
-        return server.quiet_until <= self._given.now
+        return server.no_orders_until <= self._given.now
 
     def free_servers(self) -> list[ServerTracker]:
         """Return the servers that can take an order now."""
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -98,7 +98,7 @@
         self._assumed_at = -1e9
         self._adapters_ordered: dict[ModelKey, float] = {}
         self.unanswered_orders = UnansweredOrders()
-        self.quiet_until = 0.0
+        self.no_orders_until = 0.0
         self.failed_reads = 0
 
     def note_report(self, report: ServerReport, now: float) -> bool:
@@ -275,7 +275,7 @@
             self.report = None
             self.read_at = -1e9
         else:
-            self.quiet_until = now + UNKNOWN_PAUSE_SECONDS
+            self.no_orders_until = now + UNKNOWN_PAUSE_SECONDS
             self.unanswered_orders.note_unanswered(order, now)
 
     def _apply(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
@@ -306,7 +306,7 @@
         busy = order.kind is OrderKind.LOAD or (answer is OrderAnswer.ACCEPTED and in_use)
         if not busy:
             self.operation = None
-            self.quiet_until = now + UNLOAD_SETTLES_SECONDS
+            self.no_orders_until = now + UNLOAD_SETTLES_SECONDS
         self.report = replace(report, revision=revision, busy=busy, held=held)
 
     def _with_finished_load(self, report: ServerReport) -> ServerReport:
