--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -268,8 +268,8 @@
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
 def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    assert not tracker.settle_adapters(early) and not tracker.holds(ADAPTER)
-    assert tracker.settle_adapters(late) and tracker.holds(ADAPTER)
+    assert not tracker.complete_due_adapters(early) and not tracker.holds(ADAPTER)
+    assert tracker.complete_due_adapters(late) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -184,7 +184,7 @@
         settled = []
         for tracker in self._trackers.values():
             count = running[tracker.entry.instance]
-            if tracker.settle(now, count) or tracker.settle_adapters(now):
+            if tracker.settle(now, count) or tracker.complete_due_adapters(now):
                 settled.append(tracker)
             elif 0 < tracker.settles_at(count) - now < STEP_SECONDS:
                 delay = tracker.settles_at(count) - now
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -197,7 +197,7 @@
         self.report = with_loaded(report, operation.target)
         return True
 
-    def settle_adapters(self, now: float) -> bool:
+    def complete_due_adapters(self, now: float) -> bool:
         """Take adapters as loaded a moment after their order; returns whether there was one."""
         if self.report is None or not self._adapters_ordered:
             return False
