--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -186,8 +186,8 @@
             count = running[tracker.entry.instance]
             if tracker.settle(now, count) or tracker.complete_due_adapters(now):
                 settled.append(tracker)
-            elif 0 < tracker.settles_at(count) - now < STEP_SECONDS:
-                delay = tracker.settles_at(count) - now
+            elif 0 < tracker.assumed_done_at(count) - now < STEP_SECONDS:
+                delay = tracker.assumed_done_at(count) - now
                 asyncio.get_running_loop().call_later(delay, self._wake.set)
         if settled:
             self._tell_holdings(settled)
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -189,7 +189,7 @@
         operation, report = self.operation, self.report
         if report is None or operation is None or operation.kind is not OrderKind.LOAD:
             return False
-        if operation.overdue or self.in_flight is not None or now < self.settles_at(running):
+        if operation.overdue or self.in_flight is not None or now < self.assumed_done_at(running):
             return False
         self.operation = None
         self._settled = operation
@@ -217,7 +217,7 @@
                 report = with_adapter(report, target)
         return report
 
-    def settles_at(self, running: int) -> float:
+    def assumed_done_at(self, running: int) -> float:
         """Return when the load that a server carries out should be done."""
         if self.operation is None or self.operation.overdue:
             return float("inf")
