--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -180,7 +180,7 @@
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
     """Let a server's loads settle, and return whether it holds what it was loading."""
     tracker: ServerTracker = context.trackers[name]
-    tracker.settle(now, running)
+    tracker.complete_due_load(now, running)
     return tracker.holds(ModelKey(context.loading))
 
 
@@ -358,7 +358,7 @@
     while now < last:
         now += step
         tracker.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
-        tracker.settle(now, 0)
+        tracker.complete_due_load(now, 0)
         state = (now, tracker.holds(ModelKey("c")), tracker.loading)
         context.beliefs_while_loading.append(state)
     tracker.note_report(report(["a", "c"], {"a", "c"}, 1), end)
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -184,7 +184,7 @@
         settled = []
         for tracker in self._trackers.values():
             count = running[tracker.entry.instance]
-            if tracker.settle(now, count) or tracker.complete_due_adapters(now):
+            if tracker.complete_due_load(now, count) or tracker.complete_due_adapters(now):
                 settled.append(tracker)
             elif 0 < tracker.assumed_done_at(count) - now < STEP_SECONDS:
                 delay = tracker.assumed_done_at(count) - now
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -178,7 +178,7 @@
         loading = self.room_reserved_for(now)
         return self.loads_from_store_now or (loading is not None and self.loads_from_store(loading))
 
-    def settle(self, now: float, running: int) -> bool:
+    def complete_due_load(self, now: float, running: int) -> bool:
         """Take a load as done when its time is over; returns whether it was.
 
         A report is some time old when it comes, so one that still shows the load is not believed
