--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -218,7 +218,7 @@
         tracker.reading = False
         tracker.recheck_due = False
         if report is None:
-            tracker.note_silence()
+            tracker.record_failed_read()
             tracker.read_at = self._now()
             return
         busy_before = tracker.report is None or not tracker.idle
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -253,7 +253,7 @@
             return False
         return now - heard.since <= LATEST_HEARD_PART * model.load_seconds
 
-    def note_silence(self) -> None:
+    def record_failed_read(self) -> None:
         """A report was asked for and did not come."""
         self.failed_reads += 1
 
