--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -362,7 +362,7 @@
         state = (now, tracker.holds(ModelKey("c")), tracker.loading)
         context.beliefs_while_loading.append(state)
     tracker.note_report(report(["a", "c"], {"a", "c"}, 1), end)
-    context.finished = tracker.take_finished()
+    context.finished = tracker.pop_finished_load()
 
 
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -179,7 +179,7 @@
                 self._trackers[name] = tracker
             elif self._draw.random() < 0.5:
                 tracker.note_report(server.report(), self.now)
-            finished = tracker.take_finished()
+            finished = tracker.pop_finished_load()
             if finished is not None:
                 self._pace.note(finished, self.now * MS_PER_SECOND)
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -229,7 +229,7 @@
             self._wake.set()
 
     def _learn_pace(self, tracker: ServerTracker) -> None:
-        finished = tracker.take_finished()
+        finished = tracker.pop_finished_load()
         pace = self._paces.get(tracker.entry.service)
         if finished is None or pace is None:
             return
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -153,7 +153,7 @@
         if now - self._assumed_at < TOO_SOON_SECONDS:
             self._late_by = min(MOST_LATE_SECONDS, self._late_by + LATE_STEP_SECONDS)
 
-    def take_finished(self) -> FinishedLoad | None:
+    def pop_finished_load(self) -> FinishedLoad | None:
         """Return the load from the weight store that was seen to be done since the last call."""
         finished, self._finished = self._finished, None
         return finished
