--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -13,7 +13,11 @@
 from loomwind.placement.load_window import LoadWindow
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
-from loomwind.placement.server_tracker import ADAPTER_SETTLES_SECONDS, ServerTracker, store_load_of
+from loomwind.placement.server_tracker import (
+    ADAPTER_SETTLES_SECONDS,
+    ServerTracker,
+    store_load_in_progress,
+)
 from loomwind.placement.shortage_log import ShortageLog
 from loomwind.placement.store_pace import StorePace
 from loomwind.serving.beliefs import Beliefs
@@ -280,7 +284,7 @@
         store_loads = sum(server.uses_store(now) for server in servers)
         pace.observe(store_loads, now * MS_PER_SECOND)
         pace.note_under_way(
-            [load for load in map(store_load_of, servers) if load is not None],
+            [load for load in map(store_load_in_progress, servers) if load is not None],
             now * MS_PER_SECOND,
         )
         given = PlanInput(
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -394,7 +394,7 @@
         return not self.has_copy(name)
 
 
-def store_load_of(tracker: ServerTracker) -> LoadInProgress | None:
+def store_load_in_progress(tracker: ServerTracker) -> LoadInProgress | None:
     """Return the load from the weight store that a server carries out; None when there is none."""
     operation = tracker.operation
     if operation is None or not operation.from_store:
