--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -14,7 +14,7 @@
 from loomwind.placement.plan import PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
 from loomwind.placement.server_tracker import (
-    ADAPTER_SETTLES_SECONDS,
+    ADAPTER_LOAD_SECONDS,
     ServerTracker,
     store_load_in_progress,
 )
@@ -386,7 +386,7 @@
         if answer is OrderAnswer.ACCEPTED:
             if order.target.adapter:
                 loop = asyncio.get_running_loop()
-                loop.call_later(ADAPTER_SETTLES_SECONDS, self._wake.set)
+                loop.call_later(ADAPTER_LOAD_SECONDS, self._wake.set)
             else:
                 self._tell_holdings([tracker])
         self._wake.set()
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -28,7 +28,7 @@
 ROOM_RESERVED_SECONDS = 1.0
 UNLOAD_SETTLES_SECONDS = 0.1
 LOAD_SETTLES_SECONDS = 0.06
-ADAPTER_SETTLES_SECONDS = 0.1
+ADAPTER_LOAD_SECONDS = 0.1
 LOAD_SETTLES_SECONDS_A_RUN = 0.015
 REPORT_LAG_SECONDS = 0.4
 # How old a report is on the whole: a load was done this long before a report shows it.
@@ -212,7 +212,7 @@
             target: at for target, at in known.items() if now - at < ADAPTER_BELIEF_SECONDS
         }
         for target, ordered_at in self._adapters_ordered.items():
-            due = now - ordered_at >= ADAPTER_SETTLES_SECONDS
+            due = now - ordered_at >= ADAPTER_LOAD_SECONDS
             if due and target in report.pending_adapters:
                 report = with_adapter(report, target)
         return report
