--- a/loomwind/placement/report_changes.py
+++ b/loomwind/placement/report_changes.py
@@ -25,7 +25,7 @@
     return replace(report, held=held)
 
 
-def with_adapter(report: ServerReport, target: ModelKey) -> ServerReport:
+def with_loaded_adapter(report: ServerReport, target: ModelKey) -> ServerReport:
     """Return a report in which a pending adapter is loaded."""
     pending = tuple(key for key in report.pending_adapters if key != target)
     held = tuple(
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.report_changes import with_adapter, with_adapter_order, with_loaded
+from loomwind.placement.report_changes import with_adapter_order, with_loaded, with_loaded_adapter
 from loomwind.placement.server_state import has_copy, load_seconds, used_mb
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress
 from loomwind.placement.unanswered_orders import UnansweredOrders
@@ -214,7 +214,7 @@
         for target, ordered_at in self._adapters_ordered.items():
             due = now - ordered_at >= ADAPTER_LOAD_SECONDS
             if due and target in report.pending_adapters:
-                report = with_adapter(report, target)
+                report = with_loaded_adapter(report, target)
         return report
 
     def assumed_done_at(self, running: int) -> float:
