--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -31,7 +31,7 @@
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
         heard = context.residency.announced_load(name)
         context.trackers[name] = ServerTracker(entry, profile(100), heard)
-        context.trackers[name].note_report(state, now)
+        context.trackers[name].record_report(state, now)
 
 
 @then("the plan of the new leader orders nothing")
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -69,7 +69,7 @@
 def hold(context: Any, name: str, held: str) -> None:
     """Let a server say what it holds, with a copy of each model on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
-    context.trackers[name].note_report(report(models, set(models)), 9.0)
+    context.trackers[name].record_report(report(models, set(models)), 9.0)
 
 
 @given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
@@ -77,7 +77,7 @@
     tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
-    tracker.note_report(report(held, {*held, model}), 9.0)
+    tracker.record_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
     tracker.note_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
 
@@ -111,7 +111,7 @@
     tracker: ServerTracker = context.trackers[context.given_order.instance]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
-    tracker.note_report(report(held, set(held), tracker.report.revision), now)
+    tracker.record_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
 
@@ -168,7 +168,7 @@
 
 @when("{name:w} says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_says_nothing_held(context: Any, name: str, now: float, revision: int) -> None:
-    context.trackers[name].note_report(report([], set(), revision), now)
+    context.trackers[name].record_report(report([], set(), revision), now)
 
 
 @then("{name:w} has room for {count:d} model")
@@ -200,7 +200,7 @@
 def step_old_report(context: Any, name: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
-    tracker.note_report(ServerReport(tracker.report.revision, True, (HeldModel("a"),)), now)
+    tracker.record_report(ServerReport(tracker.report.revision, True, (HeldModel("a"),)), now)
 
 
 @when(
@@ -278,7 +278,7 @@
     assert tracker.report is not None
     held = (HeldModel("a"),)
     revision = tracker.report.revision
-    tracker.note_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
+    tracker.record_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
 
 
 @then("{name:w} has a/x")
@@ -314,7 +314,7 @@
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
         tracker = CountingLedger(entry, many)
-        tracker.note_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
+        tracker.record_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
         context.trackers[entry.instance] = tracker
 
 
@@ -357,11 +357,11 @@
     now = 14.3
     while now < last:
         now += step
-        tracker.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
+        tracker.record_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
         tracker.complete_due_load(now, 0)
         state = (now, tracker.holds(ModelKey("c")), tracker.loading)
         context.beliefs_while_loading.append(state)
-    tracker.note_report(report(["a", "c"], {"a", "c"}, 1), end)
+    tracker.record_report(report(["a", "c"], {"a", "c"}, 1), end)
     context.finished = tracker.pop_finished_load()
 
 
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -152,7 +152,7 @@
     tracker: ServerTracker = context.trackers["two"]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
-    tracker.note_report(report(held, set(held), tracker.report.revision), now)
+    tracker.record_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
 
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -178,7 +178,7 @@
                 tracker = ServerTracker(entry, self._profile, self._heard.get(name))
                 self._trackers[name] = tracker
             elif self._draw.random() < 0.5:
-                tracker.note_report(server.report(), self.now)
+                tracker.record_report(server.report(), self.now)
             finished = tracker.pop_finished_load()
             if finished is not None:
                 self._pace.note(finished, self.now * MS_PER_SECOND)
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -226,7 +226,7 @@
             tracker.read_at = self._now()
             return
         busy_before = tracker.report is None or not tracker.idle
-        if tracker.note_report(report, self._now()):
+        if tracker.record_report(report, self._now()):
             self._tell_holdings([tracker])
         self._learn_pace(tracker)
         if busy_before and tracker.idle:
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -101,7 +101,7 @@
         self.no_orders_until = 0.0
         self.failed_reads = 0
 
-    def note_report(self, report: ServerReport, now: float) -> bool:
+    def record_report(self, report: ServerReport, now: float) -> bool:
         """Take in a report; returns whether what the server holds has changed."""
         self.read_at = now
         self.failed_reads = 0
