--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -79,7 +79,7 @@
     held = [known.name for known in tracker.report.held]
     tracker.record_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
-    tracker.note_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
 
 
 def _order(tracker: ServerTracker, kind: OrderKind, model: str) -> Order:
@@ -101,7 +101,7 @@
     tracker: ServerTracker = context.trackers[planned.instance]
     order = _order(tracker, planned.kind, planned.target.model)
     tracker.reserve_room(planned.makes_way_for, now)
-    tracker.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
     context.now, context.given_order = now, planned
 
 
@@ -148,14 +148,14 @@
 @when("{name:w} begins to load {model} from the weight store at {now:f} s")
 def step_begin_load(context: Any, name: str, model: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
     context.loading = model
 
 
 @when("{name:w} leaves an order to load {model} unanswered at {now:f} s, at revision 0")
 def step_unanswered(context: Any, name: str, model: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    tracker.note_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
 
 
 @when("{name:w} starts again and says at {now:f} s that it holds nothing, at revision {revision:d}")
@@ -217,7 +217,7 @@
 @when("{name:w} takes that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    tracker.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
+    tracker.record_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
 
 @then("{name:w} holds c")
@@ -234,7 +234,7 @@
 def step_unload_ordered(context: Any, name: str, model: str, now: float, who: str) -> None:
     tracker: ServerTracker = context.trackers[name]
     order = _order(tracker, OrderKind.UNLOAD, model)
-    tracker.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
@@ -262,7 +262,7 @@
     assert tracker.report is not None
     revision = tracker.report.revision
     order = Order(OrderKind.LOAD, ADAPTER, tracker.entry.instance, "daemon", FENCE, revision)
-    tracker.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
 
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -162,7 +162,7 @@
     hold(context, "two", "nothing")
     tracker: ServerTracker = context.trackers["two"]
     order = Order(OrderKind.LOAD, ModelKey("b"), "two", "daemon", FENCE, 0)
-    tracker.note_answer(order, OrderAnswer.ACCEPTED, 9.5)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, 9.5)
 
 
 @when(
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -248,7 +248,7 @@
         given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
-            tracker.note_answer(given, OrderAnswer.CONFLICT, self.now)
+            tracker.record_answer(given, OrderAnswer.CONFLICT, self.now)
             return
         server.take(order)
-        tracker.note_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
+        tracker.record_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -364,7 +364,7 @@
     async def _give(self, tracker: ServerTracker, order: Order, planned: PlannedOrder) -> None:
         answer = await self._control.order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
-        tracker.note_answer(
+        tracker.record_answer(
             order,
             answer,
             now,
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -257,7 +257,7 @@
         """A report was asked for and did not come."""
         self.failed_reads += 1
 
-    def note_answer(
+    def record_answer(
         self, order: Order, answer: OrderAnswer, now: float, in_use: bool = True
     ) -> None:
         """Take in the answer to an order.
