--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -16,7 +16,7 @@
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import FinishedLoad, LoadInProgress, StorePace
 from loomwind.serving.demand import TargetDemand
-from loomwind.serving.residency import AnnouncedLoad, LearnedPace
+from loomwind.serving.residency import AnnouncedLoad, LearnedConcurrencyLimit
 from loomwind.serving.views import (
     ModelKey,
     Order,
@@ -97,7 +97,7 @@
     "and none has ended by {seconds:d} s"
 )
 def step_overdue(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StorePace(LearnedPace(SERVICE, limit, False))
+    context.pace = StorePace(LearnedConcurrencyLimit(SERVICE, limit, False))
     loads = [LoadInProgress(0.0, context.load_ms)] * count
     for second in range(seconds + 1):
         context.pace.observe(count, second * MS)
@@ -108,7 +108,7 @@
     "a leader with a limit of {limit:d} has {count:d} loads under way at a time for {seconds:d} s"
 )
 def step_unused(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StorePace(LearnedPace(SERVICE, limit, False))
+    context.pace = StorePace(LearnedConcurrencyLimit(SERVICE, limit, False))
     for began_ms in range(0, seconds * 1000, int(context.load_ms)):
         context.pace.observe(count, began_ms)
         done_ms = began_ms + context.load_ms
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -16,7 +16,7 @@
 from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_pace import StorePace
 from loomwind.serving.demand import TargetDemand
-from loomwind.serving.residency import AnnouncedLoad, LearnedPace
+from loomwind.serving.residency import AnnouncedLoad, LearnedConcurrencyLimit
 from loomwind.serving.views import (
     EngineProfile,
     HeldModel,
@@ -143,7 +143,7 @@
             for name, server in self._servers.items()
             if server.loading
         }
-        learned: LearnedPace = self._pace.learned(SERVICE)
+        learned: LearnedConcurrencyLimit = self._pace.learned(SERVICE)
         self._pace = StorePace(learned, self.now * MS_PER_SECOND)
         self._window = LoadWindow(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -6,7 +6,7 @@
 from loomwind.messages.identity import Message
 from loomwind.serving.demand import RunningCount, TargetDemand
 from loomwind.serving.expectations import ExpectedTarget
-from loomwind.serving.residency import LearnedPace, ServerHolding
+from loomwind.serving.residency import LearnedConcurrencyLimit, ServerHolding
 
 
 class PoolDemand(Message, frozen=True, tag=True, array_like=True):
@@ -65,7 +65,7 @@
 
     fence: int
     holdings: tuple[ServerHolding, ...]
-    paces: tuple[LearnedPace, ...] = ()
+    paces: tuple[LearnedConcurrencyLimit, ...] = ()
 
 
 class PoolExpectations(Message, frozen=True, tag=True, array_like=True):
--- a/loomwind/placement/store_pace.py
+++ b/loomwind/placement/store_pace.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from loomwind.serving.residency import LearnedPace
+from loomwind.serving.residency import LearnedConcurrencyLimit
 
 FIRST_LIMIT = 4
 SLOW_FACTOR = 1.15
@@ -83,7 +83,7 @@
 class StorePace:
     """The number of loads at once that is worth having."""
 
-    def __init__(self, learned: LearnedPace | None = None, now_ms: float = 0.0) -> None:
+    def __init__(self, learned: LearnedConcurrencyLimit | None = None, now_ms: float = 0.0) -> None:
         """Begin to learn.
 
         :param learned: what an earlier leader has learned.
@@ -101,9 +101,9 @@
         """Return how many loads may be under way at once."""
         return max(1, round(self._limit))
 
-    def learned(self, service: str) -> LearnedPace:
+    def learned(self, service: str) -> LearnedConcurrencyLimit:
         """Return what the next leader should begin with."""
-        return LearnedPace(service, self.limit, self._last_slow_ms is not None)
+        return LearnedConcurrencyLimit(service, self.limit, self._last_slow_ms is not None)
 
     def observe(self, under_way: int, now_ms: float) -> None:
         """Take in how many loads are under way from now on."""
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -43,7 +43,7 @@
     loading: str = ""
 
 
-class LearnedPace(Struct, frozen=True, array_like=True):
+class LearnedConcurrencyLimit(Struct, frozen=True, array_like=True):
     """How many loads at once the weight store of a service serves, as a leader has learned.
 
     :param was_slow: whether more than that were seen to be slow.
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         self._told: dict[str, ServerHolding] = {}
         self._told_at: dict[str, float] = {}
-        self.paces: dict[str, LearnedPace] = {}
+        self.paces: dict[str, LearnedConcurrencyLimit] = {}
         self._loads_seen: deque[float] = deque(maxlen=MOST_LOADS_SEEN)
         self._loads: dict[str, AnnouncedLoad] = {}
         self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
