--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -70,13 +70,13 @@
             pace.note(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
-    context.residency.paces[SERVICE] = pace.learned(SERVICE)
+    context.residency.store_limits[SERVICE] = pace.learned(SERVICE)
     context.now_ms = began_ms
 
 
 @when("another daemon leads")
 def step_other_leads(context: Any) -> None:
-    context.pace = StorePace(context.residency.paces.get(SERVICE), context.now_ms)
+    context.pace = StorePace(context.residency.store_limits.get(SERVICE), context.now_ms)
 
 
 @then("it has {served:d} loads under way at once, and does not grow for a while")
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -318,7 +318,7 @@
     def _pace_of(self, service: str, now: float) -> StorePace:
         """Return the weight store's pace; the first is what the leader before has learned."""
         if service not in self._paces:
-            learned = self._residency.paces.get(service)
+            learned = self._residency.store_limits.get(service)
             self._paces[service] = StorePace(learned, now * MS_PER_SECOND)
         return self._paces[service]
 
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -163,7 +163,7 @@
         """Take in what servers hold; that of an earlier leader is ignored."""
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
-            self._pool.residency.paces.update({pace.service: pace for pace in message.paces})
+            self._pool.residency.store_limits.update({pace.service: pace for pace in message.paces})
             self._pool.tell(message.holdings)
 
     def _on_expectations(self, message: PoolExpectations) -> None:
@@ -192,7 +192,7 @@
 
     def _tell_all(self, fence: int) -> None:
         self._telling = None
-        paces = tuple(self._pool.residency.paces.values())
+        paces = tuple(self._pool.residency.store_limits.values())
         message = PoolHoldings(fence, tuple(self._untold.values()), paces)
         self._untold.clear()
         for peer in self._peers.others():
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -75,13 +75,13 @@
 class Residency:
     """Tells where a model can run now.
 
-    :ivar paces: what a leader has learned of the weight store, by service.
+    :ivar store_limits: what a leader has learned of the weight store, by service.
     """
 
     def __init__(self) -> None:
         self._told: dict[str, ServerHolding] = {}
         self._told_at: dict[str, float] = {}
-        self.paces: dict[str, LearnedConcurrencyLimit] = {}
+        self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
         self._loads_seen: deque[float] = deque(maxlen=MOST_LOADS_SEEN)
         self._loads: dict[str, AnnouncedLoad] = {}
         self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
