--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -152,7 +152,7 @@
     while context.now < seconds:
         if context.residency.can_run(lister(), TARGET, context.now):
             context.asked += 1
-            context.residency.note_refused("i-1", TARGET, context.now)
+            context.residency.record_refusal("i-1", TARGET, context.now)
         context.now += STEP_S
 
 
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -138,7 +138,7 @@
         elif failure.unreachable:
             self.health(entry).note_unreachable(now)
         elif not failure.ran and target is not None:
-            self.residency.note_refused(entry.instance, target, now)
+            self.residency.record_refusal(entry.instance, target, now)
         elif failure.at_fault:
             self.health(entry).failed(now)
 
--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -109,7 +109,7 @@
         seconds = ADAPTER_ABSENCE_SECONDS if target.adapter else ABSENCE_SECONDS
         self._keep_away(instance, target, now, seconds)
 
-    def note_refused(self, instance: str, target: ModelKey, now: float) -> None:
+    def record_refusal(self, instance: str, target: ModelKey, now: float) -> None:
         """A server refused the target unstarted: it is full, or the target is on its way out."""
         self._keep_away(instance, target, now, REFUSED_SECONDS)
 
