--- a/features/steps/large_fleet_demand_steps.py
+++ b/features/steps/large_fleet_demand_steps.py
@@ -34,7 +34,7 @@
     context.demand = DemandView()
     waits = TargetDemand(SERVICE, KEY.target, 1, 1.0, 4.0, 4.0)
     report = PoolDemand(DAEMON, (waits,), (), next_in_ms=context.interval_ms)
-    context.demand.note(report, now)
+    context.demand.add_report(report, now)
 
 
 @then("the leader knows of it at {now:f} s")
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -92,7 +92,7 @@
 def step_waits(context: Any, model: str, now: float) -> None:
     context.now = now
     wanted = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
-    context.demand.note(PoolDemand("daemon-1", (wanted,), ()), now)
+    context.demand.add_report(PoolDemand("daemon-1", (wanted,), ()), now)
 
 
 @when("the first order of the plan is accepted at {now:f} s")
@@ -341,7 +341,7 @@
     wanted = [
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
-    context.demand.note(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
+    context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
     CountingLedger.look_ups = 0
 
 
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -103,7 +103,7 @@
 @when("m1 was asked for 3 times and is waited for, m2 once, and m3 is promised, at {now:f} s")
 def step_three_wants(context: Any, now: float) -> None:
     demand = (wanted("m2", 1.0), wanted("m1", 3.0), wanted("m3", 1.0, 0, 1))
-    context.demand.note(PoolDemand("daemon-1", demand, ()), now)
+    context.demand.add_report(PoolDemand("daemon-1", demand, ()), now)
     context.now = now
 
 
@@ -130,7 +130,7 @@
 @when("requests wait for c and d at {now:f} s, and no more may be under way")
 def step_two_wait(context: Any, now: float) -> None:
     demand = (wanted("c", 1.0), wanted("d", 1.0))
-    context.demand.note(PoolDemand("daemon-1", demand, ()), now)
+    context.demand.add_report(PoolDemand("daemon-1", demand, ()), now)
     context.now = now
 
 
@@ -153,7 +153,7 @@
     context.demand = DemandView()
     for step in range(40):
         arrivals = rate * 0.5
-        context.demand.note(PoolDemand("daemon-1", (wanted("c", arrivals),), ()), step * 0.5)
+        context.demand.add_report(PoolDemand("daemon-1", (wanted("c", arrivals),), ()), step * 0.5)
         context.now = step * 0.5
     context.store_loads_left = 0
 
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -138,7 +138,7 @@
 def step_many_wait(context: Any, count: int, seconds: float, model: str, now: float) -> None:
     context.now = now
     wanted = TargetDemand(SERVICE, ModelKey(model), count, count, seconds, seconds)
-    context.demand.note(PoolDemand("daemon-4", (wanted,), ()), now)
+    context.demand.add_report(PoolDemand("daemon-4", (wanted,), ()), now)
 
 
 @when("{count:d} requests for {model} run at {server:w}, which has {places:d} places")
--- a/features/steps/weight_store_share_steps.py
+++ b/features/steps/weight_store_share_steps.py
@@ -15,14 +15,14 @@
     context.now = now
     arrivals = rate / DECAY_PER_SECOND
     asked = TargetDemand(SERVICE, ModelKey(model), 0, arrivals)
-    context.demand.note(PoolDemand("daemon-2", (asked,), ()), now)
+    context.demand.add_report(PoolDemand("daemon-2", (asked,), ()), now)
     context.demand.reset_unserved(SERVICE, held_models(context))
 
 
 @when("{model} was asked for {count:d} times in vain at {now:f} s")
 def step_asked_in_vain(context: Any, model: str, count: int, now: float) -> None:
     asked = TargetDemand(SERVICE, ModelKey(model), 0, count)
-    context.demand.note(PoolDemand("daemon-3", (asked,), ()), now)
+    context.demand.add_report(PoolDemand("daemon-3", (asked,), ()), now)
 
 
 def held_models(context: Any) -> list[str]:
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -156,7 +156,7 @@
             SERVICE, ModelKey(self._names[model % len(self._names)]), int(waits), count, 0.6, 0.6
         )
         sender = f"daemon-{self._draw.randrange(4)}"
-        self._demand.note(PoolDemand(sender, (wanted,), ()), self.now)
+        self._demand.add_report(PoolDemand(sender, (wanted,), ()), self.now)
 
     # One step.
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -85,7 +85,7 @@
     def _take_demand(self) -> None:
         """Take in what daemons have told since the last step."""
         for report in self._exchange.inbox.take():
-            self._demand.note(report, self._now())
+            self._demand.add_report(report, self._now())
             self._doubt_holders(report)
             self._reported.add(report.sender)
 
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -79,7 +79,7 @@
         self._unserved: dict[DemandKey, float] = defaultdict(float)
         self._since: dict[DemandKey, float] = {}
 
-    def note(self, report: PoolDemand, now: float) -> None:
+    def add_report(self, report: PoolDemand, now: float) -> None:
         """Take in a daemon's report."""
         self._reports[report.sender] = report
         self._heard[report.sender] = now
