--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -64,7 +64,7 @@
 @given("the leader said at {now:f} s that m1 should be there in {ready_in:f} s")
 def step_said(context: Any, now: float, ready_in: float) -> None:
     context.expectations = Expectations()
-    context.expectations.note([ExpectedTarget(KEY, ready_in * MS)], now * MS)
+    context.expectations.update([ExpectedTarget(KEY, ready_in * MS)], now * MS)
 
 
 @then("m1 is expected in {ready_in:f} s at {now:f} s")
--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self._known: dict[DemandKey, _Known] = {}
 
-    def note(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
+    def update(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
         """Take in what the leader says."""
         self._known = {key: known for key, known in self._known.items() if known.is_valid(now_ms)}
         for each in expected:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -150,7 +150,7 @@
 
     def expect(self, expected: Iterable[ExpectedTarget]) -> None:
         """Take in when the leader expects models to be there, and let those that wait look."""
-        self.expectations.note(expected, self.now() * MS_PER_SECOND)
+        self.expectations.update(expected, self.now() * MS_PER_SECOND)
         self.demand.wake()
 
     def note_broken(self, address: str) -> None:
