--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -45,7 +45,7 @@
         self._caller = caller
         self._objective = route.objective_seconds
         remaining = caller.remaining_seconds
-        self._terms = WaitLimits(
+        self._limits = WaitLimits(
             arrived_ms=arrived * MS_PER_SECOND,
             patience_ms=route.patience_seconds * MS_PER_SECOND,
             objective_ms=route.objective_seconds * MS_PER_SECOND,
@@ -82,7 +82,7 @@
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
         usual_ms = self._serving.usual_load_ms(self._key)
-        verdict = decide(self._terms, now_ms, ready_in_ms, usual_ms)
+        verdict = decide(self._limits, now_ms, ready_in_ms, usual_ms)
         if isinstance(verdict, Wait):
             return verdict.until_ms / MS_PER_SECOND
         if isinstance(verdict, RetryLater) and not may_return:
@@ -101,6 +101,6 @@
             target=str(self._key.target),
             ready_in_ms=None if ready_in_ms is None else round(ready_in_ms),
             after_ms=round(verdict.after_ms),
-            first_try=self._terms.first_try,
+            first_try=self._limits.first_try,
             own_part=self._caller.own_part,
         )
