--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -34,31 +34,31 @@
 def step_decide(context: Any, word: str, now: float, usual: int) -> None:
     found = re.search(r"[\d.]+", word)
     ready_in_ms = float(found[0]) * MS if found else None
-    context.verdict = decide(context.limits, now * MS, ready_in_ms, usual * MS)
+    context.decision = decide(context.limits, now * MS, ready_in_ms, usual * MS)
 
 
 @then("the request waits")
 def step_waits_on(context: Any) -> None:
-    assert isinstance(context.verdict, Wait), context.verdict
-    assert context.verdict.until_ms == context.limits.wait_until_ms
+    assert isinstance(context.decision, Wait), context.decision
+    assert context.decision.until_ms == context.limits.wait_until_ms
 
 
 @then("the request waits for a word until {until:f} s")
 def step_waits_for_word(context: Any, until: float) -> None:
-    assert context.verdict == Wait(until * MS), context.verdict
+    assert context.decision == Wait(until * MS), context.decision
 
 
 @then("the request comes back after {after:f} s")
 def step_comes_back(context: Any, after: float) -> None:
-    assert isinstance(context.verdict, RetryLater), context.verdict
-    assert abs(context.verdict.after_ms - after * MS) < TOLERANCE_MS, context.verdict
+    assert isinstance(context.decision, RetryLater), context.decision
+    assert abs(context.decision.after_ms - after * MS) < TOLERANCE_MS, context.decision
 
 
 @then("the request is refused, with {after:f} s")
 def step_refused_with(context: Any, after: float) -> None:
-    assert isinstance(context.verdict, Refuse), context.verdict
-    assert context.verdict.after_ms is not None
-    assert abs(context.verdict.after_ms - after * MS) < TOLERANCE_MS, context.verdict
+    assert isinstance(context.decision, Refuse), context.decision
+    assert context.decision.after_ms is not None
+    assert abs(context.decision.after_ms - after * MS) < TOLERANCE_MS, context.decision
 
 
 @given("the leader said at {now:f} s that m1 should be there in {ready_in:f} s")
--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -82,25 +82,25 @@
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
         usual_ms = self._serving.usual_load_ms(self._key)
-        verdict = decide(self._limits, now_ms, ready_in_ms, usual_ms)
-        if isinstance(verdict, Wait):
-            return verdict.until_ms / MS_PER_SECOND
-        if isinstance(verdict, RetryLater) and not may_return:
-            verdict = Refuse(verdict.after_ms)
-        self._log(verdict, ready_in_ms)
-        if isinstance(verdict, RetryLater):
-            back = now + verdict.returns_in_ms / MS_PER_SECOND + self._objective
+        decision = decide(self._limits, now_ms, ready_in_ms, usual_ms)
+        if isinstance(decision, Wait):
+            return decision.until_ms / MS_PER_SECOND
+        if isinstance(decision, RetryLater) and not may_return:
+            decision = Refuse(decision.after_ms)
+        self._log(decision, ready_in_ms)
+        if isinstance(decision, RetryLater):
+            back = now + decision.returns_in_ms / MS_PER_SECOND + self._objective
             returning = WaitingRequest(back, self._objective)
             self._pool.demand.add_expected_retry(self._key, returning)
-        raise ModelNotInTime(verdict.after_ms / MS_PER_SECOND)
+        raise ModelNotInTime(decision.after_ms / MS_PER_SECOND)
 
-    def _log(self, verdict: RetryLater | Refuse, ready_in_ms: float | None) -> None:
+    def _log(self, decision: RetryLater | Refuse, ready_in_ms: float | None) -> None:
         log_decision(
-            "come-back" if isinstance(verdict, RetryLater) else "hopeless",
+            "come-back" if isinstance(decision, RetryLater) else "hopeless",
             self._caller.request_id,
             target=str(self._key.target),
             ready_in_ms=None if ready_in_ms is None else round(ready_in_ms),
-            after_ms=round(verdict.after_ms),
+            after_ms=round(decision.after_ms),
             first_try=self._limits.first_try,
             own_part=self._caller.own_part,
         )
