--- a/features/waiting.feature
+++ b/features/waiting.feature
@@ -3,10 +3,10 @@
   Scenario Outline: what is done with a request of 25 s whose model is away, and whose caller waits 10 s
     Given a request that came at 0.0 s, <tries>, whose caller leaves after 10.0 s
     When the leader says <word> at <now> s, and a load usually takes 6 s
-    Then the request <verdict>
+    Then the request <decision>
 
     Examples:
-      | tries            | now | word                 | verdict                      |
+      | tries            | now | word                 | decision                     |
       | the first time   | 0.1 | that it takes 1.5 s  | waits                        |
       | the first time   | 0.1 | that it takes 4.0 s  | comes back after 4.25 s      |
       | the first time   | 0.9 | that it takes 4.0 s  | waits                        |
@@ -32,10 +32,10 @@
   Scenario Outline: a caller who would leave before the load is done is told to come back at once
     Given a request that came at 0.0 s, the first time, whose caller leaves after 2.4 s
     When the leader says <word> at <now> s, and a load usually takes 6 s
-    Then the request <verdict>
+    Then the request <decision>
 
     Examples:
-      | now  | word                | verdict                 |
+      | now  | word                | decision                |
       | 0.05 | that it takes 0.4 s | waits                   |
       | 0.05 | that it takes 1.6 s | comes back after 1.85 s |
       | 0.5  | that it takes 1.5 s | waits                   |
--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -64,7 +64,7 @@
     def __exit__(self, *_: object) -> None:
         self._pool.demand.end_wait(self._key, self._waiting)
 
-    async def look_again(self, may_return: bool) -> None:
+    async def wait_for_change(self, may_return: bool) -> None:
         """Wait until something may have changed.
 
         :param may_return: whether nothing of the request has run, so that its caller may come back.
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -279,7 +279,7 @@
                 while entry is None and not self._peers.are_better():
                     self._refuse_if_leaving()
                     self._refuse_if_banned()
-                    await wait.look_again(self._has_not_run())
+                    await wait.wait_for_change(self._has_not_run())
                     entry = self._choose_paid()
         except ModelNotInTime as error:
             raise self._give_up(str(error), error.ready_in_seconds) from error
