--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from loomwind.serving.handler import RequestHandler
 
-LOOK_AGAIN_SECONDS = 0.2
+RECHECK_INTERVAL_SECONDS = 0.2
 
 
 class ModelWait:
@@ -72,7 +72,9 @@
         """
         now = self._serving.now()
         until = self._until(now, may_return)
-        await self._pool.demand.wait_for_change(min(max(0.0, until - now), LOOK_AGAIN_SECONDS))
+        await self._pool.demand.wait_for_change(
+            min(max(0.0, until - now), RECHECK_INTERVAL_SECONDS)
+        )
 
     def _until(self, now: float, may_return: bool) -> float:
         """Return when to look again at the latest.
