--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -83,8 +83,8 @@
         """
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
-        usual_ms = self._serving.usual_load_ms(self._key)
-        decision = decide(self._limits, now_ms, ready_in_ms, usual_ms)
+        usual_load_ms = self._serving.usual_load_ms(self._key)
+        decision = decide(self._limits, now_ms, ready_in_ms, usual_load_ms)
         if isinstance(decision, Wait):
             return decision.until_ms / MS_PER_SECOND
         if isinstance(decision, RetryLater) and not may_retry:
