--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -71,12 +71,12 @@
         :raises ModelNotInTime: it cannot be served before its caller leaves.
         """
         now = self._serving.now()
-        until = self._until(now, may_retry)
+        until = self._next_check(now, may_retry)
         await self._pool.demand.wait_for_change(
             min(max(0.0, until - now), RECHECK_INTERVAL_SECONDS)
         )
 
-    def _until(self, now: float, may_retry: bool) -> float:
+    def _next_check(self, now: float, may_retry: bool) -> float:
         """Return when to look again at the latest.
 
         :raises ModelNotInTime: it cannot be served before its caller leaves.
