--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -91,8 +91,8 @@
             decision = Refuse(decision.after_ms)
         self._log(decision, ready_in_ms)
         if isinstance(decision, RetryLater):
-            back = now + decision.retry_in_ms / MS_PER_SECOND + self._objective
-            returning = WaitingRequest(back, self._objective)
+            retry_due = now + decision.retry_in_ms / MS_PER_SECOND + self._objective
+            returning = WaitingRequest(retry_due, self._objective)
             self._pool.demand.add_expected_retry(self._key, returning)
         raise ModelNotInTime(decision.after_ms / MS_PER_SECOND)
 
