--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -92,8 +92,8 @@
         self._log(decision, ready_in_ms)
         if isinstance(decision, RetryLater):
             retry_due = now + decision.retry_in_ms / MS_PER_SECOND + self._objective
-            returning = WaitingRequest(retry_due, self._objective)
-            self._pool.demand.add_expected_retry(self._key, returning)
+            retry = WaitingRequest(retry_due, self._objective)
+            self._pool.demand.add_expected_retry(self._key, retry)
         raise ModelNotInTime(decision.after_ms / MS_PER_SECOND)
 
     def _log(self, decision: RetryLater | Refuse, ready_in_ms: float | None) -> None:
