--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -24,7 +24,7 @@
     ServerReport,
 )
 
-UNKNOWN_PAUSE_SECONDS = 0.15
+UNANSWERED_PAUSE_SECONDS = 0.15
 ROOM_RESERVED_SECONDS = 1.0
 UNLOAD_SETTLES_SECONDS = 0.1
 LOAD_SETTLES_SECONDS = 0.06
@@ -275,7 +275,7 @@
             self.report = None
             self.read_at = -1e9
         else:
-            self.no_orders_until = now + UNKNOWN_PAUSE_SECONDS
+            self.no_orders_until = now + UNANSWERED_PAUSE_SECONDS
             self.unanswered_orders.note_unanswered(order, now)
 
     def _apply(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
