--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -25,7 +25,7 @@
 )
 
 UNANSWERED_PAUSE_SECONDS = 0.15
-ROOM_RESERVED_SECONDS = 1.0
+ROOM_RESERVATION_SECONDS = 1.0
 UNLOAD_SETTLES_SECONDS = 0.1
 LOAD_SETTLES_SECONDS = 0.06
 ADAPTER_LOAD_SECONDS = 0.1
@@ -243,7 +243,7 @@
         operation = self.operation
         if operation is not None and operation.kind is OrderKind.UNLOAD:
             return self._reserved_for
-        return self._reserved_for if now - self._reserved_at <= ROOM_RESERVED_SECONDS else None
+        return self._reserved_for if now - self._reserved_at <= ROOM_RESERVATION_SECONDS else None
 
     def _heard_load_lasts(self, now: float) -> bool:
         """Whether a load that an earlier leader has told of can still be under way."""
