--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -26,7 +26,7 @@
 
 UNANSWERED_PAUSE_SECONDS = 0.15
 ROOM_RESERVATION_SECONDS = 1.0
-UNLOAD_SETTLES_SECONDS = 0.1
+UNLOAD_GRACE_SECONDS = 0.1
 LOAD_SETTLES_SECONDS = 0.06
 ADAPTER_LOAD_SECONDS = 0.1
 LOAD_SETTLES_SECONDS_A_RUN = 0.015
@@ -306,7 +306,7 @@
         busy = order.kind is OrderKind.LOAD or (answer is OrderAnswer.ACCEPTED and in_use)
         if not busy:
             self.operation = None
-            self.no_orders_until = now + UNLOAD_SETTLES_SECONDS
+            self.no_orders_until = now + UNLOAD_GRACE_SECONDS
         self.report = replace(report, revision=revision, busy=busy, held=held)
 
     def _with_finished_load(self, report: ServerReport) -> ServerReport:
