--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -29,7 +29,7 @@
 UNLOAD_GRACE_SECONDS = 0.1
 LOAD_GRACE_SECONDS = 0.06
 ADAPTER_LOAD_SECONDS = 0.1
-LOAD_SETTLES_SECONDS_A_RUN = 0.015
+LOAD_GRACE_SECONDS_PER_REQUEST = 0.015
 REPORT_LAG_SECONDS = 0.4
 # How old a report is on the whole: a load was done this long before a report shows it.
 REPORT_AGE_SECONDS = 0.2
@@ -221,7 +221,7 @@
         """Return when the load that a server carries out should be done."""
         if self.operation is None or self.operation.overdue:
             return float("inf")
-        slower = LOAD_GRACE_SECONDS + LOAD_SETTLES_SECONDS_A_RUN * running + self._late_by
+        slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._late_by
         return self.operation.done_at + slower
 
     def _without_leaving(self, report: ServerReport) -> ServerReport:
