--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -30,7 +30,7 @@
 LOAD_GRACE_SECONDS = 0.06
 ADAPTER_LOAD_SECONDS = 0.1
 LOAD_GRACE_SECONDS_PER_REQUEST = 0.015
-REPORT_LAG_SECONDS = 0.4
+STALE_REPORT_SECONDS = 0.4
 # How old a report is on the whole: a load was done this long before a report shows it.
 REPORT_AGE_SECONDS = 0.2
 OVERDUE_LOOK_SECONDS = 0.3
@@ -109,7 +109,7 @@
         known = self.report
         if known is not None and report.revision < known.revision:
             return False
-        if report.busy and now - self._assumed_at < REPORT_LAG_SECONDS:
+        if report.busy and now - self._assumed_at < STALE_REPORT_SECONDS:
             return False
         if known is None and report.busy and self.operation is None:
             self.operation = self._heard_operation(report, now)
