--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -33,7 +33,7 @@
 STALE_REPORT_SECONDS = 0.4
 # How old a report is on the whole: a load was done this long before a report shows it.
 REPORT_AGE_SECONDS = 0.2
-OVERDUE_LOOK_SECONDS = 0.3
+OVERDUE_RECHECK_SECONDS = 0.3
 # A server whose loads were taken as done too soon is believed a little later from then on.
 TOO_SOON_SECONDS = 0.4
 LATE_STEP_SECONDS = 0.03
@@ -136,7 +136,7 @@
         if report.busy:
             late = settled if self.operation is None else self.operation
             if late is not None and now >= late.done_at:
-                look_at = now + OVERDUE_LOOK_SECONDS
+                look_at = now + OVERDUE_RECHECK_SECONDS
                 self.operation = replace(late, done_at=look_at, overdue=True)
             return
         done = self.operation or settled
