--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -35,7 +35,7 @@
 REPORT_AGE_SECONDS = 0.2
 OVERDUE_RECHECK_SECONDS = 0.3
 # A server whose loads were taken as done too soon is believed a little later from then on.
-TOO_SOON_SECONDS = 0.4
+PREMATURE_COMPLETION_SECONDS = 0.4
 LATE_STEP_SECONDS = 0.03
 MOST_LATE_SECONDS = 0.3
 ADAPTER_BELIEF_SECONDS = 0.5
@@ -150,7 +150,7 @@
         settled = self._settled
         if settled is None or settled.target.model != target.model:
             return
-        if now - self._assumed_at < TOO_SOON_SECONDS:
+        if now - self._assumed_at < PREMATURE_COMPLETION_SECONDS:
             self._late_by = min(MOST_LATE_SECONDS, self._late_by + LATE_STEP_SECONDS)
 
     def pop_finished_load(self) -> FinishedLoad | None:
