--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -37,7 +37,7 @@
 # A server whose loads were taken as done too soon is believed a little later from then on.
 PREMATURE_COMPLETION_SECONDS = 0.4
 EXTRA_GRACE_STEP_SECONDS = 0.03
-MOST_LATE_SECONDS = 0.3
+MAX_EXTRA_GRACE_SECONDS = 0.3
 ADAPTER_BELIEF_SECONDS = 0.5
 # A load of an earlier leader that should have ended longer ago than it takes is another one.
 LATEST_HEARD_PART = 2.0
@@ -151,7 +151,7 @@
         if settled is None or settled.target.model != target.model:
             return
         if now - self._assumed_at < PREMATURE_COMPLETION_SECONDS:
-            self._late_by = min(MOST_LATE_SECONDS, self._late_by + EXTRA_GRACE_STEP_SECONDS)
+            self._late_by = min(MAX_EXTRA_GRACE_SECONDS, self._late_by + EXTRA_GRACE_STEP_SECONDS)
 
     def pop_finished_load(self) -> FinishedLoad | None:
         """Return the load from the weight store that was seen to be done since the last call."""
