--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -38,7 +38,7 @@
 PREMATURE_COMPLETION_SECONDS = 0.4
 EXTRA_GRACE_STEP_SECONDS = 0.03
 MAX_EXTRA_GRACE_SECONDS = 0.3
-ADAPTER_BELIEF_SECONDS = 0.5
+ADAPTER_ASSUMED_SECONDS = 0.5
 # A load of an earlier leader that should have ended longer ago than it takes is another one.
 LATEST_HEARD_PART = 2.0
 
@@ -209,7 +209,7 @@
         """Return a report with the adapters that should be loaded by now, though it is older."""
         known = self._adapters_ordered
         self._adapters_ordered = {
-            target: at for target, at in known.items() if now - at < ADAPTER_BELIEF_SECONDS
+            target: at for target, at in known.items() if now - at < ADAPTER_ASSUMED_SECONDS
         }
         for target, ordered_at in self._adapters_ordered.items():
             due = now - ordered_at >= ADAPTER_LOAD_SECONDS
