--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -40,7 +40,7 @@
 MAX_EXTRA_GRACE_SECONDS = 0.3
 ADAPTER_ASSUMED_SECONDS = 0.5
 # A load of an earlier leader that should have ended longer ago than it takes is another one.
-LATEST_HEARD_PART = 2.0
+MAX_ANNOUNCED_LOAD_FACTOR = 2.0
 
 
 class Operation(Struct, frozen=True):
@@ -124,7 +124,7 @@
         if heard is None or target is None or holds(report.held, target):
             return None
         seconds = load_seconds(self.profile, report, heard.model)
-        if now - heard.since > LATEST_HEARD_PART * seconds:
+        if now - heard.since > MAX_ANNOUNCED_LOAD_FACTOR * seconds:
             return None
         from_store = not has_copy(report, heard.model)
         done_at = heard.since + seconds
@@ -251,7 +251,7 @@
         model = None if heard is None else self.profile.model(heard.model)
         if heard is None or model is None:
             return False
-        return now - heard.since <= LATEST_HEARD_PART * model.load_seconds
+        return now - heard.since <= MAX_ANNOUNCED_LOAD_FACTOR * model.load_seconds
 
     def record_failed_read(self) -> None:
         """A report was asked for and did not come."""
