--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -112,12 +112,12 @@
         if report.busy and now - self._assumed_at < STALE_REPORT_SECONDS:
             return False
         if known is None and report.busy and self.operation is None:
-            self.operation = self._heard_operation(report, now)
+            self.operation = self._resumed_operation(report, now)
         self._follow_load(report, now)
         self.report = self._with_settled_adapters(self._without_leaving(report), now)
         return known is None or known.held != self.report.held
 
-    def _heard_operation(self, report: ServerReport, now: float) -> Operation | None:
+    def _resumed_operation(self, report: ServerReport, now: float) -> Operation | None:
         """Return the load that an earlier leader has ordered, if it can still go on."""
         heard = self._announced_load
         target = ModelKey(heard.model) if heard is not None else None
