--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -113,7 +113,7 @@
             return False
         if known is None and report.busy and self.operation is None:
             self.operation = self._resumed_operation(report, now)
-        self._follow_load(report, now)
+        self._update_load(report, now)
         self.report = self._with_settled_adapters(self._without_leaving(report), now)
         return known is None or known.held != self.report.held
 
@@ -130,7 +130,7 @@
         done_at = heard.since + seconds
         return Operation(OrderKind.LOAD, target, heard.since, done_at, seconds, from_store)
 
-    def _follow_load(self, report: ServerReport, now: float) -> None:
+    def _update_load(self, report: ServerReport, now: float) -> None:
         """Take in whether a load goes on or is done; one taken as done too soon goes on."""
         settled, self._settled = self._settled, None
         if report.busy:
