--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -90,7 +90,7 @@
         self.recheck_due = False
         self.staged = 0
         self._announced_load = announced_load
-        self._settled: Operation | None = None
+        self._assumed_complete: Operation | None = None
         self._late_by = 0.0
         self._finished: FinishedLoad | None = None
         self._reserved_for = ""
@@ -132,7 +132,7 @@
 
     def _update_load(self, report: ServerReport, now: float) -> None:
         """Take in whether a load goes on or is done; one taken as done too soon goes on."""
-        settled, self._settled = self._settled, None
+        settled, self._assumed_complete = self._assumed_complete, None
         if report.busy:
             late = settled if self.operation is None else self.operation
             if late is not None and now >= late.done_at:
@@ -147,7 +147,7 @@
     def record_unreachable(self, target: ModelKey, now: float) -> None:
         """A daemon waits for what should be here: read soon, and believe later loads later."""
         self.recheck_due = True
-        settled = self._settled
+        settled = self._assumed_complete
         if settled is None or settled.target.model != target.model:
             return
         if now - self._assumed_at < PREMATURE_COMPLETION_SECONDS:
@@ -192,7 +192,7 @@
         if operation.overdue or self.in_flight is not None or now < self.assumed_done_at(running):
             return False
         self.operation = None
-        self._settled = operation
+        self._assumed_complete = operation
         self._assumed_at = now
         self.report = with_loaded(report, operation.target)
         return True
@@ -296,7 +296,7 @@
         name = order.target.model
         seconds = self.load_seconds(name) if loads else 0.0
         from_store = loads and self.loads_from_store(name)
-        self._settled = None
+        self._assumed_complete = None
         self.operation = Operation(
             order.kind, order.target, now, now + seconds, seconds, from_store
         )
