--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -91,7 +91,7 @@
         self.staged = 0
         self._announced_load = announced_load
         self._assumed_complete: Operation | None = None
-        self._late_by = 0.0
+        self._extra_grace = 0.0
         self._finished: FinishedLoad | None = None
         self._reserved_for = ""
         self._reserved_at = -1e9
@@ -151,7 +151,9 @@
         if settled is None or settled.target.model != target.model:
             return
         if now - self._assumed_at < PREMATURE_COMPLETION_SECONDS:
-            self._late_by = min(MAX_EXTRA_GRACE_SECONDS, self._late_by + EXTRA_GRACE_STEP_SECONDS)
+            self._extra_grace = min(
+                MAX_EXTRA_GRACE_SECONDS, self._extra_grace + EXTRA_GRACE_STEP_SECONDS
+            )
 
     def pop_finished_load(self) -> FinishedLoad | None:
         """Return the load from the weight store that was seen to be done since the last call."""
@@ -221,7 +223,7 @@
         """Return when the load that a server carries out should be done."""
         if self.operation is None or self.operation.overdue:
             return float("inf")
-        slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._late_by
+        slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._extra_grace
         return self.operation.done_at + slower
 
     def _without_leaving(self, report: ServerReport) -> ServerReport:
