--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -114,7 +114,7 @@
         if known is None and report.busy and self.operation is None:
             self.operation = self._resumed_operation(report, now)
         self._update_load(report, now)
-        self.report = self._with_settled_adapters(self._without_leaving(report), now)
+        self.report = self._with_due_adapters(self._without_leaving(report), now)
         return known is None or known.held != self.report.held
 
     def _resumed_operation(self, report: ServerReport, now: float) -> Operation | None:
@@ -204,10 +204,10 @@
         if self.report is None or not self._adapters_ordered:
             return False
         before = self.report.held
-        self.report = self._with_settled_adapters(self.report, now)
+        self.report = self._with_due_adapters(self.report, now)
         return self.report.held != before
 
-    def _with_settled_adapters(self, report: ServerReport, now: float) -> ServerReport:
+    def _with_due_adapters(self, report: ServerReport, now: float) -> ServerReport:
         """Return a report with the adapters that should be loaded by now, though it is older."""
         known = self._adapters_ordered
         self._adapters_ordered = {
