--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -114,7 +114,7 @@
         if known is None and report.busy and self.operation is None:
             self.operation = self._resumed_operation(report, now)
         self._update_load(report, now)
-        self.report = self._with_due_adapters(self._without_leaving(report), now)
+        self.report = self._with_due_adapters(self._without_unloading(report), now)
         return known is None or known.held != self.report.held
 
     def _resumed_operation(self, report: ServerReport, now: float) -> Operation | None:
@@ -226,7 +226,7 @@
         slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._extra_grace
         return self.operation.done_at + slower
 
-    def _without_leaving(self, report: ServerReport) -> ServerReport:
+    def _without_unloading(self, report: ServerReport) -> ServerReport:
         """Return a report without the model that is being unloaded: it takes no new requests."""
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.UNLOAD:
