--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -176,7 +176,7 @@
         Until this leader has read the server, what an earlier one has told counts.
         """
         if self.report is None and self.operation is None and self.in_flight is None:
-            return self._heard_load_lasts(now)
+            return self._announced_load_may_run(now)
         loading = self.room_reserved_for(now)
         return self.loads_from_store_now or (loading is not None and self.loads_from_store(loading))
 
@@ -247,7 +247,7 @@
             return self._reserved_for
         return self._reserved_for if now - self._reserved_at <= ROOM_RESERVATION_SECONDS else None
 
-    def _heard_load_lasts(self, now: float) -> bool:
+    def _announced_load_may_run(self, now: float) -> bool:
         """Whether a load that an earlier leader has told of can still be under way."""
         heard = self._announced_load
         model = None if heard is None else self.profile.model(heard.model)
