--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -357,10 +357,10 @@
         if self.report is None:
             return 0.0
         late_mb = self.unanswered_orders.memory_mb(self.profile, self.report.revision)
-        taken_mb = used_mb(self.profile, self.report) + self._coming_mb() + late_mb
+        taken_mb = used_mb(self.profile, self.report) + self._loading_mb() + late_mb
         return self.profile.memory_mb - taken_mb
 
-    def _coming_mb(self) -> float:
+    def _loading_mb(self) -> float:
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             return 0.0
