--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -95,7 +95,7 @@
         self._finished: FinishedLoad | None = None
         self._reserved_for = ""
         self._reserved_at = -1e9
-        self._assumed_at = -1e9
+        self._completed_at = -1e9
         self._adapters_ordered: dict[ModelKey, float] = {}
         self.unanswered_orders = UnansweredOrders()
         self.no_orders_until = 0.0
@@ -109,7 +109,7 @@
         known = self.report
         if known is not None and report.revision < known.revision:
             return False
-        if report.busy and now - self._assumed_at < STALE_REPORT_SECONDS:
+        if report.busy and now - self._completed_at < STALE_REPORT_SECONDS:
             return False
         if known is None and report.busy and self.operation is None:
             self.operation = self._resumed_operation(report, now)
@@ -150,7 +150,7 @@
         settled = self._assumed_complete
         if settled is None or settled.target.model != target.model:
             return
-        if now - self._assumed_at < PREMATURE_COMPLETION_SECONDS:
+        if now - self._completed_at < PREMATURE_COMPLETION_SECONDS:
             self._extra_grace = min(
                 MAX_EXTRA_GRACE_SECONDS, self._extra_grace + EXTRA_GRACE_STEP_SECONDS
             )
@@ -195,7 +195,7 @@
             return False
         self.operation = None
         self._assumed_complete = operation
-        self._assumed_at = now
+        self._completed_at = now
         self.report = with_loaded(report, operation.target)
         return True
 
