--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -185,15 +185,15 @@
 
 
 @then("{name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles(context: Any, name: str, early: float, late: float) -> None:
+def step_settles(context: Any, name: str, early: float, overdue: float) -> None:
     assert not holds_after(context, name, early, 0)
-    assert holds_after(context, name, late, 0)
+    assert holds_after(context, name, overdue, 0)
 
 
 @then("with {runs:d} runs {name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles_later(context: Any, runs: int, name: str, early: float, late: float) -> None:
+def step_settles_later(context: Any, runs: int, name: str, early: float, overdue: float) -> None:
     assert not holds_after(context, name, early, runs)
-    assert holds_after(context, name, late, runs)
+    assert holds_after(context, name, overdue, runs)
 
 
 @when("a report of {name:w} at {now:f} s still shows the load")
@@ -244,8 +244,8 @@
 
 
 @then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
-def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
-    assert not takes_order(context, name, early) and takes_order(context, name, late)
+def step_takes_later(context: Any, name: str, early: float, overdue: float) -> None:
+    assert not takes_order(context, name, early) and takes_order(context, name, overdue)
 
 
 @then("{name:w} takes no order at {now:f} s")
@@ -266,10 +266,10 @@
 
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
-def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
+def step_adapter_settles(context: Any, name: str, early: float, overdue: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert not tracker.complete_due_adapters(early) and not tracker.holds(ADAPTER)
-    assert tracker.complete_due_adapters(late) and tracker.holds(ADAPTER)
+    assert tracker.complete_due_adapters(overdue) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -134,10 +134,10 @@
         """Take in whether a load goes on or is done; one taken as done too soon goes on."""
         settled, self._assumed_complete = self._assumed_complete, None
         if report.busy:
-            late = settled if self.operation is None else self.operation
-            if late is not None and now >= late.done_at:
+            overdue = settled if self.operation is None else self.operation
+            if overdue is not None and now >= overdue.done_at:
                 look_at = now + OVERDUE_RECHECK_SECONDS
-                self.operation = replace(late, done_at=look_at, overdue=True)
+                self.operation = replace(overdue, done_at=look_at, overdue=True)
             return
         done = self.operation or settled
         if done is not None and done.from_store:
