--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -119,16 +119,16 @@
 
     def _resumed_operation(self, report: ServerReport, now: float) -> Operation | None:
         """Return the load that an earlier leader has ordered, if it can still go on."""
-        heard = self._announced_load
-        target = ModelKey(heard.model) if heard is not None else None
-        if heard is None or target is None or holds(report.held, target):
+        announced = self._announced_load
+        target = ModelKey(announced.model) if announced is not None else None
+        if announced is None or target is None or holds(report.held, target):
             return None
-        seconds = load_seconds(self.profile, report, heard.model)
-        if now - heard.since > MAX_ANNOUNCED_LOAD_FACTOR * seconds:
+        seconds = load_seconds(self.profile, report, announced.model)
+        if now - announced.since > MAX_ANNOUNCED_LOAD_FACTOR * seconds:
             return None
-        from_store = not has_copy(report, heard.model)
-        done_at = heard.since + seconds
-        return Operation(OrderKind.LOAD, target, heard.since, done_at, seconds, from_store)
+        from_store = not has_copy(report, announced.model)
+        done_at = announced.since + seconds
+        return Operation(OrderKind.LOAD, target, announced.since, done_at, seconds, from_store)
 
     def _update_load(self, report: ServerReport, now: float) -> None:
         """Take in whether a load goes on or is done; one taken as done too soon goes on."""
@@ -249,11 +249,11 @@
 
     def _announced_load_may_run(self, now: float) -> bool:
         """Whether a load that an earlier leader has told of can still be under way."""
-        heard = self._announced_load
-        model = None if heard is None else self.profile.model(heard.model)
-        if heard is None or model is None:
+        announced = self._announced_load
+        model = None if announced is None else self.profile.model(announced.model)
+        if announced is None or model is None:
             return False
-        return now - heard.since <= MAX_ANNOUNCED_LOAD_FACTOR * model.load_seconds
+        return now - announced.since <= MAX_ANNOUNCED_LOAD_FACTOR * model.load_seconds
 
     def record_failed_read(self) -> None:
         """A report was asked for and did not come."""
