--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -12,7 +12,7 @@
 from loomwind.serving.views import EngineProfile, ModelKey, Order, OrderKind
 
 # Orders without an answer are carried out up to 12 s later, by the platform's list of troubles.
-LATEST_ORDER_SECONDS = 15.0
+MAX_ORDER_DELAY_SECONDS = 15.0
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
 
     def forget_old(self, now: float) -> None:
         """Drop the orders that are too old to be carried out."""
-        oldest = now - LATEST_ORDER_SECONDS
+        oldest = now - MAX_ORDER_DELAY_SECONDS
         self._own = [each for each in self._own if each.sent_at >= oldest]
         self._inherited = [each for each in self._inherited if each.sent_at >= oldest]
 
