--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -33,7 +33,7 @@
         self._own: list[UnansweredOrder] = []
         self._inherited: list[UnansweredOrder] = []
 
-    def note_unanswered(self, order: Order, now: float) -> None:
+    def add(self, order: Order, now: float) -> None:
         """Take in that an order to this life got no answer."""
         self._own.append(UnansweredOrder(order, now))
 
