--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -41,7 +41,7 @@
         """Count on what an earlier life has left."""
         self._inherited = earlier._own + earlier._inherited
 
-    def forget_old(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop the orders that are too old to be carried out."""
         oldest = now - MAX_ORDER_DELAY_SECONDS
         self._own = [each for each in self._own if each.sent_at >= oldest]
