--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -62,6 +62,6 @@
                 total += model.adapter_mb if target.adapter else model.memory_mb
         return total
 
-    def adapters(self, revision: int) -> int:
+    def adapter_slots(self, revision: int) -> int:
         """Return how many adapter places have to be kept for them."""
         return sum(1 for target in self._loads(revision) if target.adapter)
