--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -30,21 +30,21 @@
     """The unanswered orders to one server, over its lives."""
 
     def __init__(self) -> None:
-        self._own: list[UnansweredOrder] = []
+        self._current: list[UnansweredOrder] = []
         self._inherited: list[UnansweredOrder] = []
 
     def add(self, order: Order, now: float) -> None:
         """Take in that an order to this life got no answer."""
-        self._own.append(UnansweredOrder(order, now))
+        self._current.append(UnansweredOrder(order, now))
 
     def inherit(self, earlier: "UnansweredOrders") -> None:
         """Count on what an earlier life has left."""
-        self._inherited = earlier._own + earlier._inherited
+        self._inherited = earlier._current + earlier._inherited
 
     def expire(self, now: float) -> None:
         """Drop the orders that are too old to be carried out."""
         oldest = now - MAX_ORDER_DELAY_SECONDS
-        self._own = [each for each in self._own if each.sent_at >= oldest]
+        self._current = [each for each in self._current if each.sent_at >= oldest]
         self._inherited = [each for each in self._inherited if each.sent_at >= oldest]
 
     def _loads(self, revision: int) -> Iterator[ModelKey]:
