--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -105,7 +105,7 @@
         """Take in a report; returns whether what the server holds has changed."""
         self.read_at = now
         self.failed_reads = 0
-        self.unanswered_orders.forget_old(now)
+        self.unanswered_orders.expire(now)
         known = self.report
         if known is not None and report.revision < known.revision:
             return False
@@ -278,7 +278,7 @@
             self.read_at = -1e9
         else:
             self.no_orders_until = now + UNANSWERED_PAUSE_SECONDS
-            self.unanswered_orders.note_unanswered(order, now)
+            self.unanswered_orders.add(order, now)
 
     def _apply(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
         report = self.report
@@ -376,7 +376,7 @@
         return (
             self.profile.adapter_slots
             - taken
-            - self.unanswered_orders.adapters(self.report.revision)
+            - self.unanswered_orders.adapter_slots(self.report.revision)
         )
 
     def pending_adapters(self) -> int:
