--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -31,7 +31,7 @@
 
 STEP_SECONDS = 0.1
 # Between two steps in a small fleet; longer in a large one, in which more reports come.
-SHORTEST_STEP_SECONDS = 0.005
+MIN_STEP_SECONDS = 0.005
 SETTLED_READ_SECONDS = 2.0
 WORKING_READ_SECONDS = 0.1
 EARLY_READ_SECONDS = -0.2
@@ -136,7 +136,7 @@
                     self._step()
             except Exception as error:
                 log_state("controller", "failed", error=repr(error))
-            await asyncio.sleep(self._exchange.paced(SHORTEST_STEP_SECONDS))
+            await asyncio.sleep(self._exchange.paced(MIN_STEP_SECONDS))
 
     def _step(self) -> None:
         configuration = self._beliefs.configuration
