--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -32,7 +32,7 @@
 STEP_SECONDS = 0.1
 # Between two steps in a small fleet; longer in a large one, in which more reports come.
 MIN_STEP_SECONDS = 0.005
-SETTLED_READ_SECONDS = 2.0
+IDLE_READ_SECONDS = 2.0
 WORKING_READ_SECONDS = 0.1
 EARLY_READ_SECONDS = -0.2
 SILENT_READ_SECONDS = 0.4
@@ -215,7 +215,7 @@
             return near and age >= WORKING_READ_SECONDS
         if tracker.report.busy or tracker.report.pending_adapters or tracker.no_orders_until > now:
             return age >= WORKING_READ_SECONDS
-        return age >= SETTLED_READ_SECONDS
+        return age >= IDLE_READ_SECONDS
 
     async def _read(self, tracker: ServerTracker) -> None:
         report = await self._control.report(tracker.entry, REPORT_TIMEOUT_SECONDS)
