--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -33,7 +33,7 @@
 # Between two steps in a small fleet; longer in a large one, in which more reports come.
 MIN_STEP_SECONDS = 0.005
 IDLE_READ_SECONDS = 2.0
-WORKING_READ_SECONDS = 0.1
+BUSY_READ_SECONDS = 0.1
 EARLY_READ_SECONDS = -0.2
 SILENT_READ_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.5
@@ -203,7 +203,7 @@
             return False
         now = self._now()
         age = now - tracker.read_at
-        if tracker.recheck_due and age >= WORKING_READ_SECONDS:
+        if tracker.recheck_due and age >= BUSY_READ_SECONDS:
             return True
         if tracker.failed_reads:
             return age >= SILENT_READ_SECONDS
@@ -212,9 +212,9 @@
         operation = tracker.operation
         if operation is not None:
             near = now >= operation.done_at - EARLY_READ_SECONDS
-            return near and age >= WORKING_READ_SECONDS
+            return near and age >= BUSY_READ_SECONDS
         if tracker.report.busy or tracker.report.pending_adapters or tracker.no_orders_until > now:
-            return age >= WORKING_READ_SECONDS
+            return age >= BUSY_READ_SECONDS
         return age >= IDLE_READ_SECONDS
 
     async def _read(self, tracker: ServerTracker) -> None:
