--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -34,7 +34,7 @@
 MIN_STEP_SECONDS = 0.005
 IDLE_READ_SECONDS = 2.0
 BUSY_READ_SECONDS = 0.1
-EARLY_READ_SECONDS = -0.2
+READ_BEFORE_END_SECONDS = -0.2
 SILENT_READ_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.5
 ORDER_TIMEOUT_SECONDS = 0.4
@@ -211,7 +211,7 @@
             return True
         operation = tracker.operation
         if operation is not None:
-            near = now >= operation.done_at - EARLY_READ_SECONDS
+            near = now >= operation.done_at - READ_BEFORE_END_SECONDS
             return near and age >= BUSY_READ_SECONDS
         if tracker.report.busy or tracker.report.pending_adapters or tracker.no_orders_until > now:
             return age >= BUSY_READ_SECONDS
