--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -35,7 +35,7 @@
 IDLE_READ_SECONDS = 2.0
 BUSY_READ_SECONDS = 0.1
 READ_BEFORE_END_SECONDS = -0.2
-SILENT_READ_SECONDS = 0.4
+FAILED_READ_RETRY_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.5
 ORDER_TIMEOUT_SECONDS = 0.4
 TELL_ALL_SECONDS = 2.0
@@ -206,7 +206,7 @@
         if tracker.recheck_due and age >= BUSY_READ_SECONDS:
             return True
         if tracker.failed_reads:
-            return age >= SILENT_READ_SECONDS
+            return age >= FAILED_READ_RETRY_SECONDS
         if tracker.report is None:
             return True
         operation = tracker.operation
