--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -38,7 +38,7 @@
 FAILED_READ_RETRY_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.5
 ORDER_TIMEOUT_SECONDS = 0.4
-TELL_ALL_SECONDS = 2.0
+HOLDINGS_INTERVAL_SECONDS = 2.0
 STAGE_AFTER_SECONDS = 2.0
 
 
@@ -152,7 +152,7 @@
             if service.engine is not None:
                 self._plan(service.name, service.engine.loads_per_second)
         self._reported.clear()
-        if self._now() - self._told_all_at > self._exchange.paced(TELL_ALL_SECONDS):
+        if self._now() - self._told_all_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
             self._told_all_at = self._now()
             self._tell_holdings(list(self._trackers.values()))
             self._shortages.note_unserved(self._demand.unserved_models())
