--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -39,7 +39,7 @@
 REPORT_TIMEOUT_SECONDS = 0.5
 ORDER_TIMEOUT_SECONDS = 0.4
 HOLDINGS_INTERVAL_SECONDS = 2.0
-STAGE_AFTER_SECONDS = 2.0
+STAGING_DELAY_SECONDS = 2.0
 
 
 class PlacementController:
@@ -340,7 +340,7 @@
 
     def _may_stage(self, now: float) -> bool:
         """Whether no request for a model has been heard of since this daemon began to lead."""
-        return now - self._led_since > STAGE_AFTER_SECONDS and not self._demand.has_seen_requests
+        return now - self._led_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
 
     def _begin_order(self, planned: PlannedOrder) -> None:
         tracker = self._trackers[planned.instance]
