--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -73,7 +73,7 @@
         self._paces: dict[str, StorePace] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._wake = exchange.inbox.arrived
-        self._told_all_at = -1e9
+        self._holdings_sent_at = -1e9
         self._shortages = ShortageLog(metrics)
         self._leading = False
         self._led_since = 0.0
@@ -152,8 +152,8 @@
             if service.engine is not None:
                 self._plan(service.name, service.engine.loads_per_second)
         self._reported.clear()
-        if self._now() - self._told_all_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
-            self._told_all_at = self._now()
+        if self._now() - self._holdings_sent_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
+            self._holdings_sent_at = self._now()
             self._tell_holdings(list(self._trackers.values()))
             self._shortages.note_unserved(self._demand.unserved_models())
 
