--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -76,7 +76,7 @@
         self._holdings_sent_at = -1e9
         self._shortages = ShortageLog(metrics)
         self._leading = False
-        self._led_since = 0.0
+        self._leading_since = 0.0
 
     def set_bounds(self, bounds: BoundSettings) -> None:
         """Hold to other bounds from the next change of leader on; windows that run keep theirs."""
@@ -107,7 +107,7 @@
         if leads == self._leading:
             return leads
         self._leading = leads
-        self._led_since = self._now()
+        self._leading_since = self._now()
         self._demand = DemandView()
         self._trackers.clear()
         self._windows.clear()
@@ -340,7 +340,9 @@
 
     def _may_stage(self, now: float) -> bool:
         """Whether no request for a model has been heard of since this daemon began to lead."""
-        return now - self._led_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
+        return (
+            now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
+        )
 
     def _begin_order(self, planned: PlannedOrder) -> None:
         tracker = self._trackers[planned.instance]
