--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -82,7 +82,7 @@
         """Hold to other bounds from the next change of leader on; windows that run keep theirs."""
         self._bounds = bounds
 
-    def _take_demand(self) -> None:
+    def _receive_demand(self) -> None:
         """Take in what daemons have told since the last step."""
         for report in self._exchange.inbox.take():
             self._demand.add_report(report, self._now())
@@ -131,7 +131,7 @@
             self._wake.clear()
             try:
                 leads = self._note_leadership()
-                self._take_demand()
+                self._receive_demand()
                 if leads:
                     self._step()
             except Exception as error:
