--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -86,10 +86,10 @@
         """Take in what daemons have told since the last step."""
         for report in self._exchange.inbox.take():
             self._demand.add_report(report, self._now())
-            self._doubt_holders(report)
+            self._recheck_holders(report)
             self._reported.add(report.sender)
 
-    def _doubt_holders(self, report: PoolDemand) -> None:
+    def _recheck_holders(self, report: PoolDemand) -> None:
         """Read servers soon that should have what a daemon waits for: it may not reach them."""
         for demand in report.demand:
             if not demand.waiting:
