--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -98,7 +98,7 @@
                 if tracker.holds(demand.target):
                     tracker.record_unreachable(demand.target, self._now())
 
-    def _note_leadership(self) -> bool:
+    def _update_leadership(self) -> bool:
         """Begin or end to lead, and return whether this daemon leads.
 
         What an earlier leader knew is read anew.
@@ -130,7 +130,7 @@
                 pass
             self._wake.clear()
             try:
-                leads = self._note_leadership()
+                leads = self._update_leadership()
                 self._receive_demand()
                 if leads:
                     self._step()
