--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -143,7 +143,7 @@
         if configuration is None:
             return
         self._update_trackers(configuration)
-        self._settle_loads()
+        self._complete_due_loads()
         for tracker in self._trackers.values():
             if self._should_read(tracker):
                 tracker.reading = True
@@ -181,7 +181,7 @@
             if tracker.entry.name == earlier.entry.name:
                 tracker.unanswered_orders.inherit(earlier.unanswered_orders)
 
-    def _settle_loads(self) -> None:
+    def _complete_due_loads(self) -> None:
         """Take loads as done whose time is over, and look again when the next one's is."""
         now = self._now()
         running = self._demand.running_by_instance(now)
