--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -185,16 +185,16 @@
         """Take loads as done whose time is over, and look again when the next one's is."""
         now = self._now()
         running = self._demand.running_by_instance(now)
-        settled = []
+        completed = []
         for tracker in self._trackers.values():
             count = running[tracker.entry.instance]
             if tracker.complete_due_load(now, count) or tracker.complete_due_adapters(now):
-                settled.append(tracker)
+                completed.append(tracker)
             elif 0 < tracker.assumed_done_at(count) - now < STEP_SECONDS:
                 delay = tracker.assumed_done_at(count) - now
                 asyncio.get_running_loop().call_later(delay, self._wake.set)
-        if settled:
-            self._tell_holdings(settled)
+        if completed:
+            self._tell_holdings(completed)
 
     # Reading servers.
 
