--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -211,8 +211,8 @@
             return True
         operation = tracker.operation
         if operation is not None:
-            near = now >= operation.done_at - READ_BEFORE_END_SECONDS
-            return near and age >= BUSY_READ_SECONDS
+            due = now >= operation.done_at - READ_BEFORE_END_SECONDS
+            return due and age >= BUSY_READ_SECONDS
         if tracker.report.busy or tracker.report.pending_adapters or tracker.no_orders_until > now:
             return age >= BUSY_READ_SECONDS
         return age >= IDLE_READ_SECONDS
