--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -228,11 +228,11 @@
         busy_before = tracker.report is None or not tracker.idle
         if tracker.record_report(report, self._now()):
             self._tell_holdings([tracker])
-        self._learn_pace(tracker)
+        self._update_store_limit(tracker)
         if busy_before and tracker.idle:
             self._wake.set()
 
-    def _learn_pace(self, tracker: ServerTracker) -> None:
+    def _update_store_limit(self, tracker: ServerTracker) -> None:
         finished = tracker.pop_finished_load()
         pace = self._paces.get(tracker.entry.service)
         if finished is None or pace is None:
