--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -154,7 +154,7 @@
         self._reported.clear()
         if self._now() - self._holdings_sent_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
             self._holdings_sent_at = self._now()
-            self._tell_holdings(list(self._trackers.values()))
+            self._send_holdings(list(self._trackers.values()))
             self._shortages.note_unserved(self._demand.unserved_models())
 
     def _update_trackers(self, configuration: Configuration) -> None:
@@ -194,7 +194,7 @@
                 delay = tracker.assumed_done_at(count) - now
                 asyncio.get_running_loop().call_later(delay, self._wake.set)
         if completed:
-            self._tell_holdings(completed)
+            self._send_holdings(completed)
 
     # Reading servers.
 
@@ -227,7 +227,7 @@
             return
         busy_before = tracker.report is None or not tracker.idle
         if tracker.record_report(report, self._now()):
-            self._tell_holdings([tracker])
+            self._send_holdings([tracker])
         self._update_store_limit(tracker)
         if busy_before and tracker.idle:
             self._wake.set()
@@ -247,7 +247,7 @@
                 slowness=round(finished.slowness, 2),
             )
 
-    def _tell_holdings(self, trackers: list[ServerTracker]) -> None:
+    def _send_holdings(self, trackers: list[ServerTracker]) -> None:
         fence = self._election.lease.fence
         if fence is None:
             return
@@ -390,7 +390,7 @@
                 loop = asyncio.get_running_loop()
                 loop.call_later(ADAPTER_LOAD_SECONDS, self._wake.set)
             else:
-                self._tell_holdings([tracker])
+                self._send_holdings([tracker])
         self._wake.set()
 
     async def finish_orders(self) -> None:
