--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -304,7 +304,7 @@
             service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
         )
         self._demand.reset_unserved(service, given.index.holders)
-        self._tell_expectations(service, planner.expectations())
+        self._send_expectations(service, planner.expectations())
         for planned in orders:
             if planned.from_store:
                 if not window.allows(now):
@@ -322,7 +322,7 @@
             self._paces[service] = StorePace(learned, now * MS_PER_SECOND)
         return self._paces[service]
 
-    def _tell_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
+    def _send_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
         """Tell daemons when should be there what their requests wait for."""
         fence = self._election.lease.fence
         if fence is None:
