--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -361,9 +361,11 @@
         tracker.in_flight = order
         if planned.makes_way_for:
             tracker.reserve_room(planned.makes_way_for, self._now())
-        self._spawn(self._give(tracker, order, planned))
+        self._spawn(self._send_order(tracker, order, planned))
 
-    async def _give(self, tracker: ServerTracker, order: Order, planned: PlannedOrder) -> None:
+    async def _send_order(
+        self, tracker: ServerTracker, order: Order, planned: PlannedOrder
+    ) -> None:
         answer = await self._control.order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
         tracker.record_answer(
