--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -313,7 +313,7 @@
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
             if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
                 self._trackers[planned.instance].staged += 1
-            self._begin_order(planned)
+            self._start_order(planned)
 
     def _pace_of(self, service: str, now: float) -> StorePace:
         """Return the weight store's pace; the first is what the leader before has learned."""
@@ -344,7 +344,7 @@
             now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
         )
 
-    def _begin_order(self, planned: PlannedOrder) -> None:
+    def _start_order(self, planned: PlannedOrder) -> None:
         tracker = self._trackers[planned.instance]
         report = tracker.report
         fence = self._election.lease.fence
