--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -275,7 +275,7 @@
             seen = self._residency.loads_since(now - seconds)
             window = LoadWindow(loads_per_second, seconds, now, seen)
             self._windows[service] = window
-        pace = self._pace_of(service, now)
+        pace = self._store_limit(service, now)
         servers = [
             tracker
             for tracker in self._trackers.values()
@@ -315,7 +315,7 @@
                 self._trackers[planned.instance].staged += 1
             self._start_order(planned)
 
-    def _pace_of(self, service: str, now: float) -> StorePace:
+    def _store_limit(self, service: str, now: float) -> StorePace:
         """Return the weight store's pace; the first is what the leader before has learned."""
         if service not in self._paces:
             learned = self._residency.store_limits.get(service)
