--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -70,7 +70,7 @@
         self._windows: dict[str, LoadWindow] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
-        self._paces: dict[str, StorePace] = {}
+        self._store_limits: dict[str, StorePace] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._wake = exchange.inbox.arrived
         self._holdings_sent_at = -1e9
@@ -111,7 +111,7 @@
         self._demand = DemandView()
         self._trackers.clear()
         self._windows.clear()
-        self._paces.clear()
+        self._store_limits.clear()
         self._notices.clear()
         self._shortages.note_unserved(())
         self._metrics.leading.set(leads)
@@ -234,7 +234,7 @@
 
     def _update_store_limit(self, tracker: ServerTracker) -> None:
         finished = tracker.pop_finished_load()
-        pace = self._paces.get(tracker.entry.service)
+        pace = self._store_limits.get(tracker.entry.service)
         if finished is None or pace is None:
             return
         before = pace.limit
@@ -262,7 +262,7 @@
             if tracker.report is not None
         )
         if holdings:
-            paces = tuple(pace.learned(service) for service, pace in self._paces.items())
+            paces = tuple(pace.learned(service) for service, pace in self._store_limits.items())
             self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
 
     # Orders.
@@ -317,10 +317,10 @@
 
     def _store_limit(self, service: str, now: float) -> StorePace:
         """Return the weight store's pace; the first is what the leader before has learned."""
-        if service not in self._paces:
+        if service not in self._store_limits:
             learned = self._residency.store_limits.get(service)
-            self._paces[service] = StorePace(learned, now * MS_PER_SECOND)
-        return self._paces[service]
+            self._store_limits[service] = StorePace(learned, now * MS_PER_SECOND)
+        return self._store_limits[service]
 
     def _send_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
         """Tell daemons when should be there what their requests wait for."""
