--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -166,8 +166,8 @@
                 listed[entry.instance] = entry
                 tracker = self._trackers.get(entry.instance)
                 if tracker is None:
-                    heard = self._residency.announced_load(entry.instance)
-                    tracker = ServerTracker(entry, service.engine, heard)
+                    announced = self._residency.announced_load(entry.instance)
+                    tracker = ServerTracker(entry, service.engine, announced)
                     self._inherit_orders(tracker)
                     self._trackers[entry.instance] = tracker
                 tracker.entry = entry
