--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import msgspec
-from behave import given, then, when
+from behave import plan_input, then, when
 
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
@@ -46,7 +46,7 @@
     return ServerReport(revision, False, models, on_disk=frozenset(on_disk))
 
 
-@given("model servers {first} and {second} of {memory:d} GB")
+@plan_input("model servers {first} and {second} of {memory:d} GB")
 def step_servers(context: Any, first: str, second: str, memory: int) -> None:
     context.trackers = {}
     context.demand = DemandView()
@@ -55,13 +55,13 @@
         context.trackers[name] = ServerTracker(entry, profile(memory))
 
 
-@given("{first:w} holds {held_first}, {second:w} holds {held_second}")
+@plan_input("{first:w} holds {held_first}, {second:w} holds {held_second}")
 def step_hold(context: Any, first: str, held_first: str, second: str, held_second: str) -> None:
     for name, held in ((first, held_first), (second, held_second)):
         hold(context, name, held)
 
 
-@given("{name:w} holds nothing")
+@plan_input("{name:w} holds nothing")
 def step_hold_nothing(context: Any, name: str) -> None:
     hold(context, name, "nothing")
 
@@ -72,7 +72,7 @@
     context.trackers[name].record_report(report(models, set(models)), 9.0)
 
 
-@given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
+@plan_input("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
@@ -121,8 +121,10 @@
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", NO_LIMIT)
     running = getattr(context, "running", {})
-    given = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
-    return Planner(given).plan()
+    plan_input = PlanInput(
+        SERVICE, servers, context.demand, running, context.now, allowed, False, left
+    )
+    return Planner(plan_input).plan()
 
 
 @then("the plan is empty")
@@ -302,7 +304,7 @@
         return super().holds(target)
 
 
-@given("{servers:d} model servers and {models:d} models, three at each server")
+@plan_input("{servers:d} model servers and {models:d} models, three at each server")
 def step_many_servers(context: Any, servers: int, models: int) -> None:
     names = [f"m{number}" for number in range(models)]
     load_s = (STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S)
@@ -380,11 +382,11 @@
 @then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
 def step_still_in_vain(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.trackers.values()), context.demand
-    given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
-    planner = Planner(given)
+    plan_input = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
+    planner = Planner(plan_input)
     planner.plan()
     planner.expectations()
-    demand.reset_unserved(SERVICE, given.index.holders)
+    demand.reset_unserved(SERVICE, plan_input.index.holders)
     assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -287,7 +287,7 @@
             [load for load in map(store_load_in_progress, servers) if load is not None],
             now * MS_PER_SECOND,
         )
-        given = PlanInput(
+        plan_input = PlanInput(
             service,
             servers,
             self._demand,
@@ -297,13 +297,13 @@
             self._may_stage(now),
             max(0, pace.limit - store_loads),
         )
-        planner = Planner(given)
+        planner = Planner(plan_input)
         orders = planner.plan()
         loading = (server for server in servers if server.loads_from_store_now)
         self._shortages.note_store_use(
             service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
         )
-        self._demand.reset_unserved(service, given.index.holders)
+        self._demand.reset_unserved(service, plan_input.index.holders)
         self._send_expectations(service, planner.expectations())
         for planned in orders:
             if planned.from_store:
@@ -311,7 +311,11 @@
                     continue
                 window.note(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
-            if given.may_stage and planned.kind is OrderKind.LOAD and not planned.target.adapter:
+            if (
+                plan_input.may_stage
+                and planned.kind is OrderKind.LOAD
+                and not planned.target.adapter
+            ):
                 self._trackers[planned.instance].staged += 1
             self._start_order(planned)
 
