--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -103,10 +103,10 @@
 
         What an earlier leader knew is read anew.
         """
-        leads = self._election.leads()
-        if leads == self._leading:
-            return leads
-        self._leading = leads
+        is_leading = self._election.is_leading()
+        if is_leading == self._leading:
+            return is_leading
+        self._leading = is_leading
         self._leading_since = self._now()
         self._demand = DemandView()
         self._trackers.clear()
@@ -114,11 +114,11 @@
         self._store_limits.clear()
         self._notices.clear()
         self._shortages.note_unserved(())
-        self._metrics.leading.set(leads)
+        self._metrics.leading.set(is_leading)
         self._metrics.lease_fence.set(self._election.lease.fence or 0)
-        if leads:
+        if is_leading:
             self._metrics.elections.inc()
-        return leads
+        return is_leading
 
     async def run(self) -> None:
         """Work for ever; idle while another daemon leads."""
@@ -130,9 +130,9 @@
                 pass
             self._wake.clear()
             try:
-                leads = self._update_leadership()
+                is_leading = self._update_leadership()
                 self._receive_demand()
-                if leads:
+                if is_leading:
                     self._step()
             except Exception as error:
                 log_state("controller", "failed", error=repr(error))
@@ -352,7 +352,7 @@
         tracker = self._trackers[planned.instance]
         report = tracker.report
         fence = self._election.lease.fence
-        if report is None or fence is None or not self._election.leads():
+        if report is None or fence is None or not self._election.is_leading():
             return
         order = Order(
             planned.kind,
