--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -272,8 +272,8 @@
         window = self._windows.get(service)
         if window is None:
             seconds = self._bounds.load_window_seconds
-            seen = self._residency.loads_since(now - seconds)
-            window = LoadWindow(loads_per_second, seconds, now, seen)
+            recent_loads = self._residency.loads_since(now - seconds)
+            window = LoadWindow(loads_per_second, seconds, now, recent_loads)
             self._windows[service] = window
         pace = self._store_limit(service, now)
         servers = [
