--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -11,7 +11,7 @@
 from loomwind.serving.views import HeldModel, ModelKey, ServerEntry
 
 MISSING_BACKOFF_SECONDS = 0.15
-REFUSED_SECONDS = 0.25
+REFUSED_BACKOFF_SECONDS = 0.25
 ADAPTER_ABSENCE_SECONDS = 0.12
 MOST_DOUBLINGS = 3
 TOLD_FIRST_SECONDS = 8.0
@@ -111,7 +111,7 @@
 
     def record_refusal(self, instance: str, target: ModelKey, now: float) -> None:
         """A server refused the target unstarted: it is full, or the target is on its way out."""
-        self._keep_away(instance, target, now, REFUSED_SECONDS)
+        self._keep_away(instance, target, now, REFUSED_BACKOFF_SECONDS)
 
     def _keep_away(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
         """Ask a server no more for a while, longer each time that it refuses again."""
