--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -12,7 +12,7 @@
 
 MISSING_BACKOFF_SECONDS = 0.15
 REFUSED_BACKOFF_SECONDS = 0.25
-ADAPTER_ABSENCE_SECONDS = 0.12
+MISSING_ADAPTER_BACKOFF_SECONDS = 0.12
 MOST_DOUBLINGS = 3
 TOLD_FIRST_SECONDS = 8.0
 FORGIVEN_AFTER_SECONDS = 6.0
@@ -106,7 +106,7 @@
 
     def record_missing(self, instance: str, target: ModelKey, now: float) -> None:
         """A server said that it does not hold the target."""
-        seconds = ADAPTER_ABSENCE_SECONDS if target.adapter else MISSING_BACKOFF_SECONDS
+        seconds = MISSING_ADAPTER_BACKOFF_SECONDS if target.adapter else MISSING_BACKOFF_SECONDS
         self._keep_away(instance, target, now, seconds)
 
     def record_refusal(self, instance: str, target: ModelKey, now: float) -> None:
