--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -13,7 +13,7 @@
 MISSING_BACKOFF_SECONDS = 0.15
 REFUSED_BACKOFF_SECONDS = 0.25
 MISSING_ADAPTER_BACKOFF_SECONDS = 0.12
-MOST_DOUBLINGS = 3
+MAX_BACKOFF_DOUBLINGS = 3
 TOLD_FIRST_SECONDS = 8.0
 FORGIVEN_AFTER_SECONDS = 6.0
 MOST_LOADS_SEEN = 4096
@@ -117,7 +117,7 @@
         """Ask a server no more for a while, longer each time that it refuses again."""
         known = self._absent.get((instance, target))
         refusals = known.refusals if known and now < known.until + FORGIVEN_AFTER_SECONDS else 0
-        pause = seconds * 2 ** min(refusals, MOST_DOUBLINGS)
+        pause = seconds * 2 ** min(refusals, MAX_BACKOFF_DOUBLINGS)
         self._absent[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
 
     def is_loading(self, model: str) -> bool:
