--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -14,7 +14,7 @@
 REFUSED_BACKOFF_SECONDS = 0.25
 MISSING_ADAPTER_BACKOFF_SECONDS = 0.12
 MAX_BACKOFF_DOUBLINGS = 3
-TOLD_FIRST_SECONDS = 8.0
+LEADER_PRECEDENCE_SECONDS = 8.0
 FORGIVEN_AFTER_SECONDS = 6.0
 MOST_LOADS_SEEN = 4096
 
@@ -138,7 +138,7 @@
         told = self._told.get(entry.instance)
         if told is None:
             return entry.held
-        fresh = now - self._told_at[entry.instance] <= TOLD_FIRST_SECONDS
+        fresh = now - self._told_at[entry.instance] <= LEADER_PRECEDENCE_SECONDS
         return told.held if fresh or told.revision >= entry.revision else entry.held
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
