--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -15,7 +15,7 @@
 MISSING_ADAPTER_BACKOFF_SECONDS = 0.12
 MAX_BACKOFF_DOUBLINGS = 3
 LEADER_PRECEDENCE_SECONDS = 8.0
-FORGIVEN_AFTER_SECONDS = 6.0
+BACKOFF_RESET_SECONDS = 6.0
 MOST_LOADS_SEEN = 4096
 
 
@@ -116,7 +116,7 @@
     def _keep_away(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
         """Ask a server no more for a while, longer each time that it refuses again."""
         known = self._absent.get((instance, target))
-        refusals = known.refusals if known and now < known.until + FORGIVEN_AFTER_SECONDS else 0
+        refusals = known.refusals if known and now < known.until + BACKOFF_RESET_SECONDS else 0
         pause = seconds * 2 ** min(refusals, MAX_BACKOFF_DOUBLINGS)
         self._absent[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
 
