--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -16,7 +16,7 @@
 MAX_BACKOFF_DOUBLINGS = 3
 LEADER_PRECEDENCE_SECONDS = 8.0
 BACKOFF_RESET_SECONDS = 6.0
-MOST_LOADS_SEEN = 4096
+MAX_LOADS_REMEMBERED = 4096
 
 
 class RefusalBackoff(Struct, frozen=True):
@@ -82,7 +82,7 @@
         self._told: dict[str, ServerHolding] = {}
         self._told_at: dict[str, float] = {}
         self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
-        self._loads_seen: deque[float] = deque(maxlen=MOST_LOADS_SEEN)
+        self._loads_seen: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
         self._loads: dict[str, AnnouncedLoad] = {}
         self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
 
