--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -79,7 +79,7 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, ServerHolding] = {}
+        self._holdings: dict[str, ServerHolding] = {}
         self._told_at: dict[str, float] = {}
         self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
         self._loads_seen: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
@@ -92,7 +92,7 @@
 
     def update(self, holding: ServerHolding, now: float) -> None:
         """Take in what the leader has read."""
-        known = self._told.get(holding.instance)
+        known = self._holdings.get(holding.instance)
         if holding.loading and (known is None or known.loading != holding.loading):
             self._loads_seen.append(now)
             self._loads[holding.instance] = AnnouncedLoad(holding.loading, now)
@@ -100,7 +100,7 @@
             return
         self._told_at[holding.instance] = now
         if known != holding:
-            self._told[holding.instance] = holding
+            self._holdings[holding.instance] = holding
             for key in [key for key in self._absent if key[0] == holding.instance]:
                 del self._absent[key]
 
@@ -122,11 +122,11 @@
 
     def is_loading(self, model: str) -> bool:
         """Whether a server loads a model, as far as the leader has told."""
-        return any(holding.loading == model for holding in self._told.values())
+        return any(holding.loading == model for holding in self._holdings.values())
 
     def announced_load(self, instance: str) -> AnnouncedLoad | None:
         """Return the load that a server carries out, as far as the leader has told."""
-        told = self._told.get(instance)
+        told = self._holdings.get(instance)
         return self._loads.get(instance) if told is not None and told.loading else None
 
     def held_by(self, entry: ServerEntry, now: float) -> tuple[HeldModel, ...]:
@@ -135,7 +135,7 @@
         While a leader tells, its word goes first: an entry may stand at a later revision, since
         adapters that come move that too, and be older all the same.
         """
-        told = self._told.get(entry.instance)
+        told = self._holdings.get(entry.instance)
         if told is None:
             return entry.held
         fresh = now - self._told_at[entry.instance] <= LEADER_PRECEDENCE_SECONDS
@@ -150,7 +150,7 @@
 
     def retain_only(self, instances: set[str]) -> None:
         """Drop what is known of servers that are not among those."""
-        self._told = {name: held for name, held in self._told.items() if name in instances}
+        self._holdings = {name: held for name, held in self._holdings.items() if name in instances}
         self._told_at = {name: at for name, at in self._told_at.items() if name in instances}
         self._loads = {name: load for name, load in self._loads.items() if name in instances}
         self._absent = {key: known for key, known in self._absent.items() if key[0] in instances}
