--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self._holdings: dict[str, ServerHolding] = {}
-        self._told_at: dict[str, float] = {}
+        self._holdings_received_at: dict[str, float] = {}
         self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
         self._loads_seen: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
         self._loads: dict[str, AnnouncedLoad] = {}
@@ -98,7 +98,7 @@
             self._loads[holding.instance] = AnnouncedLoad(holding.loading, now)
         if known is not None and known.revision > holding.revision:
             return
-        self._told_at[holding.instance] = now
+        self._holdings_received_at[holding.instance] = now
         if known != holding:
             self._holdings[holding.instance] = holding
             for key in [key for key in self._absent if key[0] == holding.instance]:
@@ -138,7 +138,7 @@
         told = self._holdings.get(entry.instance)
         if told is None:
             return entry.held
-        fresh = now - self._told_at[entry.instance] <= LEADER_PRECEDENCE_SECONDS
+        fresh = now - self._holdings_received_at[entry.instance] <= LEADER_PRECEDENCE_SECONDS
         return told.held if fresh or told.revision >= entry.revision else entry.held
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
@@ -151,6 +151,8 @@
     def retain_only(self, instances: set[str]) -> None:
         """Drop what is known of servers that are not among those."""
         self._holdings = {name: held for name, held in self._holdings.items() if name in instances}
-        self._told_at = {name: at for name, at in self._told_at.items() if name in instances}
+        self._holdings_received_at = {
+            name: at for name, at in self._holdings_received_at.items() if name in instances
+        }
         self._loads = {name: load for name, load in self._loads.items() if name in instances}
         self._absent = {key: known for key, known in self._absent.items() if key[0] in instances}
