--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -82,19 +82,19 @@
         self._holdings: dict[str, ServerHolding] = {}
         self._holdings_received_at: dict[str, float] = {}
         self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
-        self._loads_seen: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
+        self._load_times: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
         self._loads: dict[str, AnnouncedLoad] = {}
         self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
 
     def loads_since(self, time: float) -> list[float]:
         """Return when loads were told of, since a time."""
-        return [seen for seen in self._loads_seen if seen >= time]
+        return [seen for seen in self._load_times if seen >= time]
 
     def update(self, holding: ServerHolding, now: float) -> None:
         """Take in what the leader has read."""
         known = self._holdings.get(holding.instance)
         if holding.loading and (known is None or known.loading != holding.loading):
-            self._loads_seen.append(now)
+            self._load_times.append(now)
             self._loads[holding.instance] = AnnouncedLoad(holding.loading, now)
         if known is not None and known.revision > holding.revision:
             return
