--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -84,7 +84,7 @@
         self.store_limits: dict[str, LearnedConcurrencyLimit] = {}
         self._load_times: deque[float] = deque(maxlen=MAX_LOADS_REMEMBERED)
         self._loads: dict[str, AnnouncedLoad] = {}
-        self._absent: dict[tuple[str, ModelKey], RefusalBackoff] = {}
+        self._backoffs: dict[tuple[str, ModelKey], RefusalBackoff] = {}
 
     def loads_since(self, time: float) -> list[float]:
         """Return when loads were told of, since a time."""
@@ -101,8 +101,8 @@
         self._holdings_received_at[holding.instance] = now
         if known != holding:
             self._holdings[holding.instance] = holding
-            for key in [key for key in self._absent if key[0] == holding.instance]:
-                del self._absent[key]
+            for key in [key for key in self._backoffs if key[0] == holding.instance]:
+                del self._backoffs[key]
 
     def record_missing(self, instance: str, target: ModelKey, now: float) -> None:
         """A server said that it does not hold the target."""
@@ -115,10 +115,10 @@
 
     def _keep_away(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
         """Ask a server no more for a while, longer each time that it refuses again."""
-        known = self._absent.get((instance, target))
+        known = self._backoffs.get((instance, target))
         refusals = known.refusals if known and now < known.until + BACKOFF_RESET_SECONDS else 0
         pause = seconds * 2 ** min(refusals, MAX_BACKOFF_DOUBLINGS)
-        self._absent[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
+        self._backoffs[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
 
     def is_loading(self, model: str) -> bool:
         """Whether a server loads a model, as far as the leader has told."""
@@ -143,7 +143,7 @@
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
         """Whether a request for the target may be sent to a server."""
-        absence = self._absent.get((entry.instance, target))
+        absence = self._backoffs.get((entry.instance, target))
         if absence is not None and now < absence.until:
             return False
         return holds(self.held_by(entry, now), target)
@@ -155,4 +155,6 @@
             name: at for name, at in self._holdings_received_at.items() if name in instances
         }
         self._loads = {name: load for name, load in self._loads.items() if name in instances}
-        self._absent = {key: known for key, known in self._absent.items() if key[0] in instances}
+        self._backoffs = {
+            key: known for key, known in self._backoffs.items() if key[0] in instances
+        }
