--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -107,13 +107,13 @@
     def record_missing(self, instance: str, target: ModelKey, now: float) -> None:
         """A server said that it does not hold the target."""
         seconds = MISSING_ADAPTER_BACKOFF_SECONDS if target.adapter else MISSING_BACKOFF_SECONDS
-        self._keep_away(instance, target, now, seconds)
+        self._back_off(instance, target, now, seconds)
 
     def record_refusal(self, instance: str, target: ModelKey, now: float) -> None:
         """A server refused the target unstarted: it is full, or the target is on its way out."""
-        self._keep_away(instance, target, now, REFUSED_BACKOFF_SECONDS)
+        self._back_off(instance, target, now, REFUSED_BACKOFF_SECONDS)
 
-    def _keep_away(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
+    def _back_off(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
         """Ask a server no more for a while, longer each time that it refuses again."""
         known = self._backoffs.get((instance, target))
         refusals = known.refusals if known and now < known.until + BACKOFF_RESET_SECONDS else 0
