--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -143,8 +143,8 @@
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
         """Whether a request for the target may be sent to a server."""
-        absence = self._backoffs.get((entry.instance, target))
-        if absence is not None and now < absence.until:
+        backoff = self._backoffs.get((entry.instance, target))
+        if backoff is not None and now < backoff.until:
             return False
         return holds(self.held_by(entry, now), target)
 
