--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -126,8 +126,8 @@
 
     def announced_load(self, instance: str) -> AnnouncedLoad | None:
         """Return the load that a server carries out, as far as the leader has told."""
-        told = self._holdings.get(instance)
-        return self._loads.get(instance) if told is not None and told.loading else None
+        holding = self._holdings.get(instance)
+        return self._loads.get(instance) if holding is not None and holding.loading else None
 
     def held_by(self, entry: ServerEntry, now: float) -> tuple[HeldModel, ...]:
         """Return what a server holds, by the newest source.
@@ -135,11 +135,11 @@
         While a leader tells, its word goes first: an entry may stand at a later revision, since
         adapters that come move that too, and be older all the same.
         """
-        told = self._holdings.get(entry.instance)
-        if told is None:
+        holding = self._holdings.get(entry.instance)
+        if holding is None:
             return entry.held
         fresh = now - self._holdings_received_at[entry.instance] <= LEADER_PRECEDENCE_SECONDS
-        return told.held if fresh or told.revision >= entry.revision else entry.held
+        return holding.held if fresh or holding.revision >= entry.revision else entry.held
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
         """Whether a request for the target may be sent to a server."""
