--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -8,7 +8,7 @@
 
 # The leader repeats its word within this time while requests wait.
 VALID_MS = 1500.0
-OVERDUE_MS = 100.0
+OVERDUE_READY_IN_MS = 100.0
 
 
 class ExpectedTarget(Struct, frozen=True, array_like=True):
@@ -50,4 +50,4 @@
         known = self._known.get(key)
         if known is None or not known.is_valid(now_ms):
             return None
-        return max(OVERDUE_MS, known.ready_at_ms - now_ms)
+        return max(OVERDUE_READY_IN_MS, known.ready_at_ms - now_ms)
