--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -21,7 +21,7 @@
     ready_in_ms: float
 
 
-class _Known(Struct, frozen=True):
+class _ReadyTime(Struct, frozen=True):
     ready_at_ms: float
     told_at_ms: float
 
@@ -37,13 +37,13 @@
     """What the leader has said lately."""
 
     def __init__(self) -> None:
-        self._known: dict[DemandKey, _Known] = {}
+        self._known: dict[DemandKey, _ReadyTime] = {}
 
     def update(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
         """Take in what the leader says."""
         self._known = {key: known for key, known in self._known.items() if known.is_valid(now_ms)}
         for each in expected:
-            self._known[each.key] = _Known(now_ms + each.ready_in_ms, now_ms)
+            self._known[each.key] = _ReadyTime(now_ms + each.ready_in_ms, now_ms)
 
     def ready_in_ms(self, key: DemandKey, now_ms: float) -> float | None:
         """Return the time until a target should be there; None when nobody has said."""
