--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -23,14 +23,14 @@
 
 class _ReadyTime(Struct, frozen=True):
     ready_at_ms: float
-    told_at_ms: float
+    received_at_ms: float
 
     def is_valid(self, now_ms: float) -> bool:
         """Whether this is to be believed: told lately, or the time it names is not over.
 
         A leader that is gone tells no more, while the load that it ordered goes on.
         """
-        return now_ms - max(self.told_at_ms, self.ready_at_ms) <= VALID_MS
+        return now_ms - max(self.received_at_ms, self.ready_at_ms) <= VALID_MS
 
 
 class Expectations:
