--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -37,17 +37,19 @@
     """What the leader has said lately."""
 
     def __init__(self) -> None:
-        self._known: dict[DemandKey, _ReadyTime] = {}
+        self._ready_times: dict[DemandKey, _ReadyTime] = {}
 
     def update(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
         """Take in what the leader says."""
-        self._known = {key: known for key, known in self._known.items() if known.is_valid(now_ms)}
+        self._ready_times = {
+            key: known for key, known in self._ready_times.items() if known.is_valid(now_ms)
+        }
         for each in expected:
-            self._known[each.key] = _ReadyTime(now_ms + each.ready_in_ms, now_ms)
+            self._ready_times[each.key] = _ReadyTime(now_ms + each.ready_in_ms, now_ms)
 
     def ready_in_ms(self, key: DemandKey, now_ms: float) -> float | None:
         """Return the time until a target should be there; None when nobody has said."""
-        known = self._known.get(key)
+        known = self._ready_times.get(key)
         if known is None or not known.is_valid(now_ms):
             return None
         return max(OVERDUE_READY_IN_MS, known.ready_at_ms - now_ms)
