--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -76,7 +76,7 @@
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
-    held = [known.name for known in tracker.report.held]
+    held = [ready_time.name for ready_time in tracker.report.held]
     tracker.record_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
     tracker.record_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
@@ -110,7 +110,7 @@
     step_accept(context, now - 0.1)
     tracker: ServerTracker = context.trackers[context.given_order.instance]
     assert tracker.report is not None
-    held = [known.name for known in tracker.report.held]
+    held = [ready_time.name for ready_time in tracker.report.held]
     tracker.record_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -42,14 +42,16 @@
     def update(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
         """Take in what the leader says."""
         self._ready_times = {
-            key: known for key, known in self._ready_times.items() if known.is_valid(now_ms)
+            key: ready_time
+            for key, ready_time in self._ready_times.items()
+            if ready_time.is_valid(now_ms)
         }
         for each in expected:
             self._ready_times[each.key] = _ReadyTime(now_ms + each.ready_in_ms, now_ms)
 
     def ready_in_ms(self, key: DemandKey, now_ms: float) -> float | None:
         """Return the time until a target should be there; None when nobody has said."""
-        known = self._ready_times.get(key)
-        if known is None or not known.is_valid(now_ms):
+        ready_time = self._ready_times.get(key)
+        if ready_time is None or not ready_time.is_valid(now_ms):
             return None
-        return max(OVERDUE_READY_IN_MS, known.ready_at_ms - now_ms)
+        return max(OVERDUE_READY_IN_MS, ready_time.ready_at_ms - now_ms)
