--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -12,7 +12,7 @@
 from loomwind.serving.expectations import VALID_MS, ExpectedTarget
 
 # A smaller change would not change what a daemon decides for a request.
-SLIP_MS = 250.0
+MIN_CHANGE_MS = 250.0
 # Before the daemon takes the leader's word for outdated.
 REPEAT_MS = 0.6 * VALID_MS
 
@@ -62,6 +62,7 @@
         if told is None or now_ms - told.told_at_ms >= REPEAT_MS:
             return True
         return any(
-            abs(told.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms) > SLIP_MS
+            abs(told.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
+            > MIN_CHANGE_MS
             for each in known
         )
