--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -14,7 +14,7 @@
 # A smaller change would not change what a daemon decides for a request.
 MIN_CHANGE_MS = 250.0
 # Before the daemon takes the leader's word for outdated.
-REPEAT_MS = 0.6 * VALID_MS
+REPEAT_INTERVAL_MS = 0.6 * VALID_MS
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
     def _is_outdated(self, name: str, known: Sequence[ExpectedTarget], now_ms: float) -> bool:
         """Whether a daemon was told something else, or nothing lately."""
         told = self._told.get(name)
-        if told is None or now_ms - told.told_at_ms >= REPEAT_MS:
+        if told is None or now_ms - told.told_at_ms >= REPEAT_INTERVAL_MS:
             return True
         return any(
             abs(told.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
