--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -24,7 +24,7 @@
     :ivar ready_at_ms: when each target should be there, a time of the clock.
     """
 
-    told_at_ms: float
+    sent_at_ms: float
     ready_at_ms: Mapping[DemandKey, float]
 
 
@@ -59,7 +59,7 @@
     def _is_outdated(self, name: str, known: Sequence[ExpectedTarget], now_ms: float) -> bool:
         """Whether a daemon was told something else, or nothing lately."""
         told = self._told.get(name)
-        if told is None or now_ms - told.told_at_ms >= REPEAT_INTERVAL_MS:
+        if told is None or now_ms - told.sent_at_ms >= REPEAT_INTERVAL_MS:
             return True
         return any(
             abs(told.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
