--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -32,7 +32,7 @@
     """What each daemon was told last."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Notice] = {}
+        self._sent: dict[str, _Notice] = {}
 
     def due(
         self,
@@ -46,19 +46,19 @@
         :param waiting: what requests wait for, by the daemon's name.
         :param reported: the daemons that have reported since the last step.
         """
-        self._told = {name: told for name, told in self._told.items() if waiting.get(name)}
+        self._sent = {name: told for name, told in self._sent.items() if waiting.get(name)}
         notices = {}
         for name, keys in waiting.items():
             known = tuple(expected[key] for key in keys if key in expected)
             if known and (name in reported or self._is_outdated(name, known, now_ms)):
                 ready_at = {each.key: now_ms + each.ready_in_ms for each in known}
-                self._told[name] = _Notice(now_ms, ready_at)
+                self._sent[name] = _Notice(now_ms, ready_at)
                 notices[name] = known
         return notices
 
     def _is_outdated(self, name: str, known: Sequence[ExpectedTarget], now_ms: float) -> bool:
         """Whether a daemon was told something else, or nothing lately."""
-        told = self._told.get(name)
+        told = self._sent.get(name)
         if told is None or now_ms - told.sent_at_ms >= REPEAT_INTERVAL_MS:
             return True
         return any(
