--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -46,7 +46,7 @@
         :param waiting: what requests wait for, by the daemon's name.
         :param reported: the daemons that have reported since the last step.
         """
-        self._sent = {name: told for name, told in self._sent.items() if waiting.get(name)}
+        self._sent = {name: sent for name, sent in self._sent.items() if waiting.get(name)}
         notices = {}
         for name, keys in waiting.items():
             known = tuple(expected[key] for key in keys if key in expected)
@@ -58,11 +58,11 @@
 
     def _is_outdated(self, name: str, known: Sequence[ExpectedTarget], now_ms: float) -> bool:
         """Whether a daemon was told something else, or nothing lately."""
-        told = self._sent.get(name)
-        if told is None or now_ms - told.sent_at_ms >= REPEAT_INTERVAL_MS:
+        sent = self._sent.get(name)
+        if sent is None or now_ms - sent.sent_at_ms >= REPEAT_INTERVAL_MS:
             return True
         return any(
-            abs(told.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
+            abs(sent.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
             > MIN_CHANGE_MS
             for each in known
         )
