--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -7,7 +7,7 @@
 from loomwind.placement.demand_view import UnservedModel
 from loomwind.placement.server_tracker import ServerTracker
 
-MOST_MODELS_NAMED = 8
+MAX_MODELS_LOGGED = 8
 # The store's use changes with each load, and a line names all of them.
 STORE_LINE_INTERVAL_MS = 1000.0
 
@@ -27,7 +27,7 @@
         self._metrics.models_unserved.set(len(unserved))
         if unserved:
             most = [f"{each.key.target} {each.requests:.0f}" for each in unserved]
-            log_state("demand", "unserved", models=len(unserved), most=most[:MOST_MODELS_NAMED])
+            log_state("demand", "unserved", models=len(unserved), most=most[:MAX_MODELS_LOGGED])
 
     def note_store_use(
         self,
@@ -53,6 +53,6 @@
             service=service,
             loads_at_once=limit,
             queued=len(queued),
-            next=list(queued[:MOST_MODELS_NAMED]),
+            next=list(queued[:MAX_MODELS_LOGGED]),
             loading=loads,
         )
