--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -17,7 +17,7 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._store_line_at_ms = float("-inf")
+        self._store_logged_at_ms = float("-inf")
 
     def note_unserved(self, unserved: Sequence[UnservedModel]) -> None:
         """Take in which models are asked for while no server holds them, the most asked for first.
@@ -43,9 +43,9 @@
         :param limit: how many loads it serves at once.
         :param queued: the models that lack a copy, in the order in which they get a place.
         """
-        if not queued or now_ms - self._store_line_at_ms < STORE_LINE_INTERVAL_MS:
+        if not queued or now_ms - self._store_logged_at_ms < STORE_LINE_INTERVAL_MS:
             return
-        self._store_line_at_ms = now_ms
+        self._store_logged_at_ms = now_ms
         loads = [f"{server.entry.instance} {server.loading or 'unknown'}" for server in loading]
         log_state(
             "weight-store",
