--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -348,8 +348,8 @@
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
-def step_look_ups(context: Any, most: int) -> None:
-    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
+def step_look_ups(context: Any, names: int) -> None:
+    assert CountingLedger.look_ups <= names * len(context.trackers), CountingLedger.look_ups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -26,8 +26,8 @@
         """
         self._metrics.models_unserved.set(len(unserved))
         if unserved:
-            most = [f"{each.key.target} {each.requests:.0f}" for each in unserved]
-            log_state("demand", "unserved", models=len(unserved), most=most[:MAX_MODELS_LOGGED])
+            names = [f"{each.key.target} {each.requests:.0f}" for each in unserved]
+            log_state("demand", "unserved", models=len(unserved), most=names[:MAX_MODELS_LOGGED])
 
     def note_store_use(
         self,
