--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -113,7 +113,7 @@
         self._windows.clear()
         self._store_limits.clear()
         self._notices.clear()
-        self._shortages.note_unserved(())
+        self._shortages.record_unserved(())
         self._metrics.leading.set(is_leading)
         self._metrics.lease_fence.set(self._election.lease.fence or 0)
         if is_leading:
@@ -155,7 +155,7 @@
         if self._now() - self._holdings_sent_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
             self._holdings_sent_at = self._now()
             self._send_holdings(list(self._trackers.values()))
-            self._shortages.note_unserved(self._demand.unserved_models())
+            self._shortages.record_unserved(self._demand.unserved_models())
 
     def _update_trackers(self, configuration: Configuration) -> None:
         listed: dict[str, ServerEntry] = {}
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -19,7 +19,7 @@
         self._metrics = metrics
         self._store_logged_at_ms = float("-inf")
 
-    def note_unserved(self, unserved: Sequence[UnservedModel]) -> None:
+    def record_unserved(self, unserved: Sequence[UnservedModel]) -> None:
         """Take in which models are asked for while no server holds them, the most asked for first.
 
         :param unserved: empty also where this daemon does not lead.
