--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -300,7 +300,7 @@
         planner = Planner(plan_input)
         orders = planner.plan()
         loading = (server for server in servers if server.loads_from_store_now)
-        self._shortages.note_store_use(
+        self._shortages.record_store_use(
             service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
         )
         self._demand.reset_unserved(service, plan_input.index.holders)
--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -29,7 +29,7 @@
             names = [f"{each.key.target} {each.requests:.0f}" for each in unserved]
             log_state("demand", "unserved", models=len(unserved), most=names[:MAX_MODELS_LOGGED])
 
-    def note_store_use(
+    def record_store_use(
         self,
         service: str,
         loading: Iterable[ServerTracker],
