--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -74,7 +74,7 @@
     def __init__(self) -> None:
         self.has_seen_requests = False
         self._reports: dict[str, PoolDemand] = {}
-        self._heard: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
         self._heat: dict[DemandKey, RequestRate] = defaultdict(RequestRate)
         self._unserved: dict[DemandKey, float] = defaultdict(float)
         self._since: dict[DemandKey, float] = {}
@@ -82,7 +82,7 @@
     def add_report(self, report: PoolDemand, now: float) -> None:
         """Take in a daemon's report."""
         self._reports[report.sender] = report
-        self._heard[report.sender] = now
+        self._received_at[report.sender] = now
         self.has_seen_requests = self.has_seen_requests or bool(report.demand)
         for demand in report.demand:
             if not demand.arrivals:
@@ -103,7 +103,8 @@
         return [
             report
             for sender, report in self._reports.items()
-            if now - self._heard[sender] < REPORT_GRACE_SECONDS + report.next_in_ms / MS_PER_SECOND
+            if now - self._received_at[sender]
+            < REPORT_GRACE_SECONDS + report.next_in_ms / MS_PER_SECOND
         ]
 
     def waiting_by_daemon(self, now: float) -> dict[str, list[DemandKey]]:
@@ -129,7 +130,7 @@
                     waiting[key] += demand.waiting
                     expected_retries[key] += demand.expected_retries
                     urgency[key] = min(urgency.get(key, 1e9), demand.urgency_seconds)
-                    age = now - self._heard[report.sender]
+                    age = now - self._received_at[report.sender]
                     slack[key] = max(slack.get(key, -1e9), demand.slack_seconds - age)
         self._since = {key: self._since.get(key, now) for key in waiting}
         pending_demand = [
