--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -75,7 +75,7 @@
         self.has_seen_requests = False
         self._reports: dict[str, PoolDemand] = {}
         self._received_at: dict[str, float] = {}
-        self._heat: dict[DemandKey, RequestRate] = defaultdict(RequestRate)
+        self._rates: dict[DemandKey, RequestRate] = defaultdict(RequestRate)
         self._unserved: dict[DemandKey, float] = defaultdict(float)
         self._since: dict[DemandKey, float] = {}
 
@@ -91,7 +91,7 @@
                 demand.arrivals
             )
             for target in {demand.target, ModelKey(demand.target.model)}:
-                heat = self._heat[DemandKey(demand.service, target)]
+                heat = self._rates[DemandKey(demand.service, target)]
                 heat.rate = heat.at(now) + demand.arrivals * DECAY_PER_SECOND
                 heat.updated = now
                 heat.last_used = now
@@ -147,7 +147,7 @@
         ]
         pending_demand += [
             PendingDemand(
-                each.key, 0, self._heat[each.key].objective_seconds, 0.0, 0, each.requests, now
+                each.key, 0, self._rates[each.key].objective_seconds, 0.0, 0, each.requests, now
             )
             for each in self.unserved_models()
             if each.key not in waiting
@@ -206,10 +206,10 @@
 
     def rate(self, service: str, target: ModelKey, now: float) -> float:
         """Return the recent rate of requests for a target, a second."""
-        heat = self._heat.get(DemandKey(service, target))
+        heat = self._rates.get(DemandKey(service, target))
         return heat.at(now) if heat else 0.0
 
     def last_used(self, service: str, target: ModelKey) -> float:
         """Return when a target was last asked for."""
-        heat = self._heat.get(DemandKey(service, target))
+        heat = self._rates.get(DemandKey(service, target))
         return heat.last_used if heat else -1e9
