--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -91,12 +91,12 @@
                 demand.arrivals
             )
             for target in {demand.target, ModelKey(demand.target.model)}:
-                heat = self._rates[DemandKey(demand.service, target)]
-                heat.rate = heat.at(now) + demand.arrivals * DECAY_PER_SECOND
-                heat.updated = now
-                heat.last_used = now
+                rate = self._rates[DemandKey(demand.service, target)]
+                rate.rate = rate.at(now) + demand.arrivals * DECAY_PER_SECOND
+                rate.updated = now
+                rate.last_used = now
                 if demand.urgency_seconds:
-                    heat.objective_seconds = demand.urgency_seconds
+                    rate.objective_seconds = demand.urgency_seconds
 
     def _fresh(self, now: float) -> list[PoolDemand]:
         """Return the reports that no newer one should have replaced by now."""
@@ -206,10 +206,10 @@
 
     def rate(self, service: str, target: ModelKey, now: float) -> float:
         """Return the recent rate of requests for a target, a second."""
-        heat = self._rates.get(DemandKey(service, target))
-        return heat.at(now) if heat else 0.0
+        rate = self._rates.get(DemandKey(service, target))
+        return rate.at(now) if rate else 0.0
 
     def last_used(self, service: str, target: ModelKey) -> float:
         """Return when a target was last asked for."""
-        heat = self._rates.get(DemandKey(service, target))
-        return heat.last_used if heat else -1e9
+        rate = self._rates.get(DemandKey(service, target))
+        return rate.last_used if rate else -1e9
