--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -77,7 +77,7 @@
         self._received_at: dict[str, float] = {}
         self._rates: dict[DemandKey, RequestRate] = defaultdict(RequestRate)
         self._unserved: dict[DemandKey, float] = defaultdict(float)
-        self._since: dict[DemandKey, float] = {}
+        self._waiting_since: dict[DemandKey, float] = {}
 
     def add_report(self, report: PoolDemand, now: float) -> None:
         """Take in a daemon's report."""
@@ -132,7 +132,7 @@
                     urgency[key] = min(urgency.get(key, 1e9), demand.urgency_seconds)
                     age = now - self._received_at[report.sender]
                     slack[key] = max(slack.get(key, -1e9), demand.slack_seconds - age)
-        self._since = {key: self._since.get(key, now) for key in waiting}
+        self._waiting_since = {key: self._waiting_since.get(key, now) for key in waiting}
         pending_demand = [
             PendingDemand(
                 key,
@@ -141,7 +141,7 @@
                 slack[key],
                 expected_retries[key],
                 self._unserved.get(DemandKey(key.service, ModelKey(key.target.model)), 0.0),
-                self._since[key],
+                self._waiting_since[key],
             )
             for key, count in waiting.items()
         ]
