--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -98,7 +98,7 @@
                 if demand.urgency_seconds:
                     rate.objective_seconds = demand.urgency_seconds
 
-    def _fresh(self, now: float) -> list[PoolDemand]:
+    def _current_reports(self, now: float) -> list[PoolDemand]:
         """Return the reports that no newer one should have replaced by now."""
         return [
             report
@@ -111,7 +111,7 @@
         """Return what requests wait for, by the name of their daemon."""
         return {
             report.sender: [DemandKey(d.service, d.target) for d in report.demand if d.waiting]
-            for report in self._fresh(now)
+            for report in self._current_reports(now)
         }
 
     def pending_demand(self, now: float) -> list[PendingDemand]:
@@ -123,7 +123,7 @@
         expected_retries: dict[DemandKey, int] = defaultdict(int)
         urgency: dict[DemandKey, float] = {}
         slack: dict[DemandKey, float] = {}
-        for report in self._fresh(now):
+        for report in self._current_reports(now):
             for demand in report.demand:
                 if demand.waiting or demand.expected_retries:
                     key = DemandKey(demand.service, demand.target)
@@ -186,7 +186,7 @@
     def running(self, now: float) -> dict[tuple[str, ModelKey], int]:
         """Return the requests that run, by instance and target."""
         total: dict[tuple[str, ModelKey], int] = defaultdict(int)
-        for report in self._fresh(now):
+        for report in self._current_reports(now):
             for count in report.running:
                 total[(count.instance, count.target)] += count.count
         return total
