--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import msgspec
-from behave import plan_input, then, when
+from behave import given, then, when
 
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
@@ -46,7 +46,7 @@
     return ServerReport(revision, False, models, on_disk=frozenset(on_disk))
 
 
-@plan_input("model servers {first} and {second} of {memory:d} GB")
+@given("model servers {first} and {second} of {memory:d} GB")
 def step_servers(context: Any, first: str, second: str, memory: int) -> None:
     context.trackers = {}
     context.demand = DemandView()
@@ -55,13 +55,13 @@
         context.trackers[name] = ServerTracker(entry, profile(memory))
 
 
-@plan_input("{first:w} holds {held_first}, {second:w} holds {held_second}")
+@given("{first:w} holds {held_first}, {second:w} holds {held_second}")
 def step_hold(context: Any, first: str, held_first: str, second: str, held_second: str) -> None:
     for name, held in ((first, held_first), (second, held_second)):
         hold(context, name, held)
 
 
-@plan_input("{name:w} holds nothing")
+@given("{name:w} holds nothing")
 def step_hold_nothing(context: Any, name: str) -> None:
     hold(context, name, "nothing")
 
@@ -72,11 +72,11 @@
     context.trackers[name].record_report(report(models, set(models)), 9.0)
 
 
-@plan_input("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
+@given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert tracker.report is not None
-    held = [ready_time.name for ready_time in tracker.report.held]
+    held = [known.name for known in tracker.report.held]
     tracker.record_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
     tracker.record_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
@@ -110,7 +110,7 @@
     step_accept(context, now - 0.1)
     tracker: ServerTracker = context.trackers[context.given_order.instance]
     assert tracker.report is not None
-    held = [ready_time.name for ready_time in tracker.report.held]
+    held = [known.name for known in tracker.report.held]
     tracker.record_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
@@ -121,10 +121,8 @@
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", NO_LIMIT)
     running = getattr(context, "running", {})
-    plan_input = PlanInput(
-        SERVICE, servers, context.demand, running, context.now, allowed, False, left
-    )
-    return Planner(plan_input).plan()
+    given = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
+    return Planner(given).plan()
 
 
 @then("the plan is empty")
@@ -187,15 +185,15 @@
 
 
 @then("{name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles(context: Any, name: str, early: float, overdue: float) -> None:
+def step_settles(context: Any, name: str, early: float, late: float) -> None:
     assert not holds_after(context, name, early, 0)
-    assert holds_after(context, name, overdue, 0)
+    assert holds_after(context, name, late, 0)
 
 
 @then("with {runs:d} runs {name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles_later(context: Any, runs: int, name: str, early: float, overdue: float) -> None:
+def step_settles_later(context: Any, runs: int, name: str, early: float, late: float) -> None:
     assert not holds_after(context, name, early, runs)
-    assert holds_after(context, name, overdue, runs)
+    assert holds_after(context, name, late, runs)
 
 
 @when("a report of {name:w} at {now:f} s still shows the load")
@@ -246,8 +244,8 @@
 
 
 @then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
-def step_takes_later(context: Any, name: str, early: float, overdue: float) -> None:
-    assert not takes_order(context, name, early) and takes_order(context, name, overdue)
+def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
+    assert not takes_order(context, name, early) and takes_order(context, name, late)
 
 
 @then("{name:w} takes no order at {now:f} s")
@@ -268,10 +266,10 @@
 
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
-def step_adapter_settles(context: Any, name: str, early: float, overdue: float) -> None:
+def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     assert not tracker.complete_due_adapters(early) and not tracker.holds(ADAPTER)
-    assert tracker.complete_due_adapters(overdue) and tracker.holds(ADAPTER)
+    assert tracker.complete_due_adapters(late) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
@@ -304,7 +302,7 @@
         return super().holds(target)
 
 
-@plan_input("{servers:d} model servers and {models:d} models, three at each server")
+@given("{servers:d} model servers and {models:d} models, three at each server")
 def step_many_servers(context: Any, servers: int, models: int) -> None:
     names = [f"m{number}" for number in range(models)]
     load_s = (STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S)
@@ -348,8 +346,8 @@
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
-def step_look_ups(context: Any, names: int) -> None:
-    assert CountingLedger.look_ups <= names * len(context.trackers), CountingLedger.look_ups
+def step_look_ups(context: Any, most: int) -> None:
+    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
@@ -382,11 +380,11 @@
 @then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
 def step_still_in_vain(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.trackers.values()), context.demand
-    plan_input = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
-    planner = Planner(plan_input)
+    given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
+    planner = Planner(given)
     planner.plan()
     planner.expectations()
-    demand.reset_unserved(SERVICE, plan_input.index.holders)
+    demand.reset_unserved(SERVICE, given.index.holders)
     assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -103,7 +103,7 @@
 
         What an earlier leader knew is read anew.
         """
-        is_leading = self._election.is_leading()
+        is_leading = self._election.leads()
         if is_leading == self._leading:
             return is_leading
         self._leading = is_leading
@@ -352,7 +352,7 @@
         tracker = self._trackers[planned.instance]
         report = tracker.report
         fence = self._election.lease.fence
-        if report is None or fence is None or not self._election.is_leading():
+        if report is None or fence is None or not self._election.leads():
             return
         order = Order(
             planned.kind,
