--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -49,18 +49,14 @@
         self._sent = {name: sent for name, sent in self._sent.items() if waiting.get(name)}
         notices = {}
         for name, keys in waiting.items():
-            expected_targets = tuple(expected[key] for key in keys if key in expected)
-            if expected_targets and (
-                name in reported or self._is_outdated(name, expected_targets, now_ms)
-            ):
-                ready_at = {each.key: now_ms + each.ready_in_ms for each in expected_targets}
+            targets = tuple(expected[key] for key in keys if key in expected)
+            if targets and (name in reported or self._is_outdated(name, targets, now_ms)):
+                ready_at = {each.key: now_ms + each.ready_in_ms for each in targets}
                 self._sent[name] = _Notice(now_ms, ready_at)
-                notices[name] = expected_targets
+                notices[name] = targets
         return notices
 
-    def _is_outdated(
-        self, name: str, expected_targets: Sequence[ExpectedTarget], now_ms: float
-    ) -> bool:
+    def _is_outdated(self, name: str, targets: Sequence[ExpectedTarget], now_ms: float) -> bool:
         """Whether a daemon was told something else, or nothing lately."""
         sent = self._sent.get(name)
         if sent is None or now_ms - sent.sent_at_ms >= REPEAT_INTERVAL_MS:
@@ -68,5 +64,5 @@
         return any(
             abs(sent.ready_at_ms.get(each.key, float("inf")) - now_ms - each.ready_in_ms)
             > MIN_CHANGE_MS
-            for each in expected_targets
+            for each in targets
         )
