--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -1,8 +1,8 @@
-"""What the leader knows of one life of a model server. Pure; time is passed in.
+"""The leader's state for one instance of a model server. No I/O; time is passed in.
 
-A report is some time old when it comes, so one at a lower revision than the last order taken is
-ignored. An order without an answer may be carried out much later, but only while the server is
-still at the revision that it expects; so any other order that is taken makes it void.
+Reports arrive with a delay, so a report with a lower revision than the last accepted order is
+ignored. An unanswered order may be executed much later, but only while the server is still at the
+revision that the order expects; accepting any other order invalidates it.
 """
 
 from msgspec import Struct
@@ -31,25 +31,27 @@
 ADAPTER_LOAD_SECONDS = 0.1
 LOAD_GRACE_SECONDS_PER_REQUEST = 0.015
 STALE_REPORT_SECONDS = 0.4
-# How old a report is on the whole: a load was done this long before a report shows it.
+# Average age of a report: a load finished this long before a report shows it.
 REPORT_AGE_SECONDS = 0.2
 OVERDUE_RECHECK_SECONDS = 0.3
-# A server whose loads were taken as done too soon is believed a little later from then on.
+# If a daemon still cannot use a model this soon after its load was assumed to be complete, later
+# loads on the server get a longer grace period.
 PREMATURE_COMPLETION_SECONDS = 0.4
 EXTRA_GRACE_STEP_SECONDS = 0.03
 MAX_EXTRA_GRACE_SECONDS = 0.3
 ADAPTER_ASSUMED_SECONDS = 0.5
-# A load of an earlier leader that should have ended longer ago than it takes is another one.
+# After this multiple of its expected duration, a load that the previous leader announced is over;
+# a load in progress is then a different one.
 MAX_ANNOUNCED_LOAD_FACTOR = 2.0
 
 
 class Operation(Struct, frozen=True):
-    """An order that a server carries out now.
+    """An order that a server is executing.
 
-    :param done_at: when it should be done, by the profile of the model.
-    :param expected_seconds: how long it should take, by that profile.
-    :param from_store: whether it loads from the weight store.
-    :param overdue: whether a report has shown that it takes longer than it should.
+    :param done_at: expected completion time according to the model's profile.
+    :param expected_seconds: expected duration according to the model's profile.
+    :param from_store: whether the weights are loaded from the weight store.
+    :param overdue: whether a report has shown that it takes longer than expected.
     """
 
     kind: OrderKind
@@ -62,12 +64,14 @@
 
 
 class ServerTracker:
-    """One model server.
-
-    :ivar report: the newest state, with the effect of orders that were taken since.
-    :ivar operation: the order for a model's weights that the server carries out.
-    :ivar doubted: whether it should be read soon, since a daemon does not get through to it.
-    :ivar in_flight: the order that is on its way and not answered.
+    """Tracks the state of one model server.
+
+    :ivar report: the latest report, updated with the effects of orders accepted since.
+    :ivar operation: the load or unload of model weights that the server is executing.
+    :ivar in_flight: the order that was sent and is not answered yet.
+    :ivar recheck_due: whether to read the server soon because a daemon may not reach it.
+    :ivar staged: loads ordered before any demand was seen.
+    :ivar no_orders_until: loop time before which the planner sends no order.
     """
 
     def __init__(
@@ -76,9 +80,9 @@
         profile: EngineProfile,
         announced_load: AnnouncedLoad | None = None,
     ) -> None:
-        """Begin to follow a server.
+        """Start tracking a server.
 
-        :param heard_load: a load that an earlier leader has ordered and told of.
+        :param announced_load: a load that an earlier leader ordered and announced.
         """
         self.entry = entry
         self.profile = profile
@@ -102,7 +106,7 @@
         self.failed_reads = 0
 
     def record_report(self, report: ServerReport, now: float) -> bool:
-        """Take in a report; returns whether what the server holds has changed."""
+        """Process a report; returns whether the set of held models has changed."""
         self.read_at = now
         self.failed_reads = 0
         self.unanswered_orders.expire(now)
@@ -118,7 +122,7 @@
         return known is None or known.held != self.report.held
 
     def _resumed_operation(self, report: ServerReport, now: float) -> Operation | None:
-        """Return the load that an earlier leader has ordered, if it can still go on."""
+        """Return the load that an earlier leader ordered if it may still be running."""
         announced = self._announced_load
         target = ModelKey(announced.model) if announced is not None else None
         if announced is None or target is None or holds(report.held, target):
@@ -131,7 +135,10 @@
         return Operation(OrderKind.LOAD, target, announced.since, done_at, seconds, from_store)
 
     def _update_load(self, report: ServerReport, now: float) -> None:
-        """Take in whether a load goes on or is done; one taken as done too soon goes on."""
+        """Update the current load from a report.
+
+        A load that was assumed to be complete but is still running becomes the current one again.
+        """
         settled, self._assumed_complete = self._assumed_complete, None
         if report.busy:
             overdue = settled if self.operation is None else self.operation
@@ -145,7 +152,11 @@
         self.operation = None
 
     def record_unreachable(self, target: ModelKey, now: float) -> None:
-        """A daemon waits for what should be here: read soon, and believe later loads later."""
+        """Record that a daemon waits for a target that this server should hold.
+
+        The server is read again soon. If the target's load was just assumed to be complete, later
+        loads get a longer grace period.
+        """
         self.recheck_due = True
         settled = self._assumed_complete
         if settled is None or settled.target.model != target.model:
@@ -156,13 +167,13 @@
             )
 
     def pop_finished_load(self) -> FinishedLoad | None:
-        """Return the load from the weight store that was seen to be done since the last call."""
+        """Return and clear the last weight store load that a report showed to be finished."""
         finished, self._finished = self._finished, None
         return finished
 
     @property
     def loads_from_store_now(self) -> bool:
-        """Whether a load from the weight store is under way, as far as is known."""
+        """Whether a load from the weight store is in progress, as far as is known."""
         order, operation = self.in_flight, self.operation
         if order is not None and order.kind is OrderKind.LOAD and not order.target.adapter:
             return self.loads_from_store(order.target.model)
@@ -171,9 +182,9 @@
         return self.report is not None and self.report.busy
 
     def uses_store(self, now: float) -> bool:
-        """Whether a load from the weight store is under way, or another model makes way for one.
+        """Whether a weight store load is in progress, or memory is being freed for one.
 
-        Until this leader has read the server, what an earlier one has told counts.
+        Until this leader has read the server, the previous leader's announcement is used.
         """
         if self.report is None and self.operation is None and self.in_flight is None:
             return self._announced_load_may_run(now)
@@ -181,12 +192,12 @@
         return self.loads_from_store_now or (loading is not None and self.loads_from_store(loading))
 
     def complete_due_load(self, now: float, running: int) -> bool:
-        """Take a load as done when its time is over; returns whether it was.
+        """Assume that a load is complete once its expected time is over; returns whether it was.
 
-        A report is some time old when it comes, so one that still shows the load is not believed
-        for a while. One that shows it later takes this back.
+        Reports arrive with a delay, so those that still show the load are ignored for a short
+        time. A later report that still shows the load reverts the assumption.
 
-        :param running: requests that run at the server, which slow a load down.
+        :param running: requests running on the server, which slow the load down.
         """
         operation, report = self.operation, self.report
         if report is None or operation is None or operation.kind is not OrderKind.LOAD:
@@ -200,7 +211,7 @@
         return True
 
     def complete_due_adapters(self, now: float) -> bool:
-        """Take adapters as loaded a moment after their order; returns whether there was one."""
+        """Assume that ordered adapters are loaded once due; returns whether there was one."""
         if self.report is None or not self._adapters_ordered:
             return False
         before = self.report.held
@@ -208,7 +219,7 @@
         return self.report.held != before
 
     def _with_due_adapters(self, report: ServerReport, now: float) -> ServerReport:
-        """Return a report with the adapters that should be loaded by now, though it is older."""
+        """Return the report with adapters added that should have been loaded since."""
         known = self._adapters_ordered
         self._adapters_ordered = {
             target: at for target, at in known.items() if now - at < ADAPTER_ASSUMED_SECONDS
@@ -220,14 +231,14 @@
         return report
 
     def assumed_done_at(self, running: int) -> float:
-        """Return when the load that a server carries out should be done."""
+        """Return the time at which the current load is assumed to be complete."""
         if self.operation is None or self.operation.overdue:
             return float("inf")
         slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._extra_grace
         return self.operation.done_at + slower
 
     def _without_unloading(self, report: ServerReport) -> ServerReport:
-        """Return a report without the model that is being unloaded: it takes no new requests."""
+        """Return the report without the model being unloaded: it accepts no new requests."""
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.UNLOAD:
             return report
@@ -235,11 +246,11 @@
         return replace(report, held=held)
 
     def reserve_room(self, name: str, now: float) -> None:
-        """Another model makes way here for one."""
+        """Reserve the memory freed by an unload for a model."""
         self._reserved_for, self._reserved_at = name, now
 
     def room_reserved_for(self, now: float) -> str | None:
-        """Return the model that another one makes way for; None when there is none."""
+        """Return the model for which memory is reserved, or None."""
         if not self._reserved_for or self.holds(ModelKey(self._reserved_for)):
             return None
         operation = self.operation
@@ -248,7 +259,7 @@
         return self._reserved_for if now - self._reserved_at <= ROOM_RESERVATION_SECONDS else None
 
     def _announced_load_may_run(self, now: float) -> bool:
-        """Whether a load that an earlier leader has told of can still be under way."""
+        """Whether a load announced by an earlier leader may still be in progress."""
         announced = self._announced_load
         model = None if announced is None else self.profile.model(announced.model)
         if announced is None or model is None:
@@ -256,15 +267,15 @@
         return now - announced.since <= MAX_ANNOUNCED_LOAD_FACTOR * model.load_seconds
 
     def record_failed_read(self) -> None:
-        """A report was asked for and did not come."""
+        """Record that the server did not answer a request for a report."""
         self.failed_reads += 1
 
     def record_answer(
         self, order: Order, answer: OrderAnswer, now: float, in_use: bool = True
     ) -> None:
-        """Take in the answer to an order.
+        """Process the answer to an order.
 
-        :param in_use: whether requests may run there for its target.
+        :param in_use: whether requests for its target may be running on the server.
         """
         self.in_flight = None
         report = self.report
@@ -312,9 +323,9 @@
         self.report = replace(report, revision=revision, busy=busy, held=held)
 
     def _with_finished_load(self, report: ServerReport) -> ServerReport:
-        """Return a report after the load before an order that was taken.
+        """Return the report with the current load completed, since a later order was accepted.
 
-        A server carries out one order at a time, so it is done, though an older report shows it.
+        A server executes one order at a time, so the load is done even if an older report shows it.
         """
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
@@ -323,15 +334,15 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the server can take an order for a model's weights now."""
+        """Whether the server can accept an order to load or unload model weights."""
         return self.report is not None and not self.report.busy and self.in_flight is None
 
     def holds(self, target: ModelKey) -> bool:
-        """Whether the target can run here now."""
+        """Whether requests for the target can run on this server now."""
         return self.report is not None and holds(self.report.held, target)
 
     def is_loading(self, target: ModelKey) -> bool:
-        """Whether the target is being loaded here."""
+        """Whether the target is being loaded on this server."""
         if self.report is None:
             return False
         order = self.in_flight
@@ -346,14 +357,14 @@
 
     @property
     def loading(self) -> str:
-        """Return the name of the model that is being loaded here; empty for none."""
+        """Return the name of the model being loaded, or an empty string."""
         operation = self.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             return ""
         return operation.target.model
 
     def free_mb(self) -> float:
-        """Return the accelerator memory that nothing holds, in MB."""
+        """Return the unallocated accelerator memory in MB."""
         if self.report is None:
             return 0.0
         late_mb = self.unanswered_orders.memory_mb(self.profile, self.report.revision)
@@ -368,7 +379,7 @@
         return 0.0 if model is None or self.holds(operation.target) else model.memory_mb
 
     def free_adapter_slots(self) -> int:
-        """Return how many more adapters fit by number."""
+        """Return the number of free adapter slots."""
         if self.report is None:
             return 0
         loaded = sum(len(model.adapters) for model in self.report.held)
@@ -380,24 +391,24 @@
         )
 
     def pending_adapters(self) -> int:
-        """Return how many adapters are on their way."""
+        """Return the number of adapters being loaded."""
         return 0 if self.report is None else len(self.report.pending_adapters)
 
     def has_copy(self, name: str) -> bool:
-        """Whether a copy of a model's weights lies in host memory or on disk here."""
+        """Whether the server has a copy of a model's weights in host memory or on disk."""
         return self.report is not None and has_copy(self.report, name)
 
     def load_seconds(self, name: str) -> float:
-        """Return how long a load of a model takes here, from its nearest copy."""
+        """Return how long the server takes to load a model from its nearest copy."""
         return 0.0 if self.report is None else load_seconds(self.profile, self.report, name)
 
     def loads_from_store(self, name: str) -> bool:
-        """Whether a load of a model would come from the weight store."""
+        """Whether loading a model would read it from the weight store."""
         return not self.has_copy(name)
 
 
 def store_load_in_progress(tracker: ServerTracker) -> LoadInProgress | None:
-    """Return the load from the weight store that a server carries out; None when there is none."""
+    """Return the server's weight store load in progress, or None."""
     operation = tracker.operation
     if operation is None or not operation.from_store:
         return None
@@ -407,7 +418,7 @@
 
 
 def _finished(load: Operation, now: float, on_time: bool) -> FinishedLoad:
-    """Return what is learned from a load of the weight store that a report shows to be done."""
+    """Return the measurement for a weight store load that a report shows to be finished."""
     expected_done = load.began + load.expected_seconds
     done = expected_done if on_time else max(expected_done, now - REPORT_AGE_SECONDS)
     return FinishedLoad(
