--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -139,16 +139,16 @@
 
         A load that was assumed to be complete but is still running becomes the current one again.
         """
-        settled, self._assumed_complete = self._assumed_complete, None
+        assumed, self._assumed_complete = self._assumed_complete, None
         if report.busy:
-            overdue = settled if self.operation is None else self.operation
+            overdue = assumed if self.operation is None else self.operation
             if overdue is not None and now >= overdue.done_at:
                 look_at = now + OVERDUE_RECHECK_SECONDS
                 self.operation = replace(overdue, done_at=look_at, overdue=True)
             return
-        done = self.operation or settled
+        done = self.operation or assumed
         if done is not None and done.from_store:
-            self._finished = _finished(done, now, on_time=settled is not None)
+            self._finished = _finished(done, now, on_time=assumed is not None)
         self.operation = None
 
     def record_unreachable(self, target: ModelKey, now: float) -> None:
@@ -158,8 +158,8 @@
         loads get a longer grace period.
         """
         self.recheck_due = True
-        settled = self._assumed_complete
-        if settled is None or settled.target.model != target.model:
+        assumed = self._assumed_complete
+        if assumed is None or assumed.target.model != target.model:
             return
         if now - self._completed_at < PREMATURE_COMPLETION_SECONDS:
             self._extra_grace = min(
