--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -234,8 +234,8 @@
         """Return the time at which the current load is assumed to be complete."""
         if self.operation is None or self.operation.overdue:
             return float("inf")
-        slower = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._extra_grace
-        return self.operation.done_at + slower
+        grace = LOAD_GRACE_SECONDS + LOAD_GRACE_SECONDS_PER_REQUEST * running + self._extra_grace
+        return self.operation.done_at + grace
 
     def _without_unloading(self, report: ServerReport) -> ServerReport:
         """Return the report without the model being unloaded: it accepts no new requests."""
