--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -143,8 +143,8 @@
         if report.busy:
             overdue = assumed if self.operation is None else self.operation
             if overdue is not None and now >= overdue.done_at:
-                look_at = now + OVERDUE_RECHECK_SECONDS
-                self.operation = replace(overdue, done_at=look_at, overdue=True)
+                recheck_at = now + OVERDUE_RECHECK_SECONDS
+                self.operation = replace(overdue, done_at=recheck_at, overdue=True)
             return
         done = self.operation or assumed
         if done is not None and done.from_store:
