--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -283,7 +283,7 @@
             return
         if answer in (OrderAnswer.ACCEPTED, OrderAnswer.ALREADY):
             if report.revision == order.expected_revision:
-                self._apply(order, answer, now, in_use)
+                self._apply_order(order, answer, now, in_use)
         elif answer is not OrderAnswer.UNKNOWN:
             self.report = None
             self.read_at = -1e9
@@ -291,7 +291,7 @@
             self.no_orders_until = now + UNANSWERED_PAUSE_SECONDS
             self.unanswered_orders.add(order, now)
 
-    def _apply(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
+    def _apply_order(self, order: Order, answer: OrderAnswer, now: float, in_use: bool) -> None:
         report = self.report
         assert report is not None
         if answer is OrderAnswer.ACCEPTED:
