--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -141,10 +141,10 @@
         """
         assumed, self._assumed_complete = self._assumed_complete, None
         if report.busy:
-            overdue = assumed if self.operation is None else self.operation
-            if overdue is not None and now >= overdue.done_at:
+            load = assumed if self.operation is None else self.operation
+            if load is not None and now >= load.done_at:
                 recheck_at = now + OVERDUE_RECHECK_SECONDS
-                self.operation = replace(overdue, done_at=recheck_at, overdue=True)
+                self.operation = replace(load, done_at=recheck_at, overdue=True)
             return
         done = self.operation or assumed
         if done is not None and done.from_store:
@@ -188,8 +188,10 @@
         """
         if self.report is None and self.operation is None and self.in_flight is None:
             return self._announced_load_may_run(now)
-        loading = self.room_reserved_for(now)
-        return self.loads_from_store_now or (loading is not None and self.loads_from_store(loading))
+        reserved = self.room_reserved_for(now)
+        return self.loads_from_store_now or (
+            reserved is not None and self.loads_from_store(reserved)
+        )
 
     def complete_due_load(self, now: float, running: int) -> bool:
         """Assume that a load is complete once its expected time is over; returns whether it was.
