--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -100,7 +100,7 @@
     planned = plan(context)[0]
     tracker: ServerTracker = context.trackers[planned.instance]
     order = _order(tracker, planned.kind, planned.target.model)
-    tracker.reserve_room(planned.makes_way_for, now)
+    tracker.reserve_memory(planned.makes_way_for, now)
     tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
     context.now, context.given_order = now, planned
 
--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -244,7 +244,7 @@
         report = tracker.report
         assert report is not None
         if order.makes_way_for:
-            tracker.reserve_room(order.makes_way_for, self.now)
+            tracker.reserve_memory(order.makes_way_for, self.now)
         given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -364,7 +364,7 @@
         )
         tracker.in_flight = order
         if planned.makes_way_for:
-            tracker.reserve_room(planned.makes_way_for, self._now())
+            tracker.reserve_memory(planned.makes_way_for, self._now())
         self._spawn(self._send_order(tracker, order, planned))
 
     async def _send_order(
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -247,7 +247,7 @@
         held = tuple(model for model in report.held if model.name != operation.target.model)
         return replace(report, held=held)
 
-    def reserve_room(self, name: str, now: float) -> None:
+    def reserve_memory(self, name: str, now: float) -> None:
         """Reserve the memory freed by an unload for a model."""
         self._reserved_for, self._reserved_at = name, now
 
