--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -237,7 +237,7 @@
 
     def _room(self, server: str) -> str:
         """Return the model that another one has made way for at a server; empty for none."""
-        return self._trackers[server].room_reserved_for(self.now) or ""
+        return self._trackers[server].memory_reserved_for(self.now) or ""
 
     def _give(self, order: PlannedOrder) -> None:
         tracker = self._trackers[order.instance]
--- a/loomwind/placement/index.py
+++ b/loomwind/placement/index.py
@@ -49,7 +49,7 @@
             self._runs_of[instance] += count
 
     def _add(self, server: ServerTracker, now: float) -> None:
-        room = server.room_reserved_for(now)
+        room = server.memory_reserved_for(now)
         if room is not None:
             self.reserved.add(room)
         report = server.report
--- a/loomwind/placement/models.py
+++ b/loomwind/placement/models.py
@@ -38,7 +38,7 @@
     def use_reserved_room(self) -> None:
         """Load what other models have made way for."""
         for server in self._draft.free_servers():
-            name = server.room_reserved_for(self._given.now)
+            name = server.memory_reserved_for(self._given.now)
             model = server.profile.model(name) if name is not None else None
             if name is None or model is None or server.free_mb() < model.memory_mb:
                 continue
--- a/loomwind/placement/outlook.py
+++ b/loomwind/placement/outlook.py
@@ -45,7 +45,7 @@
         times += [
             server.load_seconds(name) + UNLOAD_SECONDS
             for server in self._given.servers
-            if server.room_reserved_for(self._given.now) == name
+            if server.memory_reserved_for(self._given.now) == name
         ]
         turn_in = self._draft.turn_in(name)
         if turn_in is not None:
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -135,7 +135,7 @@
         """Order a model or an adapter to be loaded."""
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
-        if from_store and server.room_reserved_for(self._given.now) != target.model:
+        if from_store and server.memory_reserved_for(self._given.now) != target.model:
             self._admission.take_place()
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -188,7 +188,7 @@
         """
         if self.report is None and self.operation is None and self.in_flight is None:
             return self._announced_load_may_run(now)
-        reserved = self.room_reserved_for(now)
+        reserved = self.memory_reserved_for(now)
         return self.loads_from_store_now or (
             reserved is not None and self.loads_from_store(reserved)
         )
@@ -251,7 +251,7 @@
         """Reserve the memory freed by an unload for a model."""
         self._reserved_for, self._reserved_at = name, now
 
-    def room_reserved_for(self, now: float) -> str | None:
+    def memory_reserved_for(self, now: float) -> str | None:
         """Return the model for which memory is reserved, or None."""
         if not self._reserved_for or self.holds(ModelKey(self._reserved_for)):
             return None
