--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -25,7 +25,7 @@
 )
 
 UNANSWERED_PAUSE_SECONDS = 0.15
-ROOM_RESERVATION_SECONDS = 1.0
+MEMORY_RESERVATION_SECONDS = 1.0
 UNLOAD_GRACE_SECONDS = 0.1
 LOAD_GRACE_SECONDS = 0.06
 ADAPTER_LOAD_SECONDS = 0.1
@@ -258,7 +258,7 @@
         operation = self.operation
         if operation is not None and operation.kind is OrderKind.UNLOAD:
             return self._reserved_for
-        return self._reserved_for if now - self._reserved_at <= ROOM_RESERVATION_SECONDS else None
+        return self._reserved_for if now - self._reserved_at <= MEMORY_RESERVATION_SECONDS else None
 
     def _announced_load_may_run(self, now: float) -> bool:
         """Whether a load announced by an earlier leader may still be in progress."""
