--- a/loomwind/placement/server_tracker.py
+++ b/loomwind/placement/server_tracker.py
@@ -148,7 +148,7 @@
             return
         done = self.operation or assumed
         if done is not None and done.from_store:
-            self._finished = _finished(done, now, on_time=assumed is not None)
+            self._finished = _finished_load(done, now, on_time=assumed is not None)
         self.operation = None
 
     def record_unreachable(self, target: ModelKey, now: float) -> None:
@@ -419,7 +419,7 @@
     )
 
 
-def _finished(load: Operation, now: float, on_time: bool) -> FinishedLoad:
+def _finished_load(load: Operation, now: float, on_time: bool) -> FinishedLoad:
     """Return the measurement for a weight store load that a report shows to be finished."""
     expected_done = load.began + load.expected_seconds
     done = expected_done if on_time else max(expected_done, now - REPORT_AGE_SECONDS)
