--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -1,4 +1,4 @@
-"""Carries the plan out while this daemon leads: reads servers, gives orders, tells the daemons."""
+"""The leader's control loop: polls servers, executes the plan and informs the daemons."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -30,10 +30,11 @@
 from loomwind.settings import BoundSettings
 
 STEP_SECONDS = 0.1
-# Between two steps in a small fleet; longer in a large one, in which more reports come.
+# Minimum pause between steps in a small fleet; large fleets send more reports and use a longer one.
 MIN_STEP_SECONDS = 0.005
 IDLE_READ_SECONDS = 2.0
 BUSY_READ_SECONDS = 0.1
+# Negative: a server is first read this long after the expected end of its load.
 READ_BEFORE_END_SECONDS = -0.2
 FAILED_READ_RETRY_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.5
@@ -43,7 +44,10 @@
 
 
 class PlacementController:
-    """The leader's work. Every order is given under the lease's fence, checked just before."""
+    """Places models on servers while this daemon leads.
+
+    Every order carries the fencing token of the lease, which is checked just before sending.
+    """
 
     def __init__(
         self,
@@ -79,18 +83,18 @@
         self._leading_since = 0.0
 
     def set_bounds(self, bounds: BoundSettings) -> None:
-        """Hold to other bounds from the next change of leader on; windows that run keep theirs."""
+        """Use new bounds from the next change of leader on; existing rate windows keep theirs."""
         self._bounds = bounds
 
     def _receive_demand(self) -> None:
-        """Take in what daemons have told since the last step."""
+        """Process the demand reports received since the last step."""
         for report in self._exchange.inbox.take():
             self._demand.add_report(report, self._now())
             self._recheck_holders(report)
             self._reported.add(report.sender)
 
     def _recheck_holders(self, report: PoolDemand) -> None:
-        """Read servers soon that should have what a daemon waits for: it may not reach them."""
+        """Mark servers that hold a target a daemon waits for: it may be unable to reach them."""
         for demand in report.demand:
             if not demand.waiting:
                 continue
@@ -99,9 +103,9 @@
                     tracker.record_unreachable(demand.target, self._now())
 
     def _update_leadership(self) -> bool:
-        """Begin or end to lead, and return whether this daemon leads.
+        """Update the leadership state and return whether this daemon leads.
 
-        What an earlier leader knew is read anew.
+        Every change discards the state about servers and demand, so a new leader rebuilds it.
         """
         is_leading = self._election.leads()
         if is_leading == self._leading:
@@ -121,7 +125,7 @@
         return is_leading
 
     async def run(self) -> None:
-        """Work for ever; idle while another daemon leads."""
+        """Run the control loop; it only records demand while another daemon leads."""
         while True:
             try:
                 async with asyncio.timeout(STEP_SECONDS):
@@ -176,13 +180,13 @@
             del self._trackers[instance]
 
     def _inherit_orders(self, tracker: ServerTracker) -> None:
-        """Let a new life of a server count on orders that an earlier one left unanswered."""
+        """Pass the unanswered orders of a server's earlier instances on to its new one."""
         for earlier in self._trackers.values():
             if tracker.entry.name == earlier.entry.name:
                 tracker.unanswered_orders.inherit(earlier.unanswered_orders)
 
     def _complete_due_loads(self) -> None:
-        """Take loads as done whose time is over, and look again when the next one's is."""
+        """Assume that loads are complete once due, and schedule a step for the next one."""
         now = self._now()
         running = self._demand.running_by_instance(now)
         completed = []
@@ -320,14 +324,14 @@
             self._start_order(planned)
 
     def _store_limit(self, service: str, now: float) -> StorePace:
-        """Return the weight store's pace; the first is what the leader before has learned."""
+        """Return the weight store's limit, initially the one that the previous leader learned."""
         if service not in self._store_limits:
             learned = self._residency.store_limits.get(service)
             self._store_limits[service] = StorePace(learned, now * MS_PER_SECOND)
         return self._store_limits[service]
 
     def _send_expectations(self, service: str, expected: tuple[ExpectedTarget, ...]) -> None:
-        """Tell daemons when should be there what their requests wait for."""
+        """Send daemons the expected ready times of the targets their requests wait for."""
         fence = self._election.lease.fence
         if fence is None:
             return
@@ -343,7 +347,7 @@
             self._exchange.tell_expectations(daemon, PoolExpectations(fence, known))
 
     def _may_stage(self, now: float) -> bool:
-        """Whether no request for a model has been heard of since this daemon began to lead."""
+        """Whether models may be loaded ahead of demand: no request was seen since leading began."""
         return (
             now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
         )
@@ -400,7 +404,7 @@
         self._wake.set()
 
     async def finish_orders(self) -> None:
-        """Wait until each order that was sent is answered, or can be waited for no longer."""
+        """Wait until every order that was sent is answered or has timed out."""
         under_way = [task for task in self._tasks if not task.done()]
         if under_way:
             await asyncio.wait(under_way, timeout=ORDER_TIMEOUT_SECONDS)
