--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -409,8 +409,8 @@
         if under_way:
             await asyncio.wait(under_way, timeout=ORDER_TIMEOUT_SECONDS)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
