--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -405,9 +405,9 @@
 
     async def finish_orders(self) -> None:
         """Wait until every order that was sent is answered or has timed out."""
-        under_way = [task for task in self._tasks if not task.done()]
-        if under_way:
-            await asyncio.wait(under_way, timeout=ORDER_TIMEOUT_SECONDS)
+        pending = [task for task in self._tasks if not task.done()]
+        if pending:
+            await asyncio.wait(pending, timeout=ORDER_TIMEOUT_SECONDS)
 
     def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
