--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -170,8 +170,8 @@
                 listed[entry.instance] = entry
                 tracker = self._trackers.get(entry.instance)
                 if tracker is None:
-                    announced = self._residency.announced_load(entry.instance)
-                    tracker = ServerTracker(entry, service.engine, announced)
+                    announced_load = self._residency.announced_load(entry.instance)
+                    tracker = ServerTracker(entry, service.engine, announced_load)
                     self._inherit_orders(tracker)
                     self._trackers[entry.instance] = tracker
                 tracker.entry = entry
