--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -347,7 +347,7 @@
             self._exchange.tell_expectations(daemon, PoolExpectations(fence, known))
 
     def _may_stage(self, now: float) -> bool:
-        """Whether models may be loaded ahead of demand: no request was seen since leading began."""
+        """Whether to load ahead of demand: this daemon has led for a while and seen no request."""
         return (
             now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
         )
