--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -238,16 +238,16 @@
 
     def _update_store_limit(self, tracker: ServerTracker) -> None:
         finished = tracker.pop_finished_load()
-        pace = self._store_limits.get(tracker.entry.service)
-        if finished is None or pace is None:
+        store_limit = self._store_limits.get(tracker.entry.service)
+        if finished is None or store_limit is None:
             return
-        before = pace.limit
-        pace.note(finished, self._now() * MS_PER_SECOND)
-        if pace.limit != before:
+        before = store_limit.limit
+        store_limit.note(finished, self._now() * MS_PER_SECOND)
+        if store_limit.limit != before:
             log_state(
                 "weight-store",
                 "paced",
-                loads_at_once=pace.limit,
+                loads_at_once=store_limit.limit,
                 slowness=round(finished.slowness, 2),
             )
 
@@ -266,7 +266,9 @@
             if tracker.report is not None
         )
         if holdings:
-            paces = tuple(pace.learned(service) for service, pace in self._store_limits.items())
+            paces = tuple(
+                store_limit.learned(service) for service, store_limit in self._store_limits.items()
+            )
             self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
 
     # Orders.
@@ -279,15 +281,15 @@
             recent_loads = self._residency.loads_since(now - seconds)
             window = LoadWindow(loads_per_second, seconds, now, recent_loads)
             self._windows[service] = window
-        pace = self._store_limit(service, now)
+        store_limit = self._store_limit(service, now)
         servers = [
             tracker
             for tracker in self._trackers.values()
             if tracker.entry.service == service and not tracker.failed_reads
         ]
         store_loads = sum(server.uses_store(now) for server in servers)
-        pace.observe(store_loads, now * MS_PER_SECOND)
-        pace.note_under_way(
+        store_limit.observe(store_loads, now * MS_PER_SECOND)
+        store_limit.note_under_way(
             [load for load in map(store_load_in_progress, servers) if load is not None],
             now * MS_PER_SECOND,
         )
@@ -299,13 +301,13 @@
             now,
             window.allows(now),
             self._may_stage(now),
-            max(0, pace.limit - store_loads),
+            max(0, store_limit.limit - store_loads),
         )
         planner = Planner(plan_input)
         orders = planner.plan()
         loading = (server for server in servers if server.loads_from_store_now)
         self._shortages.record_store_use(
-            service, loading, pace.limit, planner.lacking(), now * MS_PER_SECOND
+            service, loading, store_limit.limit, planner.lacking(), now * MS_PER_SECOND
         )
         self._demand.reset_unserved(service, plan_input.index.holders)
         self._send_expectations(service, planner.expectations())
