--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -266,10 +266,10 @@
             if tracker.report is not None
         )
         if holdings:
-            paces = tuple(
+            store_limits = tuple(
                 store_limit.learned(service) for service, store_limit in self._store_limits.items()
             )
-            self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
+            self._exchange.tell_holdings(PoolHoldings(fence, holdings, store_limits))
 
     # Orders.
 
