--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -300,7 +300,7 @@
             self._demand.running(now),
             now,
             window.allows(now),
-            self._may_stage(now),
+            self._staging_allowed(now),
             max(0, store_limit.limit - store_loads),
         )
         planner = Planner(plan_input)
@@ -348,7 +348,7 @@
         for daemon, known in due.items():
             self._exchange.tell_expectations(daemon, PoolExpectations(fence, known))
 
-    def _may_stage(self, now: float) -> bool:
+    def _staging_allowed(self, now: float) -> bool:
         """Whether to load ahead of demand: this daemon has led for a while and seen no request."""
         return (
             now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
