--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -40,7 +40,7 @@
 REPORT_TIMEOUT_SECONDS = 0.5
 ORDER_TIMEOUT_SECONDS = 0.4
 HOLDINGS_INTERVAL_SECONDS = 2.0
-STAGING_DELAY_SECONDS2 = 2.0
+STAGING_DELAY_SECONDS = 2.0
 
 
 class PlacementController:
@@ -351,8 +351,7 @@
     def _staging_allowed(self, now: float) -> bool:
         """Whether to load ahead of demand: this daemon has led for a while and seen no request."""
         return (
-            now - self._leading_since > STAGING_DELAY_SECONDS2
-            and not self._demand.has_seen_requests
+            now - self._leading_since > STAGING_DELAY_SECONDS and not self._demand.has_seen_requests
         )
 
     def _start_order(self, planned: PlannedOrder) -> None:
