--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -1,4 +1,4 @@
-"""Demand over all daemons, as the leader has heard it. Pure; time is passed in."""
+"""The leader's view of demand, aggregated over all daemons. No I/O; time is passed in."""
 
 import math
 from collections import Counter, defaultdict
@@ -12,19 +12,19 @@
 from loomwind.serving.demand import DECAY_PER_SECOND, DemandKey
 from loomwind.serving.views import ModelKey
 
-# How long a report counts once the next one is due: some are lost or late.
+# How long a report stays valid after the next one is due: some are lost or late.
 REPORT_GRACE_SECONDS = 1.75
 MIN_UNSERVED_REQUESTS = 2.0
 
 
 class PendingDemand(Struct, frozen=True):
-    """Requests that wait for a target now.
+    """Requests for a target that wait or are expected to be retried.
 
-    :param urgency_seconds: the smallest objective among them.
-    :param slack_seconds: the most time that one of them has left to its objective.
-    :param returning: requests that were told to come back for it.
-    :param unserved: requests for its model since that was last held by any server.
-    :param since: when it was first waited for, without a break.
+    :param urgency_seconds: the smallest latency objective among them.
+    :param slack_seconds: the longest time left until one of them misses its objective.
+    :param expected_retries: refused requests whose callers were told to retry.
+    :param unserved: requests for the target's model since a server last held it.
+    :param since: when the current uninterrupted wait for the target began.
     """
 
     key: DemandKey
@@ -37,15 +37,15 @@
 
     @property
     def rank(self) -> tuple[float, bool, float, float]:
-        """Order wants: the most urgent first; then those promised, those most often in vain."""
+        """Sort key: most urgent, then expected retries, then most unserved, then oldest first."""
         return (self.urgency_seconds, self.expected_retries == 0, -self.unserved, self.since)
 
 
 @attrs.frozen
 class UnservedModel:
-    """A model that no server has held since it was first asked for.
+    """A model that has been requested while no server held it.
 
-    :ivar requests: requests for it since then.
+    :ivar requests: requests since a server last held it.
     """
 
     key: DemandKey
@@ -53,7 +53,7 @@
 
 
 class RequestRate(Struct):
-    """Recent use of a target: a rate that decays, and the last request."""
+    """Recent use of a target: an exponentially decaying request rate and the last request."""
 
     rate: float = 0.0
     updated: float = 0.0
@@ -61,14 +61,14 @@
     objective_seconds: float = 0.0
 
     def at(self, now: float) -> float:
-        """Return the rate by now, in requests a second."""
+        """Return the rate decayed to a time, in requests per second."""
         return self.rate * math.exp(-DECAY_PER_SECOND * max(0.0, now - self.updated))
 
 
 class DemandView:
-    """What all daemons want.
+    """Aggregates the demand reports of all daemons.
 
-    :ivar any_yet: whether anything was ever asked for.
+    :ivar has_seen_requests: whether any report contained demand.
     """
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
         self._waiting_since: dict[DemandKey, float] = {}
 
     def add_report(self, report: PoolDemand, now: float) -> None:
-        """Take in a daemon's report."""
+        """Process a daemon's report."""
         self._reports[report.sender] = report
         self._received_at[report.sender] = now
         self.has_seen_requests = self.has_seen_requests or bool(report.demand)
@@ -91,15 +91,15 @@
                 demand.arrivals
             )
             for target in {demand.target, ModelKey(demand.target.model)}:
-                rate = self._rates[DemandKey(demand.service, target)]
-                rate.rate = rate.at(now) + demand.arrivals * DECAY_PER_SECOND
-                rate.updated = now
-                rate.last_used = now
+                recent = self._rates[DemandKey(demand.service, target)]
+                recent.rate = recent.at(now) + demand.arrivals * DECAY_PER_SECOND
+                recent.updated = now
+                recent.last_used = now
                 if demand.urgency_seconds:
-                    rate.objective_seconds = demand.urgency_seconds
+                    recent.objective_seconds = demand.urgency_seconds
 
     def _current_reports(self, now: float) -> list[PoolDemand]:
-        """Return the reports that no newer one should have replaced by now."""
+        """Return the reports that are still valid."""
         return [
             report
             for sender, report in self._reports.items()
@@ -108,16 +108,16 @@
         ]
 
     def waiting_by_daemon(self, now: float) -> dict[str, list[DemandKey]]:
-        """Return what requests wait for, by the name of their daemon."""
+        """Return the targets that requests wait for, by daemon name."""
         return {
             report.sender: [DemandKey(d.service, d.target) for d in report.demand if d.waiting]
             for report in self._current_reports(now)
         }
 
     def pending_demand(self, now: float) -> list[PendingDemand]:
-        """Return what is waited for or was promised, in the order in which it is taken on.
+        """Return the targets with waiting requests or expected retries, by priority.
 
-        A model that was asked for more than once in vain is wanted also when nobody waits.
+        Models that were requested more than once while unserved are included even if nobody waits.
         """
         waiting: dict[DemandKey, int] = defaultdict(int)
         expected_retries: dict[DemandKey, int] = defaultdict(int)
@@ -157,10 +157,10 @@
     def callers_by_model(
         self, pending_demand: Iterable[PendingDemand], now: float
     ) -> dict[str, float]:
-        """Return how many callers ask for each wanted model.
+        """Return the number of callers for each model with pending demand.
 
-        These are the ones that wait or were told to come back, as many as come in the time over
-        which a rate is taken, and those that were refused since it was last held.
+        This counts waiting requests, expected retries, the arrivals within the averaging time of
+        the request rate, and the requests for the model since a server last held it.
         """
         callers: dict[str, float] = {}
         for pending in pending_demand:
@@ -172,19 +172,19 @@
         return callers
 
     def unserved_models(self) -> list[UnservedModel]:
-        """Return the models asked for more than once in vain, the most asked for first."""
+        """Return the models requested more than once while unserved, most requested first."""
         found = [
             UnservedModel(key, n) for key, n in self._unserved.items() if n >= MIN_UNSERVED_REQUESTS
         ]
         return sorted(found, key=lambda each: -each.requests)
 
     def reset_unserved(self, service: str, names: Iterable[str]) -> None:
-        """Begin to count anew for models that a server holds."""
+        """Reset the count of unserved requests for models that a server holds."""
         for name in names:
             self._unserved.pop(DemandKey(service, ModelKey(name)), None)
 
     def running(self, now: float) -> dict[tuple[str, ModelKey], int]:
-        """Return the requests that run, by instance and target."""
+        """Return the number of running requests by instance and target."""
         total: dict[tuple[str, ModelKey], int] = defaultdict(int)
         for report in self._current_reports(now):
             for count in report.running:
@@ -192,24 +192,24 @@
         return total
 
     def running_by_instance(self, now: float) -> Counter[str]:
-        """Return the requests that run, by instance."""
+        """Return the number of running requests by instance."""
         total: Counter[str] = Counter()
         for (instance, _), count in self.running(now).items():
             total[instance] += count
         return total
 
     def has_running_requests(self, instance: str, model: str, now: float) -> bool:
-        """Whether requests run at an instance for a model or its adapters, as far as is known."""
+        """Whether requests for a model or its adapters are known to run on an instance."""
         return any(
             known == instance and target.model == model for known, target in self.running(now)
         )
 
     def rate(self, service: str, target: ModelKey, now: float) -> float:
-        """Return the recent rate of requests for a target, a second."""
-        rate = self._rates.get(DemandKey(service, target))
-        return rate.at(now) if rate else 0.0
+        """Return the recent request rate for a target, in requests per second."""
+        recent = self._rates.get(DemandKey(service, target))
+        return recent.at(now) if recent else 0.0
 
     def last_used(self, service: str, target: ModelKey) -> float:
-        """Return when a target was last asked for."""
-        rate = self._rates.get(DemandKey(service, target))
-        return rate.last_used if rate else -1e9
+        """Return when a target was last requested."""
+        recent = self._rates.get(DemandKey(service, target))
+        return recent.last_used if recent else -1e9
