--- a/loomwind/placement/expectation_notices.py
+++ b/loomwind/placement/expectation_notices.py
@@ -1,7 +1,7 @@
-"""Whom the leader tells when the models that requests wait for should be there. Pure.
+"""Decides which daemons get the expected ready times of models their requests wait for. No I/O.
 
-A daemon is answered when it reports, and told without asking when the time has moved: in a large
-fleet its next report, and so its next answer, is seconds away.
+A daemon gets them in reply to its report, and unprompted when a time has changed: in a large fleet
+its next report, and thus the next reply, is seconds away.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -11,17 +11,17 @@
 from loomwind.serving.demand import DemandKey
 from loomwind.serving.expectations import VALID_MS, ExpectedTarget
 
-# A smaller change would not change what a daemon decides for a request.
+# Smaller changes do not affect a daemon's decision for a request.
 MIN_CHANGE_MS = 250.0
-# Before the daemon takes the leader's word for outdated.
+# Below VALID_MS, so that daemons get a new notice before the last one expires.
 REPEAT_INTERVAL_MS = 0.6 * VALID_MS
 
 
 @attrs.frozen
 class _Notice:
-    """What a daemon was told.
+    """The last notice sent to a daemon.
 
-    :ivar ready_at_ms: when each target should be there, a time of the clock.
+    :ivar ready_at_ms: the expected ready time of each target, on the leader's clock.
     """
 
     sent_at_ms: float
@@ -29,7 +29,7 @@
 
 
 class ExpectationNotices:
-    """What each daemon was told last."""
+    """Tracks the last notice sent to each daemon."""
 
     def __init__(self) -> None:
         self._sent: dict[str, _Notice] = {}
@@ -41,9 +41,9 @@
         reported: Collection[str],
         now_ms: float,
     ) -> dict[str, tuple[ExpectedTarget, ...]]:
-        """Return what to tell now, by the daemon's name.
+        """Return the notices to send now, by daemon name.
 
-        :param waiting: what requests wait for, by the daemon's name.
+        :param waiting: the targets that requests wait for, by daemon name.
         :param reported: the daemons that have reported since the last step.
         """
         self._sent = {name: sent for name, sent in self._sent.items() if waiting.get(name)}
@@ -57,7 +57,7 @@
         return notices
 
     def _is_outdated(self, name: str, targets: Sequence[ExpectedTarget], now_ms: float) -> bool:
-        """Whether a daemon was told something else, or nothing lately."""
+        """Whether the last notice has different ready times or is too old."""
         sent = self._sent.get(name)
         if sent is None or now_ms - sent.sent_at_ms >= REPEAT_INTERVAL_MS:
             return True
