--- a/loomwind/placement/report_changes.py
+++ b/loomwind/placement/report_changes.py
@@ -1,4 +1,4 @@
-"""What a server's report becomes by what has happened since. Pure."""
+"""Updates a server's report with events that happened after it was made. No I/O."""
 
 from msgspec.structs import replace
 
@@ -7,7 +7,7 @@
 
 
 def with_loaded(report: ServerReport, target: ModelKey) -> ServerReport:
-    """Return a report after a load of weights: the model is held, and copies were left."""
+    """Return the report after a load of weights: held, with copies in host memory and on disk."""
     held = report.held
     if not holds(held, target):
         held = (*held, HeldModel(target.model))
@@ -17,7 +17,7 @@
 
 
 def with_adapter_order(report: ServerReport, order: Order) -> ServerReport:
-    """Return a report after an order for an adapter was taken."""
+    """Return the report after an order for an adapter was accepted."""
     target = order.target
     if order.kind is OrderKind.LOAD:
         return replace(report, pending_adapters=(*report.pending_adapters, target))
@@ -26,7 +26,7 @@
 
 
 def with_loaded_adapter(report: ServerReport, target: ModelKey) -> ServerReport:
-    """Return a report in which a pending adapter is loaded."""
+    """Return the report after a pending adapter was loaded."""
     pending = tuple(key for key in report.pending_adapters if key != target)
     held = tuple(
         HeldModel(model.name, (*model.adapters, target.adapter))
