--- a/loomwind/placement/shortage_log.py
+++ b/loomwind/placement/shortage_log.py
@@ -1,4 +1,4 @@
-"""What the leader says now and then about demand that it cannot meet."""
+"""Periodic log lines and metrics about demand that the leader cannot meet."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,21 +8,21 @@
 from loomwind.placement.server_tracker import ServerTracker
 
 MAX_MODELS_LOGGED = 8
-# The store's use changes with each load, and a line names all of them.
-STORE_LINE_INTERVAL_MS = 1000.0
+# Limits the rate of lines, since the store's use changes with every load.
+STORE_LOG_INTERVAL_MS = 1000.0
 
 
 class ShortageLog:
-    """Writes lines of bounded number and length, and sets the metrics that go with them."""
+    """Writes log lines of limited rate and length and sets the related metrics."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._store_logged_at_ms = float("-inf")
 
     def record_unserved(self, unserved: Sequence[UnservedModel]) -> None:
-        """Take in which models are asked for while no server holds them, the most asked for first.
+        """Record the models that are requested while no server holds them.
 
-        :param unserved: empty also where this daemon does not lead.
+        :param unserved: the most requested model first; empty if this daemon does not lead.
         """
         self._metrics.models_unserved.set(len(unserved))
         if unserved:
@@ -37,13 +37,13 @@
         queued: Sequence[str],
         now_ms: float,
     ) -> None:
-        """Take in how far the weight store is used while models wait for it.
+        """Log the use of the weight store while models wait for it.
 
         :param loading: the servers that load from it.
-        :param limit: how many loads it serves at once.
-        :param queued: the models that lack a copy, in the order in which they get a place.
+        :param limit: the limit on concurrent loads.
+        :param queued: the models that lack a copy, in the order in which they are loaded.
         """
-        if not queued or now_ms - self._store_logged_at_ms < STORE_LINE_INTERVAL_MS:
+        if not queued or now_ms - self._store_logged_at_ms < STORE_LOG_INTERVAL_MS:
             return
         self._store_logged_at_ms = now_ms
         loads = [f"{server.entry.instance} {server.loading or 'unknown'}" for server in loading]
