--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -11,7 +11,7 @@
 
 from loomwind.serving.views import EngineProfile, ModelKey, Order, OrderKind
 
-# The platform documents that an unanswered order may be executed up to 12 s later.
+# According to the platform's list of faults, unanswered orders may be executed up to 12 s later.
 MAX_ORDER_DELAY_SECONDS = 15.0
 
 
