--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -23,7 +23,7 @@
     """
 
     order: Order
-    sent_at: float
+    unanswered_at: float
 
 
 class UnansweredOrders:
@@ -44,8 +44,8 @@
     def expire(self, now: float) -> None:
         """Drop the orders that are too old to be executed."""
         oldest = now - MAX_ORDER_DELAY_SECONDS
-        self._current = [each for each in self._current if each.sent_at >= oldest]
-        self._inherited = [each for each in self._inherited if each.sent_at >= oldest]
+        self._current = [each for each in self._current if each.unanswered_at >= oldest]
+        self._inherited = [each for each in self._inherited if each.unanswered_at >= oldest]
 
     def _possible_loads(self, revision: int) -> Iterator[ModelKey]:
         """Yield the targets that inherited orders may load at this or a later revision."""
