--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -1,4 +1,4 @@
-"""What callers of this daemon ask for and wait for, by model; and waking those that wait."""
+"""Tracks the demand of this daemon's callers by model, and wakes waiting requests."""
 
 import asyncio
 import math
@@ -18,12 +18,13 @@
     """Demand for a model or an adapter at one daemon.
 
     :param service: the service whose servers can hold it.
-    :param waiting: requests that wait for it now.
-    :param arrivals: requests for it since the report before; to a leader that has not heard of this
-        daemon yet, those of the last while, older ones counted less.
-    :param urgency_seconds: the smallest objective among those that wait; 0 when none does.
-    :param slack_seconds: the most time that one of those that wait has left to its objective.
-    :param returning: requests that were refused and told to come back for it.
+    :param waiting: requests waiting for it now.
+    :param arrivals: requests for it since the previous report; in the first report to a new leader,
+        a decaying count of recent requests.
+    :param urgency_seconds: the smallest latency objective among the requests that wait or are
+        expected to be retried; 0 if there are none.
+    :param slack_seconds: the longest time left until one of these misses its objective.
+    :param expected_retries: refused requests whose callers were told to retry.
     """
 
     service: str
@@ -36,9 +37,9 @@
 
 
 class WaitingRequest(Struct, frozen=True, order=True):
-    """A request that waits.
+    """A request that waits for a target or is expected to be retried.
 
-    :param due: loop time at which its objective is missed.
+    :param due: loop time at which it misses its objective.
     """
 
     due: float
@@ -46,7 +47,7 @@
 
 
 class RunningCount(Struct, frozen=True, array_like=True):
-    """How many requests of one daemon run at a server, by model."""
+    """The number of a daemon's requests for a target that run on a server."""
 
     instance: str
     target: ModelKey
@@ -54,20 +55,20 @@
 
 
 class DemandKey(Struct, frozen=True):
-    """A target on the servers of a service."""
+    """A model or an adapter of a service."""
 
     service: str
     target: ModelKey
 
 
 class DecayingCount(Struct):
-    """A count of arrivals in which older ones count less."""
+    """An exponentially decaying count of arrivals."""
 
     count: float = 0.0
     updated: float = 0.0
 
     def at(self, now: float) -> float:
-        """Return the count by now."""
+        """Return the count decayed to a time."""
         return self.count * math.exp(-DECAY_PER_SECOND * max(0.0, now - self.updated))
 
     def add(self, now: float) -> None:
@@ -77,7 +78,10 @@
 
 
 class DemandTracker:
-    """Counts demand and wakes waiting requests when something has changed."""
+    """Counts demand and wakes waiting requests on changes.
+
+    :ivar new_demand: set when a request begins to wait or is expected to be retried.
+    """
 
     def __init__(self) -> None:
         self._waiting: dict[DemandKey, list[WaitingRequest]] = {}
@@ -89,57 +93,58 @@
         self.new_demand = asyncio.Event()
 
     def record_arrival(self, key: DemandKey, now: float) -> None:
-        """Count a request."""
+        """Count the arrival of a request."""
         self._arrivals[key] += 1
         self._recent.setdefault(key, DecayingCount()).add(now)
 
     def begin_wait(self, key: DemandKey, request: WaitingRequest) -> None:
-        """A request begins to wait."""
+        """Register a waiting request."""
         self._waiting.setdefault(key, []).append(request)
         self.new_demand.set()
 
     def end_wait(self, key: DemandKey, request: WaitingRequest) -> None:
-        """A request waits no longer."""
+        """Remove a waiting request."""
         self._waiting[key].remove(request)
         if not self._waiting[key]:
             del self._waiting[key]
 
     def add_expected_retry(self, key: DemandKey, request: WaitingRequest) -> None:
-        """A request was refused and comes back; it counts until its objective is missed then."""
+        """Register a refused request that will be retried; it counts until its due time."""
         self._expected_retries.setdefault(key, []).append(request)
         self.new_demand.set()
 
-    def _forget_returns(self, now: float) -> None:
-        """Drop returns whose time is over."""
+    def _expire_retries(self, now: float) -> None:
+        """Drop expected retries that are past their due time."""
         for key, requests in list(self._expected_retries.items()):
             self._expected_retries[key] = [request for request in requests if request.due > now]
             if not self._expected_retries[key]:
                 del self._expected_retries[key]
 
     def begin_run(self, instance: str, target: ModelKey) -> None:
-        """A request is sent to a server."""
+        """Count a request that is sent to a server."""
         self._running[(instance, target)] += 1
 
     def end_run(self, instance: str, target: ModelKey) -> None:
-        """A request has left a server."""
+        """Uncount a request that has ended on a server."""
         self._running[(instance, target)] -= 1
         if self._running[(instance, target)] <= 0:
             del self._running[(instance, target)]
 
     @property
     def has_waiting_requests(self) -> bool:
-        """Whether a request waits."""
+        """Whether any request is waiting."""
         return bool(self._waiting)
 
     def take_report(self, now: float, to_new_leader: bool = False) -> tuple[TargetDemand, ...]:
-        """Return the demand, and count arrivals anew.
+        """Return the current demand and reset the arrival counts.
 
-        :param to_new_leader: tell the arrivals of the last while, not those since the last report.
+        :param to_new_leader: report the decaying count of recent arrivals instead of the arrivals
+            since the last report.
         """
         recent = {key: recent.at(now) for key, recent in self._recent.items()}
         self._recent = {key: self._recent[key] for key in recent if recent[key] > MIN_RECENT_COUNT}
         arrivals: Mapping[DemandKey, float] = recent if to_new_leader else self._arrivals
-        self._forget_returns(now)
+        self._expire_retries(now)
         keys = set(self._waiting) | set(self._expected_retries) | set(arrivals)
         ordered = sorted(keys, key=lambda key: (key.service, key.target))
         report = tuple(self._demand_for(key, arrivals.get(key, 0.0), now) for key in ordered)
@@ -161,16 +166,16 @@
         )
 
     def running(self) -> tuple[RunningCount, ...]:
-        """Return the requests that run at servers now."""
+        """Return the number of running requests by server and target."""
         return tuple(RunningCount(i, target, n) for (i, target), n in self._running.items())
 
     def wake(self) -> None:
-        """Let all waiting requests look again."""
+        """Wake all waiting requests."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_for_change(self, timeout: float) -> None:
-        """Wait until something has changed, or for ``timeout`` seconds."""
+        """Wait for a call of :meth:`wake`, at most ``timeout`` seconds."""
         changed = self._changed
         try:
             async with asyncio.timeout(timeout):
