--- a/loomwind/serving/demand.py
+++ b/loomwind/serving/demand.py
@@ -154,14 +154,14 @@
     def _demand_for(self, key: DemandKey, arrivals: float, now: float) -> TargetDemand:
         waiting = self._waiting.get(key, [])
         expected_retries = self._expected_retries.get(key, [])
-        both = waiting + expected_retries
+        requests = waiting + expected_retries
         return TargetDemand(
             key.service,
             key.target,
             len(waiting),
             arrivals,
-            min((request.objective_seconds for request in both), default=0.0),
-            max((request.due - now for request in both), default=0.0),
+            min((request.objective_seconds for request in requests), default=0.0),
+            max((request.due - now for request in requests), default=0.0),
             len(expected_retries),
         )
 
