--- a/loomwind/serving/expectations.py
+++ b/loomwind/serving/expectations.py
@@ -1,4 +1,4 @@
-"""When the leader expects a model or an adapter to be there, as a daemon was told. Pure."""
+"""Expected ready times of models and adapters, as received from the leader. No I/O."""
 
 from collections.abc import Iterable
 
@@ -6,15 +6,15 @@
 
 from loomwind.serving.demand import DemandKey
 
-# The leader repeats its word within this time while requests wait.
+# While requests wait, the leader sends a new estimate within this time.
 VALID_MS = 1500.0
 OVERDUE_READY_IN_MS = 100.0
 
 
 class ExpectedTarget(Struct, frozen=True, array_like=True):
-    """When a target should be there.
+    """The expected ready time of a target.
 
-    :param ready_in_ms: from when this was said.
+    :param ready_in_ms: time until it is ready, counted from when the leader sent it.
     """
 
     key: DemandKey
@@ -26,21 +26,21 @@
     received_at_ms: float
 
     def is_valid(self, now_ms: float) -> bool:
-        """Whether this is to be believed: told lately, or the time it names is not over.
+        """Whether this was received recently or its ready time was at most VALID_MS ago.
 
-        A leader that is gone tells no more, while the load that it ordered goes on.
+        If the leader fails it sends no more updates, but a load that it ordered continues.
         """
         return now_ms - max(self.received_at_ms, self.ready_at_ms) <= VALID_MS
 
 
 class Expectations:
-    """What the leader has said lately."""
+    """The leader's most recent estimates."""
 
     def __init__(self) -> None:
         self._ready_times: dict[DemandKey, _ReadyTime] = {}
 
     def update(self, expected: Iterable[ExpectedTarget], now_ms: float) -> None:
-        """Take in what the leader says."""
+        """Store new estimates and drop expired ones."""
         self._ready_times = {
             key: ready_time
             for key, ready_time in self._ready_times.items()
@@ -50,7 +50,7 @@
             self._ready_times[each.key] = _ReadyTime(now_ms + each.ready_in_ms, now_ms)
 
     def ready_in_ms(self, key: DemandKey, now_ms: float) -> float | None:
-        """Return the time until a target should be there; None when nobody has said."""
+        """Return the time until a target should be ready; None without a valid estimate."""
         ready_time = self._ready_times.get(key)
         if ready_time is None or not ready_time.is_valid(now_ms):
             return None
