--- a/loomwind/serving/residency.py
+++ b/loomwind/serving/residency.py
@@ -1,7 +1,7 @@
-"""Which server holds which model and adapter, from three sources of different age. Pure.
+"""Which servers hold which models and adapters, from three sources of different age. No I/O.
 
-The directory lists it late; the leader reads it from the servers and tells it at once; and a
-server that answers that it does not hold what a request needs is believed for a while.
+The directory lags behind; the leader polls the servers and broadcasts changes at once; and after a
+server answers that it does not hold the target of a request, it is skipped for a short time.
 """
 
 from collections import deque
@@ -20,10 +20,10 @@
 
 
 class RefusalBackoff(Struct, frozen=True):
-    """A server has refused a target.
+    """Backoff after a server has refused a target.
 
-    :param until: when it may be asked again.
-    :param refusals: how often it has refused lately.
+    :param until: loop time from which requests for it may be sent again.
+    :param refusals: the number of recent refusals in a row.
     """
 
     until: float
@@ -33,8 +33,8 @@
 class ServerHolding(Struct, frozen=True, array_like=True):
     """What a server held when the leader read it.
 
-    :param revision: the server's count of orders taken.
-    :param coming: the model that it loads; empty for none.
+    :param revision: the number of orders that the server has accepted.
+    :param loading: the model that it is loading; empty for none.
     """
 
     instance: str
@@ -44,9 +44,9 @@
 
 
 class LearnedConcurrencyLimit(Struct, frozen=True, array_like=True):
-    """How many loads at once the weight store of a service serves, as a leader has learned.
+    """The weight store's limit on concurrent loads for a service, as learned by a leader.
 
-    :param was_slow: whether more than that were seen to be slow.
+    :param was_slow: whether loads were seen to be slow beyond this limit.
     """
 
     service: str
@@ -55,9 +55,9 @@
 
 
 class AnnouncedLoad(Struct, frozen=True):
-    """A load of a model's weights that a leader has told of.
+    """A load of a model's weights that a leader has announced.
 
-    :param since: loop time at which it was first told.
+    :param since: loop time at which it was first announced.
     """
 
     model: str
@@ -65,7 +65,7 @@
 
 
 def holds(held: tuple[HeldModel, ...], target: ModelKey) -> bool:
-    """Whether a list of models has the target."""
+    """Whether the held models include the target."""
     for model in held:
         if model.name == target.model:
             return not target.adapter or target.adapter in model.adapters
@@ -73,9 +73,9 @@
 
 
 class Residency:
-    """Tells where a model can run now.
+    """Tracks which servers can run which targets.
 
-    :ivar store_limits: what a leader has learned of the weight store, by service.
+    :ivar store_limits: the learned limits on concurrent weight store loads, by service.
     """
 
     def __init__(self) -> None:
@@ -87,11 +87,11 @@
         self._backoffs: dict[tuple[str, ModelKey], RefusalBackoff] = {}
 
     def loads_since(self, time: float) -> list[float]:
-        """Return when loads were told of, since a time."""
-        return [seen for seen in self._load_times if seen >= time]
+        """Return the times since a given one at which loads were announced."""
+        return [at for at in self._load_times if at >= time]
 
     def update(self, holding: ServerHolding, now: float) -> None:
-        """Take in what the leader has read."""
+        """Process what the leader has read from a server."""
         known = self._holdings.get(holding.instance)
         if holding.loading and (known is None or known.loading != holding.loading):
             self._load_times.append(now)
@@ -105,35 +105,38 @@
                 del self._backoffs[key]
 
     def record_missing(self, instance: str, target: ModelKey, now: float) -> None:
-        """A server said that it does not hold the target."""
+        """Record that a server answered that it does not hold the target."""
         seconds = MISSING_ADAPTER_BACKOFF_SECONDS if target.adapter else MISSING_BACKOFF_SECONDS
         self._back_off(instance, target, now, seconds)
 
     def record_refusal(self, instance: str, target: ModelKey, now: float) -> None:
-        """A server refused the target unstarted: it is full, or the target is on its way out."""
+        """Record that a server refused a request without running it.
+
+        The server is full or unloads the target.
+        """
         self._back_off(instance, target, now, REFUSED_BACKOFF_SECONDS)
 
     def _back_off(self, instance: str, target: ModelKey, now: float, seconds: float) -> None:
-        """Ask a server no more for a while, longer each time that it refuses again."""
+        """Skip a server for a target; the pause doubles with each repeated refusal."""
         known = self._backoffs.get((instance, target))
         refusals = known.refusals if known and now < known.until + BACKOFF_RESET_SECONDS else 0
         pause = seconds * 2 ** min(refusals, MAX_BACKOFF_DOUBLINGS)
         self._backoffs[(instance, target)] = RefusalBackoff(now + pause, refusals + 1)
 
     def is_loading(self, model: str) -> bool:
-        """Whether a server loads a model, as far as the leader has told."""
+        """Whether a server is loading a model, according to the leader."""
         return any(holding.loading == model for holding in self._holdings.values())
 
     def announced_load(self, instance: str) -> AnnouncedLoad | None:
-        """Return the load that a server carries out, as far as the leader has told."""
+        """Return the load in progress on a server, according to the leader."""
         holding = self._holdings.get(instance)
         return self._loads.get(instance) if holding is not None and holding.loading else None
 
     def held_by(self, entry: ServerEntry, now: float) -> tuple[HeldModel, ...]:
-        """Return what a server holds, by the newest source.
+        """Return what a server holds, according to the most recent source.
 
-        While a leader tells, its word goes first: an entry may stand at a later revision, since
-        adapters that come move that too, and be older all the same.
+        Recent data from the leader takes precedence: a directory entry may be older even if its
+        revision is higher, since loaded adapters increase the revision too.
         """
         holding = self._holdings.get(entry.instance)
         if holding is None:
@@ -142,19 +145,21 @@
         return holding.held if fresh or holding.revision >= entry.revision else entry.held
 
     def can_run(self, entry: ServerEntry, target: ModelKey, now: float) -> bool:
-        """Whether a request for the target may be sent to a server."""
+        """Whether requests for the target may be sent to a server."""
         backoff = self._backoffs.get((entry.instance, target))
         if backoff is not None and now < backoff.until:
             return False
         return holds(self.held_by(entry, now), target)
 
     def retain_only(self, instances: set[str]) -> None:
-        """Drop what is known of servers that are not among those."""
-        self._holdings = {name: held for name, held in self._holdings.items() if name in instances}
+        """Drop the data of all servers but the given ones."""
+        self._holdings = {
+            name: holding for name, holding in self._holdings.items() if name in instances
+        }
         self._holdings_received_at = {
             name: at for name, at in self._holdings_received_at.items() if name in instances
         }
         self._loads = {name: load for name, load in self._loads.items() if name in instances}
         self._backoffs = {
-            key: known for key, known in self._backoffs.items() if key[0] in instances
+            key: backoff for key, backoff in self._backoffs.items() if key[0] in instances
         }
