--- a/loomwind/placement/unanswered_orders.py
+++ b/loomwind/placement/unanswered_orders.py
@@ -19,7 +19,7 @@
 class UnansweredOrder:
     """An order that may still be executed.
 
-    :ivar sent_at: loop time at which it was found to be unanswered.
+    :ivar unanswered_at: loop time at which the wait for its answer ended.
     """
 
     order: Order
