--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -1,4 +1,4 @@
-"""A request's wait for its model: in sight of the leader, and no longer than it helps."""
+"""A request's wait for its model, reported to the leader and ended once it is hopeless."""
 
 from typing import TYPE_CHECKING
 
@@ -23,7 +23,7 @@
 
 
 class ModelWait:
-    """One wait. Use it as a context: the leader hears of the request from its begin to its end."""
+    """One wait, used as a context manager; meanwhile the demand reports include the request."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
         arrived: float,
         deadline: float,
     ) -> None:
-        """Make a wait.
+        """Create a wait.
 
-        :param arrived: loop time at which the request came, or its stream was broken off.
-        :param deadline: loop time at which its time is over.
+        :param arrived: loop time at which the request arrived or its stream was interrupted.
+        :param deadline: loop time at which the request times out.
         """
         self._serving = serving
         self._pool = serving.pool
@@ -67,8 +67,8 @@
     async def wait_for_change(self, may_retry: bool) -> None:
         """Wait until something may have changed.
 
-        :param may_return: whether nothing of the request has run, so that its caller may come back.
-        :raises ModelNotInTime: it cannot be served before its caller leaves.
+        :param may_retry: whether no part of the request has run, so that the caller may retry it.
+        :raises ModelNotInTime: the request is refused, with a time after which to retry.
         """
         now = self._serving.now()
         until = self._next_check(now, may_retry)
@@ -77,9 +77,9 @@
         )
 
     def _next_check(self, now: float, may_retry: bool) -> float:
-        """Return when to look again at the latest.
+        """Return the loop time of the next check.
 
-        :raises ModelNotInTime: it cannot be served before its caller leaves.
+        :raises ModelNotInTime: the request is refused, with a time after which to retry.
         """
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
