--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -3,11 +3,10 @@
 from typing import TYPE_CHECKING
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.logs import log_decision
-from loomwind.serving.demand import DemandKey, WaitingRequest
-from loomwind.serving.errors import ModelNotInTime
-from loomwind.serving.views import CallerRequest, RouteRule
-from loomwind.serving.wait_policy import (
+from loomwind.handler.demand import DemandKey, WaitingRequest
+from loomwind.handler.errors import ModelNotInTime
+from loomwind.handler.views import CallerRequest, RouteRule
+from loomwind.handler.wait_policy import (
     Refuse,
     RetryLater,
     Wait,
@@ -15,9 +14,10 @@
     decide,
     is_first_try,
 )
+from loomwind.logs import log_decision
 
 if TYPE_CHECKING:
-    from loomwind.serving.handler import RequestHandler
+    from loomwind.handler.handler import RequestHandler
 
 RECHECK_INTERVAL_SECONDS = 0.2
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        serving: "RequestHandler",
+        handler: "RequestHandler",
         key: DemandKey,
         route: RouteRule,
         caller: CallerRequest,
@@ -39,8 +39,8 @@
         :param arrived: loop time at which the request arrived or its stream was interrupted.
         :param deadline: loop time at which the request times out.
         """
-        self._serving = serving
-        self._pool = serving.pool
+        self._serving = handler
+        self._pool = handler.pool
         self._key = key
         self._caller = caller
         self._objective = route.objective_seconds
