--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -39,7 +39,7 @@
         :param arrived: loop time at which the request arrived or its stream was interrupted.
         :param deadline: loop time at which the request times out.
         """
-        self._serving = handler
+        self._handler = handler
         self._pool = handler.pool
         self._key = key
         self._caller = caller
@@ -70,7 +70,7 @@
         :param may_retry: whether no part of the request has run, so that the caller may retry it.
         :raises ModelNotInTime: the request is refused, with a time after which to retry.
         """
-        now = self._serving.now()
+        now = self._handler.now()
         until = self._next_check(now, may_retry)
         await self._pool.demand.wait_for_change(
             min(max(0.0, until - now), RECHECK_INTERVAL_SECONDS)
@@ -83,7 +83,7 @@
         """
         now_ms = now * MS_PER_SECOND
         ready_in_ms = self._pool.expectations.ready_in_ms(self._key, now_ms)
-        usual_load_ms = self._serving.usual_load_ms(self._key)
+        usual_load_ms = self._handler.usual_load_ms(self._key)
         decision = decide(self._limits, now_ms, ready_in_ms, usual_load_ms)
         if isinstance(decision, Wait):
             return decision.until_ms / MS_PER_SECOND
