--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -55,14 +55,14 @@
                 route.timeout_seconds * MS_PER_SECOND,
             ),
         )
-        self._waiting = WaitingRequest(arrived + self._objective, self._objective)
+        self._request = WaitingRequest(arrived + self._objective, self._objective)
 
     def __enter__(self) -> "ModelWait":
-        self._pool.demand.begin_wait(self._key, self._waiting)
+        self._pool.demand.begin_wait(self._key, self._request)
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._pool.demand.end_wait(self._key, self._waiting)
+        self._pool.demand.end_wait(self._key, self._request)
 
     async def wait_for_change(self, may_retry: bool) -> None:
         """Wait until something may have changed.
