--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -43,7 +43,7 @@
         self._pool = handler.pool
         self._key = key
         self._caller = caller
-        self._objective = route.objective_seconds
+        self._objective_seconds = route.objective_seconds
         remaining = caller.remaining_seconds
         self._limits = WaitLimits(
             arrived_ms=arrived * MS_PER_SECOND,
@@ -55,7 +55,7 @@
                 route.timeout_seconds * MS_PER_SECOND,
             ),
         )
-        self._request = WaitingRequest(arrived + self._objective, self._objective)
+        self._request = WaitingRequest(arrived + self._objective_seconds, self._objective_seconds)
 
     def __enter__(self) -> "ModelWait":
         self._pool.demand.begin_wait(self._key, self._request)
@@ -91,8 +91,8 @@
             decision = Refuse(decision.after_ms)
         self._log(decision, ready_in_ms)
         if isinstance(decision, RetryLater):
-            retry_due = now + decision.retry_in_ms / MS_PER_SECOND + self._objective
-            retry = WaitingRequest(retry_due, self._objective)
+            retry_due = now + decision.retry_in_ms / MS_PER_SECOND + self._objective_seconds
+            retry = WaitingRequest(retry_due, self._objective_seconds)
             self._pool.demand.add_expected_retry(self._key, retry)
         raise ModelNotInTime(decision.after_ms / MS_PER_SECOND)
 
