--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -89,14 +89,14 @@
             return decision.until_ms / MS_PER_SECOND
         if isinstance(decision, RetryLater) and not may_retry:
             decision = Refuse(decision.after_ms)
-        self._log(decision, ready_in_ms)
+        self._log_refusal(decision, ready_in_ms)
         if isinstance(decision, RetryLater):
             retry_due = now + decision.retry_in_ms / MS_PER_SECOND + self._objective_seconds
             retry = WaitingRequest(retry_due, self._objective_seconds)
             self._pool.demand.add_expected_retry(self._key, retry)
         raise ModelNotInTime(decision.after_ms / MS_PER_SECOND)
 
-    def _log(self, decision: RetryLater | Refuse, ready_in_ms: float | None) -> None:
+    def _log_refusal(self, decision: RetryLater | Refuse, ready_in_ms: float | None) -> None:
         log_decision(
             "come-back" if isinstance(decision, RetryLater) else "hopeless",
             self._caller.request_id,
