--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -71,9 +71,9 @@
         :raises ModelNotInTime: the request is refused, with a time after which to retry.
         """
         now = self._handler.now()
-        until = self._next_check(now, may_retry)
+        next_check = self._next_check(now, may_retry)
         await self._pool.demand.wait_for_change(
-            min(max(0.0, until - now), RECHECK_INTERVAL_SECONDS)
+            min(max(0.0, next_check - now), RECHECK_INTERVAL_SECONDS)
         )
 
     def _next_check(self, now: float, may_retry: bool) -> float:
