--- a/loomwind/serving/model_wait.py
+++ b/loomwind/serving/model_wait.py
@@ -3,10 +3,11 @@
 from typing import TYPE_CHECKING
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.handler.demand import DemandKey, WaitingRequest
-from loomwind.handler.errors import ModelNotInTime
-from loomwind.handler.views import CallerRequest, RouteRule
-from loomwind.handler.wait_policy import (
+from loomwind.logs import log_decision
+from loomwind.serving.demand import DemandKey, WaitingRequest
+from loomwind.serving.errors import ModelNotInTime
+from loomwind.serving.views import CallerRequest, RouteRule
+from loomwind.serving.wait_policy import (
     Refuse,
     RetryLater,
     Wait,
@@ -14,10 +15,9 @@
     decide,
     is_first_try,
 )
-from loomwind.logs import log_decision
 
 if TYPE_CHECKING:
-    from loomwind.handler.handler import RequestHandler
+    from loomwind.serving.handler import RequestHandler
 
 RECHECK_INTERVAL_SECONDS = 0.2
 
