--- a/features/support/made_pool.py
+++ b/features/support/made_pool.py
@@ -1,6 +1,6 @@
 """A pool of model servers, its weight store and its leader, step by step; no process, no clock.
 
-The leader's side is the real planner, trackers, pace and window, wired as the controller wires them.
+The leader's side is the real planner, trackers, pace and window, wired as in the controller.
 """
 
 import random
