--- a/features/steps/large_fleet_demand_steps.py
+++ b/features/steps/large_fleet_demand_steps.py
@@ -34,17 +34,17 @@
     context.demand = DemandView()
     waits = TargetDemand(SERVICE, KEY.target, 1, 1.0, 4.0, 4.0)
     report = PoolDemand(DAEMON, (waits,), (), next_in_ms=context.interval_ms)
-    context.demand.note(report, now)
+    context.demand.add_report(report, now)
 
 
 @then("the leader knows of it at {now:f} s")
 def step_knows(context: Any, now: float) -> None:
-    assert [want.waiting for want in context.demand.wants(now)] == [1]
+    assert [pending.waiting for pending in context.demand.pending_demand(now)] == [1]
 
 
 @then("the leader does not know of it any more at {now:f} s")
 def step_knows_not(context: Any, now: float) -> None:
-    assert context.demand.wants(now) == []
+    assert context.demand.pending_demand(now) == []
 
 
 @given("a daemon was told at {now:f} s that m1 should be there in {ready_in:f} s")
--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -6,9 +6,9 @@
 
 from features.steps.planner_steps import SERVICE, plan, profile, report
 from loomwind.clock import MS_PER_SECOND
-from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import PlanInput
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_concurrency import FinishedLoad, StoreConcurrencyLimit
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ServerEntry, ServerReport, ServerState
@@ -20,8 +20,8 @@
 @given("one and two hold nothing, and daemons were told at {now:f} s that one loads {model}")
 def step_told(context: Any, now: float, model: str) -> None:
     context.residency = Residency()
-    context.residency.tell(ServerHolding("one", 1, (), model), now)
-    context.residency.tell(ServerHolding("two", 0, ()), now)
+    context.residency.update(ServerHolding("one", 1, (), model), now)
+    context.residency.update(ServerHolding("two", 0, ()), now)
 
 
 @when("a new leader reads at {now:f} s that one is busy and two is idle")
@@ -29,9 +29,9 @@
     states = {"one": ServerReport(1, True, ()), "two": report([], set())}
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        heard = context.residency.load_under_way(name)
-        context.ledgers[name] = ServerLedger(entry, profile(100), heard)
-        context.ledgers[name].note_report(state, now)
+        heard = context.residency.announced_load(name)
+        context.trackers[name] = ServerTracker(entry, profile(100), heard)
+        context.trackers[name].record_report(state, now)
 
 
 @then("the plan of the new leader orders nothing")
@@ -48,7 +48,7 @@
 @then("{model:w} is expected at {at:f} s")
 def step_expected(context: Any, model: str, at: float) -> None:
     given_input = PlanInput(
-        SERVICE, list(context.ledgers.values()), context.demand, {}, context.now, True
+        SERVICE, list(context.trackers.values()), context.demand, {}, context.now, True
     )
     planner = Planner(given_input)
     planner.plan()
@@ -70,13 +70,15 @@
             pace.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
-    context.residency.paces[SERVICE] = pace.snapshot(SERVICE)
+    context.residency.store_limits[SERVICE] = pace.snapshot(SERVICE)
     context.now_ms = began_ms
 
 
 @when("another daemon leads")
 def step_other_leads(context: Any) -> None:
-    context.pace = StoreConcurrencyLimit(context.residency.paces.get(SERVICE), context.now_ms)
+    context.pace = StoreConcurrencyLimit(
+        context.residency.store_limits.get(SERVICE), context.now_ms
+    )
 
 
 @then("it has {served:d} loads under way at once, and does not grow for a while")
--- a/loomwind/placement/model_planner.py
+++ b/loomwind/placement/model_planner.py
@@ -4,8 +4,8 @@
 
 from loomwind.placement.adapter_planner import AdapterPlanner
 from loomwind.placement.cost_model import CostModel, LoadOption
-from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import ModelKey
 
 SECOND_COPY_MIN_RATE = 0.25
@@ -38,7 +38,7 @@
     def load_into_reserved_memory(self) -> None:
         """Load models into the memory that evictions have freed for them."""
         for server in self._draft.free_servers():
-            name = server.room_reserved_for(self._inputs.now)
+            name = server.memory_reserved_for(self._inputs.now)
             model = server.profile.model(name) if name is not None else None
             if name is None or model is None or server.free_mb() < model.memory_mb:
                 continue
@@ -71,14 +71,14 @@
         else:
             self._draft.reserve(best.server, name)
 
-    def _candidates(self, name: str, can_wait: bool) -> list[ServerLedger]:
+    def _candidates(self, name: str, can_wait: bool) -> list[ServerTracker]:
         """Return the servers on which a model may be loaded."""
         servers = self._inputs.known_servers()
         if not can_wait:
             return servers
         return [s for s in servers if s.has_copy(name) or not self._adapters.must_stay_free(s)]
 
-    def _load_option(self, server: ServerLedger, name: str) -> LoadOption | None:
+    def _load_option(self, server: ServerTracker, name: str) -> LoadOption | None:
         return self._cost_model.load_option(server, name)
 
     def _cost(self, option: LoadOption) -> float:
@@ -168,7 +168,7 @@
             if all(self._can_evict_for_staging(server, victim) for victim in option.victims):
                 self._order_load(option, name, OrderPurpose.STAGED)
 
-    def _can_evict_for_staging(self, server: ServerLedger, name: str) -> bool:
+    def _can_evict_for_staging(self, server: ServerTracker, name: str) -> bool:
         """Return whether a model may be evicted for staging: cached here and rarely requested."""
         return (
             server.has_copy(name)
--- a/loomwind/placement/plan.py
+++ b/loomwind/placement/plan.py
@@ -7,7 +7,7 @@
 
 from loomwind.placement.demand_view import DemandView
 from loomwind.placement.index import PlacementIndex
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.placement.store_admission import StoreAdmission
 from loomwind.serving.views import ModelKey, ModelProfile, OrderKind
 
@@ -59,7 +59,7 @@
     """
 
     service: str
-    servers: Sequence[ServerLedger]
+    servers: Sequence[ServerTracker]
     demand: DemandView
     running: dict[tuple[str, ModelKey], int]
     now: float
@@ -75,7 +75,7 @@
         """Return the recent rate of requests for a target, per second."""
         return self.demand.rate(self.service, target, self.now)
 
-    def known_servers(self) -> list[ServerLedger]:
+    def known_servers(self) -> list[ServerTracker]:
         """Return the servers that have reported their state."""
         return [server for server in self.servers if server.report is not None]
 
@@ -91,11 +91,11 @@
         """Return a model's position in configuration order, or None if it is not configured."""
         return self.servers[0].profile.positions.get(name) if self.servers else None
 
-    def holders(self, name: str) -> list[ServerLedger]:
+    def holders(self, name: str) -> list[ServerTracker]:
         """Return the servers that hold a model."""
         return self.index.holders[name]
 
-    def held_models(self, server: ServerLedger) -> Iterator[str]:
+    def held_models(self, server: ServerTracker) -> Iterator[str]:
         """Yield the models that a server holds."""
         if server.report is not None:
             yield from (held.name for held in server.report.held)
@@ -135,16 +135,16 @@
         slots = inputs.store_loads_left if inputs.store_load_allowed else 0
         self._admission = StoreAdmission(slots, missing)
 
-    def load(self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose) -> None:
+    def load(self, server: ServerTracker, target: ModelKey, purpose: OrderPurpose) -> None:
         """Add an order to load a model or an adapter."""
         from_store = not target.adapter and server.loads_from_store(target.model)
         instance = server.entry.instance
-        if from_store and server.room_reserved_for(self._inputs.now) != target.model:
+        if from_store and server.memory_reserved_for(self._inputs.now) != target.model:
             self._admission.acquire_slot()
         self._add(PlannedOrder(instance, OrderKind.LOAD, target, purpose, from_store))
 
     def unload(
-        self, server: ServerLedger, target: ModelKey, purpose: OrderPurpose, evicts_for: str = ""
+        self, server: ServerTracker, target: ModelKey, purpose: OrderPurpose, evicts_for: str = ""
     ) -> None:
         """Add an order to unload a model or an adapter."""
         instance = server.entry.instance
@@ -165,7 +165,7 @@
         """Return the models that need a copy, highest priority first."""
         return self._admission.models_needing_copy()
 
-    def can_use_reserved_memory(self, server: ServerLedger, name: str) -> bool:
+    def can_use_reserved_memory(self, server: ServerTracker, name: str) -> bool:
         """Return whether a model may be loaded into the memory reserved for it.
 
         Its store slot was taken by the unload. A model that is loading elsewhere no longer needs
@@ -186,7 +186,7 @@
             self._admission.discard(order.evicts_for)
         self.orders.append(order)
 
-    def reserve(self, server: ServerLedger, name: str) -> None:
+    def reserve(self, server: ServerTracker, name: str) -> None:
         """Reserve the next load of a busy server for a model."""
         instance = server.entry.instance
         seconds = server.load_seconds(name)
@@ -202,17 +202,17 @@
         """Return whether a model is loaded by this plan or has memory reserved for it."""
         return ModelKey(name) in self._ordered_loads or self.has_reserved_memory(name)
 
-    def is_free(self, server: ServerLedger) -> bool:
+    def is_free(self, server: ServerTracker) -> bool:
         """Return whether a server can take an order now."""
         if not server.idle or server.entry.instance in self._assigned:
             return False
-        return server.quiet_until <= self._inputs.now
+        return server.no_orders_until <= self._inputs.now
 
-    def free_servers(self) -> list[ServerLedger]:
+    def free_servers(self) -> list[ServerTracker]:
         """Return the servers that can take an order now."""
         return [server for server in self._inputs.servers if self.is_free(server)]
 
-    def busy_seconds(self, server: ServerLedger) -> float:
+    def busy_seconds(self, server: ServerTracker) -> float:
         """Return the time until a server can start another load."""
         reserved = self._reserved_seconds.get(server.entry.instance, 0.0)
         if self.is_free(server):
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -8,7 +8,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.budget import RetryBudget
-from loomwind.serving.demand import DemandBoard
+from loomwind.serving.demand import DemandTracker
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.expectations import Expectations, ExpectedTarget
@@ -33,7 +33,7 @@
     def __init__(self, bounds: BoundSettings) -> None:
         self.directory = ServerDirectory(bounds.drain_seconds)
         self.residency = Residency()
-        self.demand = DemandBoard()
+        self.demand = DemandTracker()
         self.expectations = Expectations()
         self.probe_needed = asyncio.Event()
         self._connectivity: dict[str, ServerReach] = {}
@@ -136,23 +136,23 @@
         if failure.other_instance:
             self.directory.note_replaced(entry)
         elif failure.missing_target and target is not None:
-            self.residency.note_absent(entry.instance, target, now)
+            self.residency.record_missing(entry.instance, target, now)
         elif failure.unreachable:
             self.health(entry).record_unreachable(now)
         elif not failure.may_have_run and target is not None:
-            self.residency.note_refused(entry.instance, target, now)
+            self.residency.record_refusal(entry.instance, target, now)
         elif failure.at_fault:
             self.health(entry).record_failure(now)
 
     def update_holdings(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Take in what the leader has read, and wake requests that wait."""
         for holding in holdings:
-            self.residency.tell(holding, self.now())
+            self.residency.update(holding, self.now())
         self.demand.wake()
 
     def update_expectations(self, expected: Iterable[ExpectedTarget]) -> None:
         """Take in when the leader expects models to be there, and let those that wait look."""
-        self.expectations.note(expected, self.now() * MS_PER_SECOND)
+        self.expectations.update(expected, self.now() * MS_PER_SECOND)
         self.demand.wake()
 
     def note_broken_connection(self, address: str) -> None:
@@ -170,7 +170,7 @@
     def refresh(self) -> None:
         """Forget servers that are gone, and wake requests that wait."""
         known = {entry.instance for entry in self.directory.entries()}
-        self.residency.forget(known)
+        self.residency.retain_only(known)
         by_service = self._instances_by_service()
         for service, reach in self._connectivity.items():
             reach.list_servers(by_service[service])
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -275,7 +275,7 @@
             return entry
         key = DemandKey(self._service, target)
         if self._sends == 0 and self._waited_seconds == 0.0:
-            self._pool.demand.arrived(key, self._arrived_at)
+            self._pool.demand.record_arrival(key, self._arrived_at)
         if entry is not None:
             return entry
         began = self._handler.now()
@@ -289,7 +289,7 @@
                 while entry is None and not self._peers.are_better():
                     self._raise_if_leaving()
                     self._raise_if_banned()
-                    await wait.look_again(self._has_not_run())
+                    await wait.wait_for_change(self._has_not_run())
                     entry = self._choose_within_budget()
         except ModelUnavailable as error:
             raise self._final_error(str(error), error.ready_in_seconds) from error
