--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps about pure decisions: no process, no clock."""
+"""Steps for components without I/O: no processes, and time is an argument."""
 
 from typing import Any
 
@@ -23,12 +23,12 @@
 
 
 def most_in_window(times: list[float], window: float) -> int:
-    """Return the largest number of times in any window."""
+    """Return the largest number of times that fall into one window."""
     ordered = sorted(times)
     return max((sum(1 for t in ordered if s <= t < s + window) for s in ordered), default=0)
 
 
-@given("{count:d} daemons that share {free:d} free repeats and {ratio:f} a request in {window:d} s")
+@given("{count:d} daemons that share {free:d} retries plus {ratio:f} per request in {window:d} s")
 def step_budget(context: Any, count: int, free: int, ratio: float, window: int) -> None:
     context.bounds = BoundSettings(
         retry_ratio=ratio, retry_allowance=float(free), retry_window_seconds=float(window)
@@ -36,7 +36,7 @@
     context.daemons = count
 
 
-@when("each gets {rate:d} requests a second for {seconds:d} s, repeats all it may, restarts once")
+@when("each gets {rate:d} requests per second for {seconds:d} s, retries if allowed, restarts once")
 def step_spend(context: Any, rate: int, seconds: int) -> None:
     context.repeats = []
     context.requests = []
@@ -56,13 +56,13 @@
 
 
 def fresh_budget(context: Any) -> RetryBudget:
-    """Return the budget of a daemon that has just started and knows its peers."""
+    """Return the retry budget of a daemon that has just started and knows its peers."""
     pool = ServerPool(context.bounds)
     pool.set_daemon_count(context.daemons)
     return pool.retry_budget("service")
 
 
-@then("no {window:d} s saw more repeats than the shared budget")
+@then("no window of {window:d} s has more retries than the shared budget")
 def step_budget_holds(context: Any, window: int) -> None:
     bounds = context.bounds
     for start in range(0, 20):
@@ -72,12 +72,12 @@
         assert repeats <= allowed, (start, repeats, allowed)
 
 
-@given("a weight store that allows {rate:f} loads a second over {window:d} s")
+@given("a weight store that allows {rate:f} loads per second over {window:d} s")
 def step_weight_store(context: Any, rate: float, window: int) -> None:
     context.rate, context.window = rate, float(window)
 
 
-@when("one leader begins all the loads it may, and the next one that was told of them does too")
+@when("a leader starts every load it may, and so does its successor, which knows of these loads")
 def step_two_leaders(context: Any) -> None:
     first = LoadRateLimiter(context.rate, context.window, 0.0)
     context.loads = []
@@ -91,13 +91,13 @@
             context.loads.append(now)
 
 
-@then("no {window:d} s saw more loads than {rate:f} a second times {over:f} and {more:d} more")
+@then("no window of {window:d} s has over {rate:f} loads per second times {over:f} plus {more:d}")
 def step_loads_hold(context: Any, window: int, rate: float, over: float, more: int) -> None:
     assert most_in_window(context.loads, window) <= rate * window * over + more
 
 
 def rule(prefix: str, host: str = "one", parts: tuple[WeightedService, ...] = ()) -> RouteRule:
-    """Return a route."""
+    """Return an idempotent route with one service unless ``parts`` are given."""
     kind = RequestKind.IDEMPOTENT
     return RouteRule(prefix, host, prefix, kind, parts or (WeightedService("s", 1),), 1.0, 0.1)
 
@@ -113,7 +113,7 @@
     context.chosen = [turns.next(context.route) for _ in range(count)]
 
 
-@then("the shares lie within {slack:f} of the weights")
+@then("the shares are within {slack:f} of the weights")
 def step_shares(context: Any, slack: float) -> None:
     share = context.chosen.count("a") / len(context.chosen)
     assert abs(share - 0.9) <= slack, share
@@ -125,7 +125,7 @@
     context.route_table = RouteTable(Configuration(1, routes, (), CallerLimits(1, 1, 1.0, 1.0)))
 
 
-@then("one /a/b/c goes to /a/b/ and one /a/bc goes to /a/ and three /a/ goes nowhere")
+@then("host one routes /a/b/c to /a/b/ and /a/bc to /a/, and host three has no route for /a/")
 def step_match(context: Any) -> None:
     found = context.route_table.match("one:80", "/a/b/c")
     assert found is not None and found.prefix == "/a/b/"
@@ -134,7 +134,7 @@
     assert context.route_table.match("three", "/a/") is None
 
 
-@when("a stream comes in pieces of {size:d} bytes and breaks off")
+@when("a stream arrives in chunks of {size:d} bytes and is interrupted")
 def step_pieces(context: Any, size: int) -> None:
     whole = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
     cut = whole[:-9]
@@ -143,7 +143,7 @@
     context.passed = b"".join(context.cutter.feed(piece) for piece in pieces)
 
 
-@then("only whole events went through, and the last id is known")
+@then("only complete events were relayed, and the last event id is known")
 def step_whole(context: Any) -> None:
     assert context.passed.endswith(b"\n\n") and context.passed.count(b"\n\n") == 4
     assert context.cutter.last_event_id == "4"
@@ -158,7 +158,7 @@
     context.lease.note_row(7, OTHER, 100.0)
 
 
-@then("it is not taken after {early:f} s, and is taken after {late:f} s of a store that answers")
+@then("it is not taken over after {early:f} s, but after {late:f} s if the store is available")
 def step_not_taken(context: Any, early: float, late: float) -> None:
     lease: Lease = context.lease
     assert lease.action(100.0 + early, 60.0) is LeaseAction.WAIT
@@ -166,7 +166,7 @@
     assert lease.action(100.0 + late, 60.0) is LeaseAction.TAKE
 
 
-@then("it is taken at once when the holder is known to have ended")
+@then("it is taken over at once when the holder is known to have ended")
 def step_taken_at_once(context: Any) -> None:
     lease: Lease = context.lease
     lease.note_dead("life-0", 100.0)
@@ -175,7 +175,7 @@
     assert lease.action(100.1, 60.0) is LeaseAction.TAKE
 
 
-@then("its holder stops to act before anyone takes it")
+@then("its holder stops leading before another daemon takes it over")
 def step_holder_stops(context: Any) -> None:
     holder = Lease(OTHER, 3.0, 0.5, 0.3)
     holder.note_no_row(0, 90.0)
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -1,4 +1,7 @@
-"""Steps about requests that servers refuse unstarted: no process; time is passed in or bounded."""
+"""Steps for requests that servers refuse without running them, and for suspect servers.
+
+No processes; time is an argument or bounded.
+"""
 
 import asyncio
 from typing import Any, cast
@@ -40,23 +43,23 @@
 
 
 def lister() -> ServerEntry:
-    """Return a server whose entry lists the model."""
+    """Return the directory entry of a server that lists the model."""
     held = (HeldModel("m1"),)
     return ServerEntry("i-1", SERVICE, "127.0.0.1:9", "zone-a", 8, ServerState.READY, held=held)
 
 
 class RefusingForwarder:
-    """Sends nothing: each server says that it does not hold the model."""
+    """A forwarder whose servers all refuse requests because they lack the model."""
 
     def __init__(self) -> None:
         self.sends = 0
 
     def has_idle_connection(self, entry: ServerEntry) -> bool:
-        """Whether a connection is open."""
+        """Return that an idle connection is open."""
         return True
 
     async def connect(self, entry: ServerEntry) -> ClientConnection:
-        """Return a connection that is never used."""
+        """Return a connection that is not used."""
         return ClientConnection(entry.address)
 
     async def send(
@@ -67,13 +70,13 @@
         now: float,
         last_event_id: str | None,
     ) -> OpenResponse:
-        """Fail as a server does that has not run the request."""
+        """Fail like a server that refuses a request without running it."""
         self.sends += 1
         raise SendFailed("not here", may_have_run=False, missing_target=True, at_fault=False)
 
 
 class NoBeliefs:
-    """Knows no configuration, and has never had a fresh list of servers."""
+    """State of a daemon without a configuration or a server list."""
 
     configuration_version = 0
     configuration = None
@@ -81,27 +84,27 @@
 
 
 class GoodPrompts:
-    """Knows no prompt that crashes servers."""
+    """A prompt guard that bans nothing."""
 
     def banned_for_ms(self, caller: CallerRequest) -> float:
-        """Return that it may be sent."""
+        """Return that the request is not banned."""
         return 0.0
 
 
 class UnstartedExchange:
-    """An exchange whose answer has not begun."""
+    """An exchange whose response has not begun."""
 
     started = False
 
 
-@given("a server that lists m1 and refuses it, and a budget without room")
+@given("a server that lists m1 and refuses it, and an exhausted retry budget")
 def step_refusing(context: Any) -> None:
     context.pool_state = ServerPool(BoundSettings(retry_ratio=0.0, retry_allowance=0.0))
     context.pool_state.directory.put(lister())
     context.forwarder = RefusingForwarder()
 
 
-@when("a request for m1 is taken")
+@when("a request for m1 arrives")
 def step_taken(context: Any) -> None:
     context.waits = asyncio.run(_waits_after_refusal(context.pool_state, context.forwarder))
 
@@ -137,9 +140,9 @@
     return waits
 
 
-@then("the demand for m1 shows a request that waits, after one send")
+@then("the demand for m1 has a waiting request after one send")
 def step_waits(context: Any) -> None:
-    assert context.waits, f"{context.forwarder.sends} sends, and no request waits in the demand"
+    assert context.waits, f"{context.forwarder.sends} sends, and the demand has no waiting request"
 
 
 @given("a server that lists m1")
@@ -147,7 +150,7 @@
     context.residency = Residency()
 
 
-@when("it refuses m1 each time that it is asked, for {seconds:d} s")
+@when("it refuses m1 whenever it is tried, for {seconds:d} s")
 def step_refuses(context: Any, seconds: int) -> None:
     context.asked = 0
     context.now = 0.0
@@ -158,7 +161,7 @@
         context.now += STEP_S
 
 
-@then("it was asked at most {most:d} times, and at once after the leader told of it anew")
+@then("it was tried at most {most:d} times, and at once after the leader reports its models anew")
 def step_asked(context: Any, most: int) -> None:
     assert 3 <= context.asked <= most, context.asked
     residency: Residency = context.residency
@@ -167,14 +170,14 @@
     assert residency.can_run(lister(), TARGET, context.now)
 
 
-@given("a server that has two requests of this daemon since {now:f} s")
+@given("a server with two requests in progress since {now:f} s")
 def step_two_requests(context: Any, now: float) -> None:
     context.health = ServerHealth()
     context.health.record_sent(now)
     context.health.record_sent(now + 0.2)
 
 
-@when("something comes from it at {now:f} s")
+@when("data comes from it at {now:f} s")
 def step_heard(context: Any, now: float) -> None:
     context.health.record_received(now)
 
