--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -37,12 +37,12 @@
 
 SERVICE = "tutor"
 TARGET = ModelKey("m1")
-MOST_TURNS = 2000
-POLL_S = 0.001
-STEP_S = 0.05
+MAX_POLLS = 2000
+POLL_SECONDS = 0.001
+STEP_SECONDS = 0.05
 
 
-def lister() -> ServerEntry:
+def listing_server() -> ServerEntry:
     """Return the directory entry of a server that lists the model."""
     held = (HeldModel("m1"),)
     return ServerEntry("i-1", SERVICE, "127.0.0.1:9", "zone-a", 8, ServerState.READY, held=held)
@@ -75,7 +75,7 @@
         raise SendFailed("not here", may_have_run=False, missing_target=True, at_fault=False)
 
 
-class NoBeliefs:
+class NoReplicatedState:
     """State of a daemon without a configuration or a server list."""
 
     configuration_version = 0
@@ -83,7 +83,7 @@
     list_age_ms = float("inf")
 
 
-class GoodPrompts:
+class NoBannedPrompts:
     """A prompt guard that bans nothing."""
 
     def banned_for_ms(self, caller: CallerRequest) -> float:
@@ -100,25 +100,27 @@
 @given("a server that lists m1 and refuses it, and an exhausted retry budget")
 def step_refusing(context: Any) -> None:
     context.pool_state = ServerPool(BoundSettings(retry_ratio=0.0, retry_allowance=0.0))
-    context.pool_state.directory.put(lister())
+    context.pool_state.directory.put(listing_server())
     context.forwarder = RefusingForwarder()
 
 
 @when("a request for m1 arrives")
-def step_taken(context: Any) -> None:
-    context.waits = asyncio.run(_waits_after_refusal(context.pool_state, context.forwarder))
+def step_request_arrives(context: Any) -> None:
+    context.is_waiting = asyncio.run(
+        _is_waiting_after_refusal(context.pool_state, context.forwarder)
+    )
 
 
-async def _waits_after_refusal(pool: ServerPool, forwarder: RefusingForwarder) -> bool:
+async def _is_waiting_after_refusal(pool: ServerPool, forwarder: RefusingForwarder) -> bool:
     handler = RequestHandler(
         "zone-a",
         pool,
         cast(Forwarder, forwarder),
         PlatformDialect(),
         Metrics(),
-        cast(ReplicatedState, NoBeliefs()),
+        cast(ReplicatedState, NoReplicatedState()),
         cast(PeerRelay, None),
-        cast(PromptGuard, GoodPrompts()),
+        cast(PromptGuard, NoBannedPrompts()),
     )
     parts = (WeightedService(SERVICE, 1.0),)
     route = RouteRule("r", "h", "/", RequestKind.STREAMING, parts, 30.0, 0.6)
@@ -128,21 +130,23 @@
         handler, cast(Exchange, UnstartedExchange()), request, caller, route, SERVICE
     )
     task = asyncio.ensure_future(run.serve())
-    waits = False
-    for _ in range(MOST_TURNS):
-        await asyncio.sleep(POLL_S)
+    is_waiting = False
+    for _ in range(MAX_POLLS):
+        await asyncio.sleep(POLL_SECONDS)
         report = {(d.service, d.target): d.waiting for d in pool.demand.take_report(0.0)}
-        waits = forwarder.sends == 1 and report.get((SERVICE, TARGET), 0) == 1
-        if waits:
+        is_waiting = forwarder.sends == 1 and report.get((SERVICE, TARGET), 0) == 1
+        if is_waiting:
             break
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    return waits
+    return is_waiting
 
 
 @then("the demand for m1 has a waiting request after one send")
 def step_waits(context: Any) -> None:
-    assert context.waits, f"{context.forwarder.sends} sends, and the demand has no waiting request"
+    assert context.is_waiting, (
+        f"{context.forwarder.sends} sends, and the demand has no waiting request"
+    )
 
 
 @given("a server that lists m1")
@@ -152,22 +156,22 @@
 
 @when("it refuses m1 whenever it is tried, for {seconds:d} s")
 def step_refuses(context: Any, seconds: int) -> None:
-    context.asked = 0
+    context.tried = 0
     context.now = 0.0
     while context.now < seconds:
-        if context.residency.can_run(lister(), TARGET, context.now):
-            context.asked += 1
+        if context.residency.can_run(listing_server(), TARGET, context.now):
+            context.tried += 1
             context.residency.record_refusal("i-1", TARGET, context.now)
-        context.now += STEP_S
+        context.now += STEP_SECONDS
 
 
 @then("it was tried at most {most:d} times, and at once after the leader reports its models anew")
-def step_asked(context: Any, most: int) -> None:
-    assert 3 <= context.asked <= most, context.asked
+def step_tried(context: Any, most: int) -> None:
+    assert 3 <= context.tried <= most, context.tried
     residency: Residency = context.residency
-    assert not residency.can_run(lister(), TARGET, context.now)
+    assert not residency.can_run(listing_server(), TARGET, context.now)
     residency.update(ServerHolding("i-1", 4, (HeldModel("m1"),)), context.now)
-    assert residency.can_run(lister(), TARGET, context.now)
+    assert residency.can_run(listing_server(), TARGET, context.now)
 
 
 @given("a server with two requests in progress since {now:f} s")
@@ -178,7 +182,7 @@
 
 
 @when("data comes from it at {now:f} s")
-def step_heard(context: Any, now: float) -> None:
+def step_data_received(context: Any, now: float) -> None:
     context.health.record_received(now)
 
 
