--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -38,24 +38,24 @@
 
 @when("each gets {rate:d} requests per second for {seconds:d} s, retries if allowed, restarts once")
 def step_spend(context: Any, rate: int, seconds: int) -> None:
-    context.repeats = []
+    context.retries = []
     context.requests = []
     for number in range(context.daemons):
         restart = 10.0 + number
-        budget = fresh_budget(context)
+        budget = new_retry_budget(context)
         steps = int(seconds / STEP_SECONDS)
         for step in range(steps):
             now = step * STEP_SECONDS
             if abs(now - restart) < STEP_SECONDS / 2:
-                budget = fresh_budget(context)
+                budget = new_retry_budget(context)
             if step % int(1 / (rate * STEP_SECONDS) or 1) == 0:
                 budget.record_request(now)
                 context.requests.append(now)
             while budget.try_spend(now):
-                context.repeats.append(now)
+                context.retries.append(now)
 
 
-def fresh_budget(context: Any) -> RetryBudget:
+def new_retry_budget(context: Any) -> RetryBudget:
     """Return the retry budget of a daemon that has just started and knows its peers."""
     pool = ServerPool(context.bounds)
     pool.set_daemon_count(context.daemons)
@@ -66,10 +66,10 @@
 def step_budget_holds(context: Any, window: int) -> None:
     bounds = context.bounds
     for start in range(0, 20):
-        repeats = sum(1 for t in context.repeats if start <= t < start + window)
+        retries = sum(1 for t in context.retries if start <= t < start + window)
         requests = sum(1 for t in context.requests if start <= t < start + window)
         allowed = bounds.retry_ratio * requests + bounds.retry_allowance
-        assert repeats <= allowed, (start, repeats, allowed)
+        assert retries <= allowed, (start, retries, allowed)
 
 
 @given("a weight store that allows {rate:f} loads per second over {window:d} s")
@@ -96,7 +96,9 @@
     assert most_in_window(context.loads, window) <= rate * window * over + more
 
 
-def rule(prefix: str, host: str = "one", parts: tuple[WeightedService, ...] = ()) -> RouteRule:
+def make_route(
+    prefix: str, host: str = "one", parts: tuple[WeightedService, ...] = ()
+) -> RouteRule:
     """Return an idempotent route with one service unless ``parts`` are given."""
     kind = RequestKind.IDEMPOTENT
     return RouteRule(prefix, host, prefix, kind, parts or (WeightedService("s", 1),), 1.0, 0.1)
@@ -104,7 +106,7 @@
 
 @given("a route split {one:d} to {other:d}")
 def step_split(context: Any, one: int, other: int) -> None:
-    context.route = rule("/", parts=(WeightedService("a", one), WeightedService("b", other)))
+    context.route = make_route("/", parts=(WeightedService("a", one), WeightedService("b", other)))
 
 
 @when("{count:d} requests are routed")
@@ -121,7 +123,7 @@
 
 @given("routes /a/ and /a/b/ of host one, and /a/ of host two")
 def step_routes(context: Any) -> None:
-    routes = (rule("/a/"), rule("/a/b/"), rule("/a/", "two"))
+    routes = (make_route("/a/"), make_route("/a/b/"), make_route("/a/", "two"))
     context.route_table = RouteTable(Configuration(1, routes, (), CallerLimits(1, 1, 1.0, 1.0)))
 
 
@@ -139,23 +141,23 @@
     whole = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
     cut = whole[:-9]
     context.cutter = EventCutter()
-    pieces = [cut[at : at + size] for at in range(0, len(cut), size)]
-    context.passed = b"".join(context.cutter.feed(piece) for piece in pieces)
+    chunks = [cut[at : at + size] for at in range(0, len(cut), size)]
+    context.relayed = b"".join(context.cutter.feed(piece) for piece in chunks)
 
 
 @then("only complete events were relayed, and the last event id is known")
 def step_whole(context: Any) -> None:
-    assert context.passed.endswith(b"\n\n") and context.passed.count(b"\n\n") == 4
+    assert context.relayed.endswith(b"\n\n") and context.relayed.count(b"\n\n") == 4
     assert context.cutter.last_event_id == "4"
 
 
-OTHER = LeaseHolder("other", "life-1", "a:1")
+OTHER_HOLDER = LeaseHolder("other", "life-1", "a:1")
 
 
 @given("a lease of {seconds:d} s held by another daemon")
 def step_lease(context: Any, seconds: int) -> None:
     context.lease = Lease(LeaseHolder("own", "life-2", "a:2"), float(seconds), 0.5, 0.3)
-    context.lease.note_row(7, OTHER, 100.0)
+    context.lease.note_row(7, OTHER_HOLDER, 100.0)
 
 
 @then("it is not taken over after {early:f} s, but after {late:f} s if the store is available")
@@ -171,13 +173,13 @@
     lease: Lease = context.lease
     lease.note_dead("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
-    lease.note_dead(OTHER.life, 100.0)
+    lease.note_dead(OTHER_HOLDER.life, 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.TAKE
 
 
 @then("its holder stops leading before another daemon takes it over")
 def step_holder_stops(context: Any) -> None:
-    holder = Lease(OTHER, 3.0, 0.5, 0.3)
+    holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
     holder.note_no_row(0, 90.0)
     holder.wrote(7, 100.0)
     assert holder.leads(102.6) and not holder.leads(102.8)
