--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -58,7 +58,7 @@
     ) -> None:
         """Create a forwarder.
 
-        :param connectivity_of: returns the tracker of a service that records the result of each connect.
+        :param connectivity_of: returns the connectivity of a service, which records each connect.
         :param accepts_requests: whether a server may get requests; checked once it is connected.
         """
         self._client = client
