--- a/features/prompt_suspicion.feature
+++ b/features/prompt_suspicion.feature
@@ -1,43 +1,43 @@
-Feature: What crashes of servers say of the parts of prompts
+Feature: Detection of prompt parts that crash servers
 
   Background:
-    Given requests with the parts route and session, and a part of their own
+    Given prompts with the shared parts route and session, and a unique last part
 
-  Scenario: a part under which servers end one after the other is banned, and the part before it is not
-    When servers end at 0, 400 and 900 ms under route and bad
+  Scenario: a part under which servers crash one after the other is banned, but not the part before it
+    When servers crash at 0, 400 and 900 ms under route and bad
     Then bad is banned
     And route is not banned
 
   Scenario: a first part that crashes servers is banned, whatever follows it
-    When a server ends at 0 ms under route and one
-    And a server ends at 400 ms under route and two
-    And a server ends at 900 ms under route and three
+    When a server crashes at 0 ms under route and one
+    And a server crashes at 400 ms under route and two
+    And a server crashes at 900 ms under route and three
     Then route is banned
     And one is not banned
 
-  Scenario: a rack that loses power speaks against no prompt
-    When servers end at 0, 20 and 40 ms under route and session
+  Scenario: simultaneous crashes, as when a rack loses power, ban no part
+    When servers crash at 0, 20 and 40 ms under route and session
     Then route is not banned
     And session is not banned
-    And a request with session may be repeated
+    And a request with session may be retried
 
-  Scenario: a part that was answered whole a short while ago is not suspected
-    When a request with route and session is answered whole at 0 ms
-    And servers end at 100, 500 and 1000 ms under route and session
+  Scenario: a part that was recently answered completely is not suspected
+    When a request with route and session is answered completely at 0 ms
+    And servers crash at 100, 500 and 1000 ms under route and session
     Then route is not banned
     And session is not banned
 
-  Scenario: a suspected part that is answered whole is cleared
-    When servers end at 0, 400 and 900 ms under route and session
-    And a request with route and session is answered whole at 1000 ms
+  Scenario: a suspected part that is answered completely is cleared
+    When servers crash at 0, 400 and 900 ms under route and session
+    And a request with route and session is answered completely at 1000 ms
     Then session is not banned
 
-  Scenario: a request is not repeated once two servers have ended under one of its parts
-    When servers end at 0 and 400 ms under route and bad
+  Scenario: a request is not retried after two crashes under one of its parts
+    When servers crash at 0 and 400 ms under route and bad
     Then bad is not banned
-    And a request with bad may not be repeated
+    And a request with bad may not be retried
 
-  Scenario: after a ban one more crash bans again, for longer
-    When servers end at 0, 400 and 900 ms under route and bad
-    And a server ends at 130000 ms under route and bad
+  Scenario: one more crash after a ban bans the part again, for longer
+    When servers crash at 0, 400 and 900 ms under route and bad
+    And a server crashes at 130000 ms under route and bad
     Then bad is banned until 370000 ms
