--- a/features/prompt_crashes.feature
+++ b/features/prompt_crashes.feature
@@ -1,4 +1,4 @@
-Feature: Prompts with a part that crashes each server that begins to answer on it
+Feature: Prompts with a part that crashes every server that responds to it
 
   Background:
     Given a model server one that holds m1
@@ -9,16 +9,16 @@
     And 3 pool daemons
     And all servers crash on the prompt part bad
 
-  Scenario: few requests with the part reach servers once it has ended five, and sound ones are served
-    When sound requests come to every daemon for 1.0 s
-    And bad and sound requests come to every daemon until servers ended 5 times, and for 3.0 s more
-    And bad and sound requests come to every daemon for 4.0 s
+  Scenario: after five crashes few requests with the part reach servers, and other requests are served
+    When good requests are sent to every daemon for 1.0 s
+    And bad and good requests are sent to every daemon until servers crashed 5 times, and for 3.0 s more
+    And bad and good requests are sent to every daemon for 4.0 s
     Then at most 3 of the last bad requests reached servers
-    And at least 0.5 of the last sound requests were served at the first attempt
+    And at least 0.5 of the last good requests were served at the first attempt
 
-  Scenario: a daemon that starts again knows the part
-    When sound requests come to every daemon for 1.0 s
-    And bad and sound requests come to every daemon until servers ended 5 times, and for 3.0 s more
-    And daemon-1 starts again
-    And bad requests come to daemon-1 for 3.0 s
+  Scenario: a restarted daemon learns about the part from its peers
+    When good requests are sent to every daemon for 1.0 s
+    And bad and good requests are sent to every daemon until servers crashed 5 times, and for 3.0 s more
+    And daemon-1 is killed and restarted
+    And bad requests are sent to daemon-1 for 3.0 s
     Then at most 3 of the last bad requests reached servers
--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests whose prompts crash servers."""
+"""Steps for requests whose prompts crash servers."""
 
 import itertools
 import time
@@ -26,13 +26,13 @@
         server.fault(crash_part=part, back_after_seconds=BACK_AFTER_SECONDS)
 
 
-@when("sound requests come to every daemon for {seconds:f} s")
+@when("good requests are sent to every daemon for {seconds:f} s")
 def step_sound(context: Any, seconds: float) -> None:
     _send(context, pool(context).daemons.values(), ("good",), _for(seconds))
 
 
 @when(
-    "bad and sound requests come to every daemon until servers ended {count:d} times, "
+    "bad and good requests are sent to every daemon until servers crashed {count:d} times, "
     "and for {seconds:f} s more"
 )
 def step_until_crashes(context: Any, count: int, seconds: float) -> None:
@@ -40,19 +40,19 @@
     limit = time.monotonic() + WAIT_TIMEOUT_SECONDS
 
     def goes_on() -> bool:
-        assert time.monotonic() < limit, f"servers ended {_ended(site)} times only"
+        assert time.monotonic() < limit, f"servers crashed only {_ended(site)} times"
         return _ended(site) < count
 
     _send(context, site.daemons.values(), ("bad", "good"), goes_on)
     _send(context, site.daemons.values(), ("bad", "good"), _for(seconds))
 
 
-@when("bad and sound requests come to every daemon for {seconds:f} s")
+@when("bad and good requests are sent to every daemon for {seconds:f} s")
 def step_counted(context: Any, seconds: float) -> None:
     _count(context, pool(context).daemons.values(), ("bad", "good"), seconds)
 
 
-@when("daemon-1 starts again")
+@when("daemon-1 is killed and restarted")
 def step_restart(context: Any) -> None:
     daemon = pool(context).daemons["daemon-1"]
     assert daemon.process is not None
@@ -61,7 +61,7 @@
     pool(context).wait_ready()
 
 
-@when("bad requests come to daemon-1 for {seconds:f} s")
+@when("bad requests are sent to daemon-1 for {seconds:f} s")
 def step_counted_bad(context: Any, seconds: float) -> None:
     _count(context, [pool(context).daemons["daemon-1"]], ("bad",), seconds)
 
@@ -69,7 +69,7 @@
 def _count(
     context: Any, daemons: Iterable[PoolDaemonProcess], parts: tuple[str, ...], seconds: float
 ) -> None:
-    """Send requests whose ends count."""
+    """Send requests, and keep their replies for the checks."""
     pool(context).callers.finish()
     context.counted_from_s = time.time()
     context.counted = _send(context, daemons, parts, _for(seconds))
@@ -90,7 +90,7 @@
     parts: tuple[str, ...],
     goes_on: Callable[[], bool],
 ) -> list[tuple[str, Any]]:
-    """Send a request with each of the parts to each daemon in each round."""
+    """Send a request with each of the parts to each daemon per round, while ``goes_on`` is true."""
     site = pool(context)
     sent = []
     listed = list(daemons)
@@ -118,7 +118,7 @@
     assert len(times) <= count, (len(times), len(replies), _ended(pool(context)))
 
 
-@then("at least {part:f} of the last sound requests were served at the first attempt")
+@then("at least {part:f} of the last good requests were served at the first attempt")
 def step_sound_served(context: Any, part: float) -> None:
     replies: list[Reply] = [future.result() for name, future in context.counted if name == "good"]
     served = [reply for reply in replies if reply.status == 200 and reply.whole]
