--- a/features/silent_server.feature
+++ b/features/silent_server.feature
@@ -1,4 +1,4 @@
-Feature: A sound server that stands still for a second and goes on
+Feature: A healthy server that is suspended for a second
 
   Background:
     Given a model server one that holds m1+m2
@@ -7,12 +7,12 @@
     And a plain server depot
     And 3 pool daemons
 
-  Scenario Outline: every first attempt is served, runs once, and no model is loaded for it, <name>
+  Scenario Outline: first attempts are served, each by one server, and no model is loaded, <name>
     When callers keep every daemon busy for 1.0 s
-    And server <name> stands still for 1.0 s from now on
+    And server <name> is suspended for 1.0 s
     And first attempts come to every daemon for 2.0 s
-    Then every first attempt is served, and ran at one server
-    And no model server got an order to load a model
+    Then every first attempt is served and ran exactly once
+    And no model server was ordered to load a model
 
     Examples: servers
       | name |
--- a/features/steps/silent_server_steps.py
+++ b/features/steps/silent_server_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a server whose process stands still for a while."""
+"""Steps for a server whose process is suspended for a while."""
 
 import signal
 import threading
@@ -10,14 +10,14 @@
 from features.support.caller import Reply
 
 
-@when("server {name:w} stands still for {seconds:f} s from now on")
-def step_stands_still(context: Any, name: str, seconds: float) -> None:
+@when("server {name:w} is suspended for {seconds:f} s")
+def step_suspended(context: Any, name: str, seconds: float) -> None:
     process = pool(context).servers[name].process
     process.signal(signal.SIGSTOP)
     threading.Timer(seconds, process.signal, (signal.SIGCONT,)).start()
 
 
-@then("every first attempt is served, and ran at one server")
+@then("every first attempt is served and ran exactly once")
 def step_all_served(context: Any) -> None:
     replies: list[Reply] = [future.result() for _, future in context.attempts]
     runs: dict[str, int] = {}
@@ -32,9 +32,9 @@
     assert not bad, bad
 
 
-@then("no model server got an order to load a model")
+@then("no model server was ordered to load a model")
 def step_no_loads(context: Any) -> None:
-    """Adapters are loaded ahead of need, whatever servers do."""
+    """Check orders for models only: adapters are always loaded in advance."""
     orders = [
         order
         for server in pool(context).servers.values()
