--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -16,19 +16,19 @@
 FIRST_PART = "route:100"
 ROUND_SECONDS = 0.25
 DEADLINE_SECONDS = 4.0
-BACK_AFTER_SECONDS = 0.8
+RESTART_AFTER_SECONDS = 0.8
 _numbers = itertools.count()
 
 
 @given("all servers crash on the prompt part {part}")
 def step_crash_part(context: Any, part: str) -> None:
     for server in pool(context).servers.values():
-        server.fault(crash_part=part, back_after_seconds=BACK_AFTER_SECONDS)
+        server.fault(crash_part=part, back_after_seconds=RESTART_AFTER_SECONDS)
 
 
 @when("good requests are sent to every daemon for {seconds:f} s")
-def step_sound(context: Any, seconds: float) -> None:
-    _send(context, pool(context).daemons.values(), ("good",), _for(seconds))
+def step_good(context: Any, seconds: float) -> None:
+    _send(context, pool(context).daemons.values(), ("good",), _until_elapsed(seconds))
 
 
 @when(
@@ -39,17 +39,17 @@
     site = pool(context)
     limit = time.monotonic() + WAIT_TIMEOUT_SECONDS
 
-    def goes_on() -> bool:
-        assert time.monotonic() < limit, f"servers crashed only {_ended(site)} times"
-        return _ended(site) < count
+    def keep_sending() -> bool:
+        assert time.monotonic() < limit, f"servers crashed only {_crash_count(site)} times"
+        return _crash_count(site) < count
 
-    _send(context, site.daemons.values(), ("bad", "good"), goes_on)
-    _send(context, site.daemons.values(), ("bad", "good"), _for(seconds))
+    _send(context, site.daemons.values(), ("bad", "good"), keep_sending)
+    _send(context, site.daemons.values(), ("bad", "good"), _until_elapsed(seconds))
 
 
 @when("bad and good requests are sent to every daemon for {seconds:f} s")
 def step_counted(context: Any, seconds: float) -> None:
-    _count(context, pool(context).daemons.values(), ("bad", "good"), seconds)
+    _send_counted(context, pool(context).daemons.values(), ("bad", "good"), seconds)
 
 
 @when("daemon-1 is killed and restarted")
@@ -63,39 +63,39 @@
 
 @when("bad requests are sent to daemon-1 for {seconds:f} s")
 def step_counted_bad(context: Any, seconds: float) -> None:
-    _count(context, [pool(context).daemons["daemon-1"]], ("bad",), seconds)
+    _send_counted(context, [pool(context).daemons["daemon-1"]], ("bad",), seconds)
 
 
-def _count(
-    context: Any, daemons: Iterable[PoolDaemonProcess], parts: tuple[str, ...], seconds: float
+def _send_counted(
+    context: Any, daemons: Iterable[PoolDaemonProcess], part_names: tuple[str, ...], seconds: float
 ) -> None:
     """Send requests, and keep their replies for the checks."""
     pool(context).callers.finish()
     context.counted_from_s = time.time()
-    context.counted = _send(context, daemons, parts, _for(seconds))
+    context.counted = _send(context, daemons, part_names, _until_elapsed(seconds))
 
 
-def _for(seconds: float) -> Callable[[], bool]:
+def _until_elapsed(seconds: float) -> Callable[[], bool]:
     ends = time.monotonic() + seconds
     return lambda: time.monotonic() < ends
 
 
-def _ended(site: PoolSite) -> int:
+def _crash_count(site: PoolSite) -> int:
     return sum(len(server.crash_state()["crash_times_s"]) for server in site.servers.values())
 
 
 def _send(
     context: Any,
     daemons: Iterable[PoolDaemonProcess],
-    parts: tuple[str, ...],
-    goes_on: Callable[[], bool],
+    part_names: tuple[str, ...],
+    keep_sending: Callable[[], bool],
 ) -> list[tuple[str, Any]]:
     """Send a request with each of the parts to each daemon per round, while ``goes_on`` is true."""
     site = pool(context)
     sent = []
     listed = list(daemons)
-    while goes_on():
-        for daemon, part in itertools.product(listed, parts):
+    while keep_sending():
+        for daemon, part in itertools.product(listed, part_names):
             prompt = f"{FIRST_PART},{part}:50,own{next(_numbers)}:10"
             request = site.request(
                 daemon, "drill", MODEL, timeout_seconds=DEADLINE_SECONDS, prompt=prompt
@@ -115,11 +115,11 @@
         for at_s in server.crash_state()["crash_part_times_s"]
         if at_s >= context.counted_from_s
     ]
-    assert len(times) <= count, (len(times), len(replies), _ended(pool(context)))
+    assert len(times) <= count, (len(times), len(replies), _crash_count(pool(context)))
 
 
 @then("at least {part:f} of the last good requests were served at the first attempt")
-def step_sound_served(context: Any, part: float) -> None:
+def step_good_served(context: Any, part: float) -> None:
     replies: list[Reply] = [future.result() for name, future in context.counted if name == "good"]
     served = [reply for reply in replies if reply.status == 200 and reply.whole]
     ends = [(reply.status, reply.body[:60]) for reply in replies if reply not in served]
