--- a/loomwind/serving/ports.py
+++ b/loomwind/serving/ports.py
@@ -1,6 +1,6 @@
-"""What serving and control need of a deployment, as abstract classes.
+"""Abstract interfaces to a deployment, used by serving and placement.
 
-One implementation turns each into what a deployment speaks; decisions never see its names.
+Each is implemented by an adapter to the deployment's protocols; no other code depends on these.
 """
 
 from abc import ABC, abstractmethod
@@ -20,13 +20,13 @@
 
 
 class StoreError(LoomwindError):
-    """Base class of the store's errors."""
+    """Base class for errors of the store."""
 
 
 class StoreUnavailable(StoreError):
-    """The store did not answer, or refused.
+    """The store did not respond, or refused the call.
 
-    :param unknown: whether a write may have taken effect, or may yet do so.
+    :param unknown: whether a write may have taken effect, or may still do so.
     """
 
     def __init__(self, detail: str, unknown: bool = False) -> None:
@@ -35,13 +35,13 @@
 
 
 class HistoryLost(StoreError):
-    """The changes since a version are no longer known: the table has to be read in whole."""
+    """The changes since a version were discarded: the table must be read in full."""
 
 
 class WriteConflict(StoreError):
     """A row was not at the version that the write expected.
 
-    :param rows: the rows as they are.
+    :param rows: the current rows.
     """
 
     def __init__(self, rows: tuple["StoredRow", ...]) -> None:
@@ -50,13 +50,13 @@
 
 
 class MalformedDocument(StoreError):
-    """A document in the store cannot be read as what it should be."""
+    """A document in the store cannot be decoded as the expected type."""
 
 
 class StoredRow(Struct, frozen=True):
     """A row of a table.
 
-    :param version: from the store's one counter, which rises with each write.
+    :param version: the store-wide version, which increases with each write.
     :param deleted: whether the row was removed.
     """
 
@@ -67,17 +67,17 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """Rows as of one version of the store: a whole table, or what changed in it."""
+    """Rows as of one version of the store: a full table, or its changed rows."""
 
     rows: tuple[StoredRow, ...]
     version: int
 
 
 class Write(Struct, frozen=True):
-    """A write of one row, done only while it is at ``expected_version`` (0: not there).
+    """A conditional write of one row.
 
     :param value: the new value; None removes the row.
-    :param expected_version: None writes in any case.
+    :param expected_version: the row's required version, 0 for no row; None writes unconditionally.
     """
 
     key: str
@@ -86,7 +86,7 @@
 
 
 class Store(ABC):
-    """A linearizable store of rows in tables, with a feed of changes."""
+    """A linearizable store of tables of rows, with a change feed."""
 
     configuration_table: str
     configuration_key: str
@@ -94,59 +94,60 @@
 
     @abstractmethod
     def set_address(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store at another address from the next call on."""
+        """Use another address from the next call on."""
 
     @abstractmethod
     async def read(self, table: str) -> Snapshot:
-        """Return a whole table.
+        """Return a full table.
 
-        :raises StoreUnavailable: no answer.
+        :raises StoreUnavailable: the store did not respond.
         """
 
     @abstractmethod
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what changed in a table after a version; waits until something has.
+        """Return the changes of a table after a version; waits until there are any.
 
-        :raises StoreUnavailable: no answer.
-        :raises HistoryLost: read the table in whole.
+        :param wait_seconds: the longest wait, after which the result may be empty.
+        :raises StoreUnavailable: the store did not respond.
+        :raises HistoryLost: the table must be read in full.
         """
 
     @abstractmethod
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
         """Write a row; returns the version of the write.
 
-        :param timeout_seconds: how long to wait for the answer; None for the store's usual time.
-        :raises StoreUnavailable: no answer.
+        :param timeout_seconds: how long to wait for the response; None for the store's default.
+        :raises StoreUnavailable: the store did not respond.
         :raises WriteConflict: the row is at another version.
         """
 
 
 class DocumentParser(ABC):
-    """Reads the documents that a deployment keeps in its store."""
+    """Decodes the documents that a deployment keeps in its store."""
 
     @abstractmethod
     def parse_configuration(self, value: bytes) -> Configuration:
-        """Return a configuration.
+        """Decode a configuration.
 
-        :raises MalformedDocument: it is none.
+        :raises MalformedDocument: the value is not a valid configuration.
         """
 
     @abstractmethod
     def parse_server(self, name: str, value: bytes) -> ServerEntry:
-        """Return a server's entry.
+        """Decode a server's entry.
 
-        :raises MalformedDocument: it is none.
+        :raises MalformedDocument: the value is not a valid entry.
         """
 
 
 class ResponseCheck(Struct, frozen=True):
-    """What the head of a server's answer says.
+    """What the head of a server's response tells about the request.
 
-    :param matches_request: whether it answers the request that was sent.
+    :param matches_request: whether it belongs to the request that was sent.
     :param may_have_run: whether the server may have run the request.
-    :param from_server: whether it carries the server's mark.
-    :param missing_target: the server does not hold what the request needs, or is another life.
-    :param other_instance: another server answers at the address than the one that was meant.
+    :param from_server: whether it carries the server's identification header.
+    :param missing_target: whether the server lacks the requested model, or is another instance.
+    :param other_instance: whether a server other than the intended one responded at the address.
     """
 
     matches_request: bool
@@ -157,11 +158,11 @@
 
 
 class Dialect(ABC):
-    """How requests are marked between callers, daemons and servers."""
+    """The headers that callers, daemons and servers add to requests and responses."""
 
     @abstractmethod
     def read_request(self, request: HttpRequest) -> CallerRequest:
-        """Return what a caller's request says."""
+        """Decode the headers of a caller's request."""
 
     @abstractmethod
     def server_headers(
@@ -172,36 +173,36 @@
         priority: int | None,
         last_event_id: str | None,
     ) -> Headers:
-        """Return the headers of a request as a server gets it, with the caller's host."""
+        """Return the headers of a request to a server, with the caller's host."""
 
     @abstractmethod
     def peer_headers(
         self, request: HttpRequest, remaining_seconds: float, last_event_id: str | None
     ) -> Headers:
-        """Return the headers of a request as a peer gets it that serves it: a caller's own."""
+        """Return the headers of a request relayed to a peer: like those of a caller."""
 
     @abstractmethod
     def check_response(
         self, request_id: str, server_name: str, head: HttpResponse
     ) -> ResponseCheck:
-        """Return what the head of an answer says about the request."""
+        """Check the head of a response against the request."""
 
     @abstractmethod
     def answer_headers(self, head: HttpResponse) -> Headers:
-        """Return the headers of a server's answer as the caller gets them."""
+        """Return the headers of a server's response for the caller."""
 
     @abstractmethod
     def refusal_headers(self, request_id: str, retry_after_seconds: float | None) -> Headers:
-        """Return the headers of a daemon's own answer."""
+        """Return the headers of a refusal by the daemon itself."""
 
 
 class EngineControl(ABC):
-    """Reads and orders model servers."""
+    """Reads the state of model servers and sends them orders."""
 
     @abstractmethod
     async def report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
-        """Return what a server holds; None when it did not answer."""
+        """Return a server's report; None when it did not respond."""
 
     @abstractmethod
     async def order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
-        """Give an order. ``UNKNOWN`` means that it may be carried out, also much later."""
+        """Send an order. ``UNKNOWN`` means that it may be carried out, possibly much later."""
