--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -214,7 +214,7 @@
         return age >= SETTLED_READ_SECONDS
 
     async def _read(self, ledger: ServerLedger) -> None:
-        report = await self._control.report(ledger.entry, REPORT_TIMEOUT_SECONDS)
+        report = await self._control.read_report(ledger.entry, REPORT_TIMEOUT_SECONDS)
         ledger.reading = False
         ledger.doubted = False
         if report is None:
@@ -359,7 +359,7 @@
         self._spawn(self._give(ledger, order, planned))
 
     async def _give(self, ledger: ServerLedger, order: Order, planned: PlannedOrder) -> None:
-        answer = await self._control.order(ledger.entry, order, ORDER_TIMEOUT_SECONDS)
+        answer = await self._control.send_order(ledger.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
         ledger.note_answer(
             order, answer, now, self._demand.runs_at(order.instance, order.target.model, now)
--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -92,8 +92,8 @@
             other_instance=head.header(INSTANCE) not in (None, server_name),
         )
 
-    def answer_headers(self, head: HttpResponse) -> Headers:
-        """Return an answer's headers for the caller; see :meth:`Dialect.answer_headers`."""
+    def response_headers(self, head: HttpResponse) -> Headers:
+        """Return an answer's headers for the caller; see :meth:`Dialect.response_headers`."""
         return end_to_end(head.headers)
 
     def refusal_headers(self, request_id: str, retry_after_seconds: float | None) -> Headers:
--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -55,8 +55,8 @@
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
-    async def report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
-        """Return what a server holds; see :meth:`EngineControl.report`."""
+    async def read_report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
+        """Return what a server holds; see :meth:`EngineControl.read_report`."""
         headers = ((EXPECT_INSTANCE, entry.name),)
         try:
             response = await self._http.request(
@@ -69,8 +69,8 @@
         except (HttpError, msgspec.MsgspecError):
             return None
 
-    async def order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
-        """Give an order; see :meth:`EngineControl.order`."""
+    async def send_order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
+        """Give an order; see :meth:`EngineControl.send_order`."""
         body: dict[str, str | int] = {
             "op": order.kind.value,
             "model": order.target.model,
--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -113,7 +113,7 @@
         except ConnectFailed as error:
             raise StoreUnavailable(str(error)) from error
         except HttpError as error:
-            raise StoreUnavailable(str(error), unknown=writes) from error
+            raise StoreUnavailable(str(error), outcome_unknown=writes) from error
         if response.status == GONE_STATUS:
             raise HistoryLost(f"history is gone: {request.target}")
         if response.status not in (200, CONFLICT_STATUS):
@@ -130,7 +130,7 @@
     try:
         return msgspec.json.decode(response.body, type=RowsAnswer)
     except msgspec.MsgspecError as error:
-        raise StoreUnavailable(f"unreadable answer: {error}", unknown=True) from error
+        raise StoreUnavailable(f"unreadable answer: {error}", outcome_unknown=True) from error
 
 
 def _row(row: WireRow) -> StoredRow:
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -103,7 +103,7 @@
         status = answer.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", ran=True)
-        headers = self._serving.dialect.answer_headers(answer.head)
+        headers = self._serving.dialect.response_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
     def log(self, decision: str, peer: PeerEntry, reason: str) -> None:
--- a/loomwind/serving/ports.py
+++ b/loomwind/serving/ports.py
@@ -26,12 +26,12 @@
 class StoreUnavailable(StoreError):
     """The store did not respond, or refused the call.
 
-    :param unknown: whether a write may have taken effect, or may still do so.
+    :param outcome_unknown: whether a write may have taken effect, or may still do so.
     """
 
-    def __init__(self, detail: str, unknown: bool = False) -> None:
+    def __init__(self, detail: str, outcome_unknown: bool = False) -> None:
         super().__init__(detail)
-        self.unknown = unknown
+        self.outcome_unknown = outcome_unknown
 
 
 class HistoryLost(StoreError):
@@ -188,7 +188,7 @@
         """Check the head of a response against the request."""
 
     @abstractmethod
-    def answer_headers(self, head: HttpResponse) -> Headers:
+    def response_headers(self, head: HttpResponse) -> Headers:
         """Return the headers of a server's response for the caller."""
 
     @abstractmethod
@@ -200,9 +200,9 @@
     """Reads the state of model servers and sends them orders."""
 
     @abstractmethod
-    async def report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
+    async def read_report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
         """Return a server's report; None when it did not respond."""
 
     @abstractmethod
-    async def order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
+    async def send_order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
         """Send an order. ``UNKNOWN`` means that it may be carried out, possibly much later."""
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -395,7 +395,7 @@
                 raise failure
         if self._exchange.started:
             raise SendFailed(f"{entry.instance}: a resumed stream got {status}", ran=True)
-        headers = self._handler.dialect.answer_headers(answer.head)
+        headers = self._handler.dialect.response_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
     # Attempts at a peer, while no server can be reached.
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -64,7 +64,7 @@
         """
         try:
             if not self._exchange.started:
-                headers = self._dialect.answer_headers(answer.head)
+                headers = self._dialect.response_headers(answer.head)
                 await self._exchange.start(answer.head.status, headers)
             stream_gaps = StreamGaps()
             while chunk := await self._next_chunk(entry, answer):
