--- a/features/steps/server_entries_steps.py
+++ b/features/steps/server_entries_steps.py
@@ -70,7 +70,7 @@
 
 @when("another server answers at the address of {name:w}")
 def step_replaced(context: Any, name: str) -> None:
-    context.replicated_state.pool.directory.note_replaced(usable(context)[0])
+    context.replicated_state.pool.directory.record_replaced(usable(context)[0])
 
 
 @when("{name:w} is listed as {text}")
--- a/loomwind/serving/directory.py
+++ b/loomwind/serving/directory.py
@@ -68,7 +68,7 @@
             if record.missing_since is None and record.departing_since_version <= self.version:
                 record.departing_since_version = 0
 
-    def note_departure(self, name: str, instance: str, version: int) -> bool:
+    def record_departure(self, name: str, instance: str, version: int) -> bool:
         """Record a departure reported by a peer; returns whether it was not known before.
 
         :param version: the store version at which the peer knew it; ignored if the list is as new.
@@ -105,7 +105,7 @@
             return False
         return record.entry.state is ServerState.DRAINING or record.departing_since_version > 0
 
-    def note_replaced(self, entry: ServerEntry) -> None:
+    def record_replaced(self, entry: ServerEntry) -> None:
         """Record that another server responds at the address: this instance is gone."""
         record = self._servers.get(entry.name)
         if record is not None and record.entry.instance == entry.instance:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -126,14 +126,14 @@
         for budget in self._budgets.values():
             budget.set_allowance(self._retry_allowance())
 
-    def note_failure(
+    def record_failure(
         self, entry: ServerEntry, target: ModelKey | None, failure: SendFailed, now: float
     ) -> None:
         """Update health and residency after a failed send."""
         if failure.unsent:
             return
         if failure.other_instance:
-            self.directory.note_replaced(entry)
+            self.directory.record_replaced(entry)
         elif failure.missing_target and target is not None:
             self.residency.note_absent(entry.instance, target, now)
         elif failure.unreachable:
@@ -154,7 +154,7 @@
         self.expectations.note(expected, self.now() * MS_PER_SECOND)
         self.demand.wake()
 
-    def note_broken_connection(self, address: str) -> None:
+    def record_broken_connection(self, address: str) -> None:
         """Request a probe after an idle connection broke; ignores addresses of unknown servers."""
         for entry in self.directory.entries():
             if entry.address == address:
--- a/loomwind/serving/reach_probe.py
+++ b/loomwind/serving/reach_probe.py
@@ -52,4 +52,4 @@
         try:
             self._forwarder.release(await self._forwarder.open_connection(entry))
         except SendFailed as failure:
-            self._pool.note_failure(entry, None, failure, self._pool.now())
+            self._pool.record_failure(entry, None, failure, self._pool.now())
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -197,7 +197,7 @@
         for departure in notice.departures:
             if store_unstable and not departure.listed:
                 continue
-            if self.pool.directory.note_departure(
+            if self.pool.directory.record_departure(
                 departure.name, departure.instance, departure.version
             ):
                 origin = UpdateOrigin(UpdateSource.GOSSIP, departure.version, notice.teller)
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -209,7 +209,7 @@
         self._selector.tried.add(entry.instance)
         self._runs += failure.ran
         self._may_have_run |= failure.ran
-        self._pool.note_failure(entry, self._caller.target, failure, self._handler.now())
+        self._pool.record_failure(entry, self._caller.target, failure, self._handler.now())
         self._handler.count_send(entry, "failed" if failure.ran else "refused")
         log_decision(
             "send-failed",
