--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -7,9 +7,9 @@
 
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.demand_view import DemandView
-from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import UNLIMITED_STORE_LOADS, PlanInput, PlannedOrder
 from loomwind.placement.planner import Planner
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.demand import TargetDemand
 from loomwind.serving.views import (
     EngineProfile,
@@ -48,11 +48,11 @@
 
 @given("model servers {first} and {second} of {memory:d} GB")
 def step_servers(context: Any, first: str, second: str, memory: int) -> None:
-    context.ledgers = {}
+    context.trackers = {}
     context.demand = DemandView()
     for name in [*first.split(", "), second]:
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        context.ledgers[name] = ServerLedger(entry, profile(memory))
+        context.trackers[name] = ServerTracker(entry, profile(memory))
 
 
 @given("{first:w} holds {held_first}, {second:w} holds {held_second}")
@@ -69,55 +69,55 @@
 def hold(context: Any, name: str, held: str) -> None:
     """Let a server say what it holds, with a copy of each model on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
-    context.ledgers[name].note_report(report(models, set(models)), 9.0)
+    context.trackers[name].record_report(report(models, set(models)), 9.0)
 
 
 @given("{name:w} has a copy of {model} on its disk and loads {other} until {until:f} s")
 def step_busy(context: Any, name: str, model: str, other: str, until: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    assert ledger.report is not None
-    held = [known.name for known in ledger.report.held]
-    ledger.note_report(report(held, {*held, model}), 9.0)
+    tracker: ServerTracker = context.trackers[name]
+    assert tracker.report is not None
+    held = [known.name for known in tracker.report.held]
+    tracker.record_report(report(held, {*held, model}), 9.0)
     began = until - STORE_LOAD_S
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, other), OrderAnswer.ACCEPTED, began)
 
 
-def _order(ledger: ServerLedger, kind: OrderKind, model: str) -> Order:
-    assert ledger.report is not None
-    revision = ledger.report.revision
-    return Order(kind, ModelKey(model), ledger.entry.instance, "daemon", FENCE, revision)
+def _order(tracker: ServerTracker, kind: OrderKind, model: str) -> Order:
+    assert tracker.report is not None
+    revision = tracker.report.revision
+    return Order(kind, ModelKey(model), tracker.entry.instance, "daemon", FENCE, revision)
 
 
 @when("a request waits for {model} at {now:f} s")
 def step_waits(context: Any, model: str, now: float) -> None:
     context.now = now
     wanted = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
-    context.demand.note(PoolDemand("daemon-1", (wanted,), ()), now)
+    context.demand.add_report(PoolDemand("daemon-1", (wanted,), ()), now)
 
 
 @when("the first order of the plan is accepted at {now:f} s")
 def step_accept(context: Any, now: float) -> None:
     planned = plan(context)[0]
-    ledger: ServerLedger = context.ledgers[planned.instance]
-    order = _order(ledger, planned.kind, planned.target.model)
-    ledger.reserve_room(planned.evicts_for, now)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.trackers[planned.instance]
+    order = _order(tracker, planned.kind, planned.target.model)
+    tracker.reserve_memory(planned.evicts_for, now)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
     context.now, context.given_order = now, planned
 
 
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    ledger: ServerLedger = context.ledgers[context.given_order.instance]
-    assert ledger.report is not None
-    held = [known.name for known in ledger.report.held]
-    ledger.note_report(report(held, set(held), ledger.report.revision), now)
+    tracker: ServerTracker = context.trackers[context.given_order.instance]
+    assert tracker.report is not None
+    held = [known.name for known in tracker.report.held]
+    tracker.record_report(report(held, set(held), tracker.report.revision), now)
     context.now = now
 
 
 def plan(context: Any) -> list[PlannedOrder]:
     """Return the plan of this moment."""
-    servers = list(context.ledgers.values())
+    servers = list(context.trackers.values())
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", UNLIMITED_STORE_LOADS)
     running = getattr(context, "running", {})
@@ -147,41 +147,41 @@
 
 @when("{name:w} begins to load {model} from the weight store at {now:f} s")
 def step_begin_load(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.trackers[name]
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.ACCEPTED, now)
     context.loading = model
 
 
 @when("{name:w} leaves an order to load {model} unanswered at {now:f} s, at revision 0")
 def step_unanswered(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    ledger.note_answer(_order(ledger, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
+    tracker: ServerTracker = context.trackers[name]
+    tracker.record_answer(_order(tracker, OrderKind.LOAD, model), OrderAnswer.UNKNOWN, now)
 
 
 @when("{name:w} starts again and says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_starts_again(context: Any, name: str, now: float, revision: int) -> None:
-    earlier: ServerLedger = context.ledgers[name]
-    context.ledgers[name] = ServerLedger(earlier.entry, earlier.profile)
-    context.ledgers[name].late_orders.inherit(earlier.late_orders)
+    earlier: ServerTracker = context.trackers[name]
+    context.trackers[name] = ServerTracker(earlier.entry, earlier.profile)
+    context.trackers[name].unanswered_orders.inherit(earlier.unanswered_orders)
     step_says_nothing_held(context, name, now, revision)
 
 
 @when("{name:w} says at {now:f} s that it holds nothing, at revision {revision:d}")
 def step_says_nothing_held(context: Any, name: str, now: float, revision: int) -> None:
-    context.ledgers[name].note_report(report([], set(), revision), now)
+    context.trackers[name].record_report(report([], set(), revision), now)
 
 
 @then("{name:w} has room for {count:d} model")
 @then("{name:w} has room for {count:d} models")
 def step_room(context: Any, name: str, count: int) -> None:
-    assert context.ledgers[name].free_mb() // MODEL_MB == count, context.ledgers[name].free_mb()
+    assert context.trackers[name].free_mb() // MODEL_MB == count, context.trackers[name].free_mb()
 
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
     """Let a server's loads settle, and return whether it holds what it was loading."""
-    ledger: ServerLedger = context.ledgers[name]
-    ledger.settle(now, running)
-    return ledger.holds(ModelKey(context.loading))
+    tracker: ServerTracker = context.trackers[name]
+    tracker.complete_due_load(now, running)
+    return tracker.holds(ModelKey(context.loading))
 
 
 @then("{name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
@@ -198,9 +198,9 @@
 
 @when("a report of {name:w} at {now:f} s still shows the load")
 def step_old_report(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    assert ledger.report is not None
-    ledger.note_report(ServerReport(ledger.report.revision, True, (HeldModel("a"),)), now)
+    tracker: ServerTracker = context.trackers[name]
+    assert tracker.report is not None
+    tracker.record_report(ServerReport(tracker.report.revision, True, (HeldModel("a"),)), now)
 
 
 @when(
@@ -208,39 +208,39 @@
     "that still shows the load"
 )
 def step_report_beside_order(context: Any, name: str, model: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    context.sent_order = _order(ledger, OrderKind.UNLOAD, model)
-    ledger.in_flight = context.sent_order
+    tracker: ServerTracker = context.trackers[name]
+    context.sent_order = _order(tracker, OrderKind.UNLOAD, model)
+    tracker.in_flight = context.sent_order
     step_old_report(context, name, now)
 
 
 @when("{name:w} takes that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    ledger.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
+    tracker: ServerTracker = context.trackers[name]
+    tracker.record_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
 
 @then("{name:w} holds c")
 def step_holds_now(context: Any, name: str) -> None:
-    assert context.ledgers[name].holds(ModelKey("c"))
+    assert context.trackers[name].holds(ModelKey("c"))
 
 
 @then("{name:w} does not hold c")
 def step_holds_not(context: Any, name: str) -> None:
-    assert not context.ledgers[name].holds(ModelKey("c"))
+    assert not context.trackers[name].holds(ModelKey("c"))
 
 
 @when("{name:w} is ordered to unload {model} at {now:f} s, and {who} uses it")
 def step_unload_ordered(context: Any, name: str, model: str, now: float, who: str) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    order = _order(ledger, OrderKind.UNLOAD, model)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
+    tracker: ServerTracker = context.trackers[name]
+    order = _order(tracker, OrderKind.UNLOAD, model)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
     """Whether a server can take an order at a time."""
-    ledger: ServerLedger = context.ledgers[name]
-    return ledger.idle and ledger.quiet_until <= now
+    tracker: ServerTracker = context.trackers[name]
+    return tracker.idle and tracker.no_orders_until <= now
 
 
 @then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
@@ -258,40 +258,40 @@
 
 @when("{name:w} is ordered to load the adapter a/x at {now:f} s")
 def step_adapter_ordered(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    assert ledger.report is not None
-    revision = ledger.report.revision
-    order = Order(OrderKind.LOAD, ADAPTER, ledger.entry.instance, "daemon", FENCE, revision)
-    ledger.note_answer(order, OrderAnswer.ACCEPTED, now)
+    tracker: ServerTracker = context.trackers[name]
+    assert tracker.report is not None
+    revision = tracker.report.revision
+    order = Order(OrderKind.LOAD, ADAPTER, tracker.entry.instance, "daemon", FENCE, revision)
+    tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
 
 
 @then("{name:w} does not have a/x at {early:f} s, and has it at {late:f} s")
 def step_adapter_settles(context: Any, name: str, early: float, late: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    assert not ledger.settle_adapters(early) and not ledger.holds(ADAPTER)
-    assert ledger.settle_adapters(late) and ledger.holds(ADAPTER)
+    tracker: ServerTracker = context.trackers[name]
+    assert not tracker.complete_due_adapters(early) and not tracker.holds(ADAPTER)
+    assert tracker.complete_due_adapters(late) and tracker.holds(ADAPTER)
 
 
 @when("a report of {name:w} at {now:f} s still lists a/x as pending")
 def step_adapter_pending(context: Any, name: str, now: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
-    assert ledger.report is not None
+    tracker: ServerTracker = context.trackers[name]
+    assert tracker.report is not None
     held = (HeldModel("a"),)
-    revision = ledger.report.revision
-    ledger.note_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
+    revision = tracker.report.revision
+    tracker.record_report(ServerReport(revision, False, held, pending_adapters=(ADAPTER,)), now)
 
 
 @then("{name:w} has a/x")
 def step_has_adapter(context: Any, name: str) -> None:
-    assert context.ledgers[name].holds(ADAPTER)
+    assert context.trackers[name].holds(ADAPTER)
 
 
 @then("{name:w} does not have a/x")
 def step_has_no_adapter(context: Any, name: str) -> None:
-    assert not context.ledgers[name].holds(ADAPTER)
+    assert not context.trackers[name].holds(ADAPTER)
 
 
-class CountingLedger(ServerLedger):
+class CountingLedger(ServerTracker):
     """A server whose look-ups of what it holds are counted."""
 
     look_ups = 0
@@ -310,12 +310,12 @@
         3 * MODEL_MB, 8, 4.0, tuple(ModelProfile(name, MODEL_MB, *load_s) for name in names)
     )
     context.demand = DemandView()
-    context.ledgers = {}
+    context.trackers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        ledger = CountingLedger(entry, many)
-        ledger.note_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
-        context.ledgers[entry.instance] = ledger
+        tracker = CountingLedger(entry, many)
+        tracker.record_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
+        context.trackers[entry.instance] = tracker
 
 
 @when("requests wait for {count:d} models that no server has, and no load may begin")
@@ -341,35 +341,35 @@
     wanted = [
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
-    context.demand.note(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
+    context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
     CountingLedger.look_ups = 0
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
 def step_look_ups(context: Any, most: int) -> None:
-    assert CountingLedger.look_ups <= most * len(context.ledgers), CountingLedger.look_ups
+    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
-    ledger: ServerLedger = context.ledgers[name]
+    tracker: ServerTracker = context.trackers[name]
     context.beliefs_while_loading = []
     now = 14.3
     while now < last:
         now += step
-        ledger.note_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
-        ledger.settle(now, 0)
-        state = (now, ledger.holds(ModelKey("c")), ledger.coming)
+        tracker.record_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
+        tracker.complete_due_load(now, 0)
+        state = (now, tracker.holds(ModelKey("c")), tracker.loading)
         context.beliefs_while_loading.append(state)
-    ledger.note_report(report(["a", "c"], {"a", "c"}, 1), end)
-    context.finished = ledger.take_finished()
+    tracker.record_report(report(["a", "c"], {"a", "c"}, 1), end)
+    context.finished = tracker.pop_finished_load()
 
 
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
 def step_not_held(context: Any, name: str, first: float, last: float) -> None:
     states = [state for state in context.beliefs_while_loading if first <= state[0] <= last]
-    assert states and all(not held and coming == "c" for _, held, coming in states), states
-    assert context.ledgers[name].holds(ModelKey("c"))
+    assert states and all(not held and loading == "c" for _, held, loading in states), states
+    assert context.trackers[name].holds(ModelKey("c"))
 
 
 @then("the load was seen to take {times:f} times as long")
@@ -379,12 +379,12 @@
 
 @then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
 def step_still_in_vain(context: Any, model: str, count: int) -> None:
-    servers, demand = list(context.ledgers.values()), context.demand
+    servers, demand = list(context.trackers.values()), context.demand
     given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
     planner = Planner(given)
     planner.plan()
     planner.expectations()
-    demand.note_available(SERVICE, given.index.holders)
-    assert [(each.key.target.model, each.requests) for each in demand.asked_in_vain()] == [
+    demand.reset_unserved(SERVICE, given.index.holders)
+    assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -154,7 +154,7 @@
     while context.now < seconds:
         if context.residency.can_run(lister(), TARGET, context.now):
             context.asked += 1
-            context.residency.note_refused("i-1", TARGET, context.now)
+            context.residency.record_refusal("i-1", TARGET, context.now)
         context.now += STEP_S
 
 
@@ -163,7 +163,7 @@
     assert 3 <= context.asked <= most, context.asked
     residency: Residency = context.residency
     assert not residency.can_run(lister(), TARGET, context.now)
-    residency.tell(ServerHolding("i-1", 4, (HeldModel("m1"),)), context.now)
+    residency.update(ServerHolding("i-1", 4, (HeldModel("m1"),)), context.now)
     assert residency.can_run(lister(), TARGET, context.now)
 
 
--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 
 from loomwind.placement.cost_model import CostModel
-from loomwind.placement.demand_view import Want
-from loomwind.placement.ledger import ServerLedger
+from loomwind.placement.demand_view import PendingDemand
 from loomwind.placement.plan import DraftPlan, OrderPurpose, PlanInput
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import ModelKey, ModelProfile
 
 PREFETCH_MIN_RATE = 0.2
@@ -20,7 +20,11 @@
     """Adds orders for adapters to a plan."""
 
     def __init__(
-        self, inputs: PlanInput, wants: Sequence[Want], draft: DraftPlan, cost_model: CostModel
+        self,
+        inputs: PlanInput,
+        wants: Sequence[PendingDemand],
+        draft: DraftPlan,
+        cost_model: CostModel,
     ) -> None:
         self._inputs = inputs
         self._wants = wants
@@ -31,7 +35,7 @@
 
     def plan_load(self, target: ModelKey) -> None:
         """Plan the load of an adapter on a free server that holds its model."""
-        best: tuple[float, ServerLedger] | None = None
+        best: tuple[float, ServerTracker] | None = None
         for server in self._draft.free_servers():
             if not server.holds(ModelKey(target.model)):
                 continue
@@ -41,7 +45,7 @@
         if best is not None:
             self._order_load(best[1], target)
 
-    def _order_load(self, server: ServerLedger, target: ModelKey) -> None:
+    def _order_load(self, server: ServerTracker, target: ModelKey) -> None:
         if self._has_capacity(server, target.model):
             self._draft.load(server, target, OrderPurpose.WANTED)
             return
@@ -49,13 +53,13 @@
         if victim is not None:
             self._draft.unload(server, victim, OrderPurpose.WANTED)
 
-    def _has_capacity(self, server: ServerLedger, name: str) -> bool:
+    def _has_capacity(self, server: ServerTracker, name: str) -> bool:
         model = server.profile.model(name)
         if model is None:
             return False
         return server.free_adapter_slots() > 0 and server.free_mb() >= model.adapter_mb
 
-    def _cost(self, server: ServerLedger, target: ModelKey) -> float | None:
+    def _cost(self, server: ServerTracker, target: ModelKey) -> float | None:
         """Return the cost of loading an adapter on a server, or None if it cannot be loaded."""
         if server.profile.model(target.model) is None:
             return None
@@ -64,7 +68,7 @@
         victim = self._victim(server)
         return None if victim is None else 1.0 + EVICTION_COST_PER_RATE * self._inputs.rate(victim)
 
-    def _victim(self, server: ServerLedger) -> ModelKey | None:
+    def _victim(self, server: ServerTracker) -> ModelKey | None:
         """Return the least recently used adapter without running or waiting requests."""
         inputs = self._inputs
         pending = {want.key.target for want in self._wants}
@@ -94,7 +98,7 @@
         for server in self._draft.free_servers():
             self.prefetch(server)
 
-    def prefetch(self, server: ServerLedger) -> bool:
+    def prefetch(self, server: ServerTracker) -> bool:
         """Order the prefetch of one adapter. Return whether there was one to prefetch."""
         has_free_slot = server.free_adapter_slots() > 0
         if not has_free_slot or server.pending_adapters() >= MAX_PENDING_PREFETCHES:
@@ -104,7 +108,7 @@
             self._draft.load(server, target, OrderPurpose.AHEAD)
         return target is not None
 
-    def _next_prefetch(self, server: ServerLedger) -> ModelKey | None:
+    def _next_prefetch(self, server: ServerTracker) -> ModelKey | None:
         """Return the most requested adapter that no server has, of the models held here."""
         best: tuple[float, ModelKey] | None = None
         for name in self._inputs.held_models(server):
@@ -136,7 +140,7 @@
 
     # Adapter loads that a load of weights would delay.
 
-    def must_stay_free(self, server: ServerLedger) -> bool:
+    def must_stay_free(self, server: ServerTracker) -> bool:
         """Return whether a load here would delay adapters while enough other servers would not."""
         if self.missing_adapter_rate(server) < MAX_MISSING_ADAPTER_RATE:
             return False
@@ -146,7 +150,7 @@
         ]
         return len(fit) >= MIN_ALTERNATIVE_SERVERS
 
-    def missing_adapter_rate(self, server: ServerLedger) -> float:
+    def missing_adapter_rate(self, server: ServerTracker) -> float:
         """Return the rate of requests for missing adapters that this server would have to load.
 
         A server that loads weights refuses adapter orders until it is done.
@@ -156,7 +160,7 @@
             self._missing_adapter_rates[instance] = self._compute_missing_adapter_rate(server)
         return self._missing_adapter_rates[instance]
 
-    def _compute_missing_adapter_rate(self, server: ServerLedger) -> float:
+    def _compute_missing_adapter_rate(self, server: ServerTracker) -> float:
         missing_adapter_rate = 0.0
         for name in self._inputs.held_models(server):
             model = server.profile.model(name)
--- a/loomwind/placement/readiness.py
+++ b/loomwind/placement/readiness.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.plan import DraftPlan, PlanInput, PlannedOrder
+from loomwind.placement.server_tracker import ServerTracker
 from loomwind.serving.views import ModelKey, OrderKind
 
 # Until a server accepts an order, and until the daemons learn that it is done.
@@ -47,7 +47,7 @@
         times += [
             server.load_seconds(name) + UNLOAD_SECONDS
             for server in self._inputs.servers
-            if server.room_reserved_for(self._inputs.now) == name
+            if server.memory_reserved_for(self._inputs.now) == name
         ]
         reserved_ready_in = self._draft.reserved_load_ready_in(name)
         if reserved_ready_in is not None:
@@ -65,7 +65,7 @@
         unload_seconds = UNLOAD_SECONDS if server.free_mb() <= 0 else 0.0
         return server.load_seconds(name) + unload_seconds + ORDER_LATENCY_SECONDS
 
-    def _remaining_load_seconds(self, server: ServerLedger) -> float:
+    def _remaining_load_seconds(self, server: ServerTracker) -> float:
         operation = server.operation
         if operation is None or operation.kind is not OrderKind.LOAD:
             order = server.in_flight
--- a/loomwind/placement/store_concurrency.py
+++ b/loomwind/placement/store_concurrency.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from loomwind.serving.residency import LearnedPace
+from loomwind.serving.residency import LearnedConcurrencyLimit
 
 INITIAL_LIMIT = 4
 SLOW_LOAD_FACTOR = 1.15
@@ -85,7 +85,7 @@
 class StoreConcurrencyLimit:
     """Limit on concurrent loads that adapts to the slowdown of loads."""
 
-    def __init__(self, learned: LearnedPace | None = None, now_ms: float = 0.0) -> None:
+    def __init__(self, learned: LearnedConcurrencyLimit | None = None, now_ms: float = 0.0) -> None:
         """Initialize the limit.
 
         :param learned: the state that the previous leader learned, if any.
@@ -103,9 +103,9 @@
         """Return the maximum number of concurrent loads."""
         return max(1, round(self._limit))
 
-    def snapshot(self, service: str) -> LearnedPace:
+    def snapshot(self, service: str) -> LearnedConcurrencyLimit:
         """Return the state from which the next leader starts."""
-        return LearnedPace(service, self.limit, self._last_slow_ms is not None)
+        return LearnedConcurrencyLimit(service, self.limit, self._last_slow_ms is not None)
 
     def observe(self, in_progress: int, now_ms: float) -> None:
         """Record the number of loads in progress from now on."""
