--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -130,18 +130,18 @@
         self, entry: ServerEntry, target: ModelKey | None, failure: SendFailed, now: float
     ) -> None:
         """Update health and residency after a failed send."""
-        if failure.unsent:
+        if failure.not_sent:
             return
         if failure.other_instance:
             self.directory.record_replaced(entry)
         elif failure.missing_target and target is not None:
             self.residency.record_missing(entry.instance, target, now)
         elif failure.unreachable:
-            self.health(entry).note_unreachable(now)
-        elif not failure.ran and target is not None:
+            self.health(entry).record_unreachable(now)
+        elif not failure.may_have_run and target is not None:
             self.residency.record_refusal(entry.instance, target, now)
         elif failure.at_fault:
-            self.health(entry).note_failure(now)
+            self.health(entry).record_failure(now)
 
     def update_holdings(self, holdings: tuple[ServerHolding, ...]) -> None:
         """Apply holdings that the leader has read, and wake waiting requests."""
@@ -163,7 +163,7 @@
     def _reset_unreachable_servers(self, service: str) -> None:
         """Mark all servers of a service as reachable: the fault was on this daemon's side."""
         for entry in self.directory.usable(service, self.now()):
-            self.health(entry).note_reachable()
+            self.health(entry).record_reachable()
         self.demand.wake()
 
     def refresh(self) -> None:
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -93,7 +93,7 @@
             handler.dialect,
             handler.metrics,
             self._inactivity_timeout,
-            self._note_first_event,
+            self._record_first_event,
         )
         self._peers = PeerAttempts(
             handler,
@@ -114,7 +114,7 @@
         :raises StreamTruncated: its stream has begun and cannot be completed.
         """
         if self._relayed is None:
-            self._pool.retry_budget(self._service).note_request(self._arrived_at)
+            self._pool.retry_budget(self._service).record_request(self._arrived_at)
         timeout = asyncio.timeout_at(self._request.deadline - DEADLINE_MARGIN_SECONDS)
         self._handler.timeouts.add(timeout)
         try:
@@ -185,10 +185,10 @@
                 await self._try_server(entry)
                 return
             except SendFailed as failure:
-                self._note_failure(entry, failure)
+                self._record_failure(entry, failure)
                 if not self._may_retry(failure):
                     raise self._final_error(str(failure)) from failure
-                if not failure.ran:
+                if not failure.may_have_run:
                     await asyncio.sleep(REFUSAL_RETRY_DELAY_SECONDS)
 
     def _raise_if_banned(self) -> None:
@@ -202,22 +202,22 @@
             reason = "a part of the prompt has ended several servers"
             raise self._final_error(reason, banned_ms / MS_PER_SECOND)
 
-    def _note_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
+    def _record_failure(self, entry: ServerEntry, failure: SendFailed) -> None:
         self._outcome_pending = False
         if failure.broken and self._stream.events - self._events_before_send < EARLY_CRASH_EVENTS:
-            self._handler.prompts.note_crash(self._caller, entry.instance)
+            self._handler.prompts.record_crash(self._caller, entry.instance)
         self._selector.tried.add(entry.instance)
-        self._runs += failure.ran
-        self._may_have_run |= failure.ran
+        self._runs += failure.may_have_run
+        self._may_have_run |= failure.may_have_run
         self._pool.record_failure(entry, self._caller.target, failure, self._handler.now())
-        self._handler.count_send(entry, "failed" if failure.ran else "refused")
+        self._handler.count_send(entry, "failed" if failure.may_have_run else "refused")
         log_decision(
             "send-failed",
             self._caller.request_id,
             server=entry.instance,
             passed_over=self._selector.passed_over(self._server),
             reason=str(failure),
-            ran=failure.ran,
+            ran=failure.may_have_run,
             events=self._stream.events,
         )
 
@@ -227,15 +227,15 @@
         A request that has not run and needs a model goes back to waiting. Its retry is charged only
         when a server can take it, so that it stays visible in the demand meanwhile.
         """
-        if failure.unreachable or failure.unsent:
+        if failure.unreachable or failure.not_sent:
             self._sends -= 1
             return True
-        if not failure.ran and self._caller.target is not None:
+        if not failure.may_have_run and self._caller.target is not None:
             self._retry_unpaid = True
             return not self._handler.rejects_waiting
-        if failure.ran and not self._route.repeatable:
+        if failure.may_have_run and not self._route.repeatable:
             return False
-        if failure.ran and not self._handler.prompts.may_retry(self._caller):
+        if failure.may_have_run and not self._handler.prompts.may_retry(self._caller):
             return False
         if self._runs >= self._route.max_attempts:
             return False
@@ -331,37 +331,39 @@
         self._handler.observe_list_age()
         target = self._caller.target
         health = self._pool.health(entry)
-        health.note_sent(self._handler.now())
+        health.record_sent(self._handler.now())
         if target is not None:
             self._pool.demand.begin_run(entry.instance, target)
         try:
             await self._exchange_with_server(entry)
         finally:
-            health.note_ended()
+            health.record_ended()
             if target is not None:
                 self._pool.demand.end_run(entry.instance, target)
-        health.note_success()
+        health.record_success()
         self._handler.count_send(entry, SERVED)
 
     async def _exchange_with_server(self, entry: ServerEntry) -> None:
         forwarder = self._handler.forwarder
         resume_from = self._stream.last_event_id
         connection = await forwarder.connect(entry)
-        silence = self._inactivity_timeout(entry)
+        timeout = self._inactivity_timeout(entry)
         self._outcome_pending = True
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(timeout):
                 with self._probe_when_silent():
                     answer = await forwarder.send(
                         connection, self._request, entry, self._handler.now(), resume_from
                     )
                 body = None if answer.streamed else await forwarder.read_full_body(answer)
         except TimeoutError as error:
-            raise SendFailed(f"{entry.instance}: silent for {silence} s", ran=True) from error
-        self._pool.health(entry).note_received(self._handler.now())
+            raise SendFailed(
+                f"{entry.instance}: silent for {timeout} s", may_have_run=True
+            ) from error
+        self._pool.health(entry).record_received(self._handler.now())
         if body is None:
             await self._stream.relay(entry, answer, self._pool.health(entry))
-            self._handler.prompts.note_answered(self._caller)
+            self._handler.prompts.record_answered(self._caller)
             forwarder.release(answer.connection)
         else:
             await self._send_full_response(entry, answer, body)
@@ -388,13 +390,13 @@
     ) -> None:
         status = answer.head.status
         if status in SERVER_ERROR_STATUSES:
-            failure = SendFailed(f"{entry.instance}: status {status}", ran=True)
+            failure = SendFailed(f"{entry.instance}: status {status}", may_have_run=True)
             if self._exchange.started:
                 raise failure
             if self._route.repeatable and self._runs + 1 < self._route.max_attempts:
                 raise failure
         if self._exchange.started:
-            raise SendFailed(f"{entry.instance}: a resumed stream got {status}", ran=True)
+            raise SendFailed(f"{entry.instance}: a resumed stream got {status}", may_have_run=True)
         headers = self._handler.dialect.response_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
@@ -411,7 +413,7 @@
             return False
         self._server = peer.address
         try:
-            await self._peers.exchange_with(peer, self._runs, self._note_sent_to_peer)
+            await self._peers.exchange_with(peer, self._runs, self._record_sent_to_peer)
         except RelayDeclined as declined:
             self._outcome_pending = False
             self._peers.log("relay-declined", peer, str(declined))
@@ -430,7 +432,7 @@
             raise self._to_final_error(refusal) from refusal
         return True
 
-    def _note_sent_to_peer(self) -> None:
+    def _record_sent_to_peer(self) -> None:
         self._sends += 1
         self._outcome_pending = True
 
@@ -442,7 +444,7 @@
             return StreamTruncated(str(refusal))
         return refusal
 
-    def _note_first_event(self, entry: ServerEntry) -> None:
+    def _record_first_event(self, entry: ServerEntry) -> None:
         """Record the time to the first event, and log it when it exceeds the objective."""
         seconds = self._handler.now() - self._arrived_at
         self._handler.metrics.first_event_seconds.observe(seconds)
