--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -150,10 +150,10 @@
             self._on_conflict(conflict)
         except StoreUnavailable as error:
             self._health.record_failure(self._now(), str(error))
-            if error.unknown and self._unanswered_since is None:
+            if error.outcome_unknown and self._unanswered_since is None:
                 self._unanswered_since = now
             self.wrote.set()
-            await asyncio.sleep(0.0 if error.unknown else REFUSED_PAUSE_SECONDS)
+            await asyncio.sleep(0.0 if error.outcome_unknown else REFUSED_PAUSE_SECONDS)
         else:
             self._health.record_success(self._now())
             self._unanswered_since = None
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -209,7 +209,7 @@
         self._selector.tried.add(entry.instance)
         self._runs += failure.may_have_run
         self._may_have_run |= failure.may_have_run
-        self._pool.note_failure(entry, self._caller.target, failure, self._handler.now())
+        self._pool.record_failure(entry, self._caller.target, failure, self._handler.now())
         self._handler.count_send(entry, "failed" if failure.may_have_run else "refused")
         log_decision(
             "send-failed",
@@ -397,7 +397,7 @@
                 raise failure
         if self._exchange.started:
             raise SendFailed(f"{entry.instance}: a resumed stream got {status}", may_have_run=True)
-        headers = self._handler.dialect.answer_headers(answer.head)
+        headers = self._handler.dialect.response_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
     # Attempts at a peer, while no server can be reached.
