--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -90,7 +90,7 @@
     part_names: tuple[str, ...],
     keep_sending: Callable[[], bool],
 ) -> list[tuple[str, Any]]:
-    """Send a request with each of the parts to each daemon per round, while ``keep_sending`` is true."""
+    """Send each daemon a request with each part per round, while ``keep_sending`` is true."""
     site = pool(context)
     sent = []
     listed = list(daemons)
