--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -169,13 +169,13 @@
             pass
         self._client.release(connection)
 
-    async def read_full_body(self, answer: OpenResponse) -> bytes:
+    async def read_full_body(self, response: OpenResponse) -> bytes:
         """Read the full body of a response and release its connection.
 
         :raises SendFailed: the body was truncated or exceeds the size limit.
         """
         body = bytearray()
-        connection = answer.connection
+        connection = response.connection
         try:
             while chunk := await connection.read_body():
                 body += chunk
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -352,21 +352,21 @@
         try:
             async with asyncio.timeout(timeout):
                 with self._probe_when_silent():
-                    answer = await forwarder.send(
+                    response = await forwarder.send(
                         connection, self._request, entry, self._handler.now(), resume_from
                     )
-                body = None if answer.streamed else await forwarder.read_full_body(answer)
+                body = None if response.streamed else await forwarder.read_full_body(response)
         except TimeoutError as error:
             raise SendFailed(
                 f"{entry.instance}: silent for {timeout} s", may_have_run=True
             ) from error
         self._pool.health(entry).record_received(self._handler.now())
         if body is None:
-            await self._stream.relay(entry, answer, self._pool.health(entry))
+            await self._stream.relay(entry, response, self._pool.health(entry))
             self._handler.prompts.record_answered(self._caller)
-            forwarder.release(answer.connection)
+            forwarder.release(response.connection)
         else:
-            await self._send_full_response(entry, answer, body)
+            await self._send_full_response(entry, response, body)
 
     @contextlib.contextmanager
     def _probe_when_silent(self) -> Iterator[None]:
@@ -386,9 +386,9 @@
         return inactivity_timeout_seconds(self._route, self._runs, has_other)
 
     async def _send_full_response(
-        self, entry: ServerEntry, answer: OpenResponse, body: bytes
+        self, entry: ServerEntry, response: OpenResponse, body: bytes
     ) -> None:
-        status = answer.head.status
+        status = response.head.status
         if status in SERVER_ERROR_STATUSES:
             failure = SendFailed(f"{entry.instance}: status {status}", may_have_run=True)
             if self._exchange.started:
@@ -397,7 +397,7 @@
                 raise failure
         if self._exchange.started:
             raise SendFailed(f"{entry.instance}: a resumed stream got {status}", may_have_run=True)
-        headers = self._handler.dialect.response_headers(answer.head)
+        headers = self._handler.dialect.response_headers(response.head)
         await self._exchange.respond(status, headers, body)
 
     # Attempts at a peer, while no server can be reached.
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -57,17 +57,17 @@
         """Return the number of relayed events."""
         return self._cutter.events
 
-    async def relay(self, entry: ServerEntry, answer: OpenResponse, health: ServerHealth) -> None:
+    async def relay(self, entry: ServerEntry, response: OpenResponse, health: ServerHealth) -> None:
         """Relay complete events as they arrive, until the stream ends.
 
         :raises SendFailed: the stream was interrupted; its connection is closed.
         """
         try:
             if not self._exchange.started:
-                headers = self._dialect.response_headers(answer.head)
-                await self._exchange.start(answer.head.status, headers)
+                headers = self._dialect.response_headers(response.head)
+                await self._exchange.start(response.head.status, headers)
             stream_gaps = StreamGaps()
-            while chunk := await self._next_chunk(entry, answer):
+            while chunk := await self._next_chunk(entry, response):
                 now = self._now()
                 health.record_received(now)
                 stream_gaps.record_event(now * MS_PER_SECOND)
@@ -75,21 +75,21 @@
                 await self._exchange.send(self._cutter.feed(chunk))
                 if first and self.events:
                     self._on_first_event(entry)
-            await self._exchange.send(self._finish_body(entry, answer))
+            await self._exchange.send(self._finish_body(entry, response))
             await self._exchange.finish()
             self._log_long_gap(entry, stream_gaps, health)
         except BaseException:
-            answer.connection.close()
+            response.connection.close()
             self._cutter.drop_rest()
             raise
 
-    async def _next_chunk(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
+    async def _next_chunk(self, entry: ServerEntry, response: OpenResponse) -> bytes:
         timeout = self._inactivity_timeout(entry)
         if timeout is not None and self.events:
             timeout = EVENT_GAP_TIMEOUT_SECONDS
         try:
             async with asyncio.timeout(timeout):
-                return await answer.connection.read_body()
+                return await response.connection.read_body()
         except TimeoutError as error:
             raise SendFailed(f"{entry.instance}: stream silent for {timeout} s", True) from error
         except HttpError as error:
@@ -97,12 +97,12 @@
                 f"{entry.instance}: {error}", may_have_run=True, broken=True
             ) from error
 
-    def _finish_body(self, entry: ServerEntry, answer: OpenResponse) -> bytes:
+    def _finish_body(self, entry: ServerEntry, response: OpenResponse) -> bytes:
         """Finish a body that has ended by its framing; returns the data still to be relayed.
 
         :raises SendFailed: it ended inside an event.
         """
-        framing = answer.head.framing.value
+        framing = response.head.framing.value
         self._metrics.streams_ended.labels(framing).inc()
         try:
             return self._cutter.end()
