--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -9,9 +9,9 @@
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
+from loomwind.serving.connectivity import ServerReach
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.ports import Dialect, ResponseCheck
-from loomwind.serving.reach import ServerReach
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -114,15 +114,15 @@
 
         :raises SendFailed: no connection can be made.
         """
-        reach = self._connectivity_of(entry.service)
+        connectivity = self._connectivity_of(entry.service)
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            reach.note_failed(entry.instance, self._clock.now_ms())
+            connectivity.note_failed(entry.instance, self._clock.now_ms())
             raise SendFailed(
                 f"{entry.instance}: {error}", may_have_run=False, unreachable=True
             ) from error
-        reach.note_connected(self._clock.now_ms())
+        connectivity.note_connected(self._clock.now_ms())
         return connection
 
     def _server_request(
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -371,9 +371,9 @@
     @contextlib.contextmanager
     def _probe_when_silent(self) -> Iterator[None]:
         """Have the connectivity to the servers probed when no response begins for a while."""
-        reach = self._pool.connectivity_of(self._service)
+        connectivity = self._pool.connectivity_of(self._service)
         timer = asyncio.get_running_loop().call_later(
-            SUSPECT_AFTER_SECONDS, reach.note_silence, self._handler.now()
+            SUSPECT_AFTER_SECONDS, connectivity.note_silence, self._handler.now()
         )
         try:
             yield
--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -23,7 +23,7 @@
         :param zone: the zone of this daemon.
         """
         self._pool = pool
-        self._reach = pool.connectivity_of(service)
+        self._connectivity = pool.connectivity_of(service)
         self._forwarder = forwarder
         self._zone = zone
         self._service = service
@@ -40,7 +40,7 @@
         return chosen.entry if chosen else None
 
     def _eligible(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_cut and (proven := self._responsive_idle(now)):
+        if self._connectivity.is_cut and (proven := self._responsive_idle(now)):
             return proven
         return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
@@ -57,11 +57,11 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Whether new connections to the servers fail and no idle connection is known to work."""
-        return self._reach.is_cut and not self._responsive_idle(now)
+        return self._connectivity.is_cut and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
         """Return servers with an idle connection that sent data after connects began to fail."""
-        since = self._reach.failing_since_ms / MS_PER_SECOND
+        since = self._connectivity.failing_since_ms / MS_PER_SECOND
         return [
             entry
             for entry in self._pool.candidates(self._service, self._caller.target, now)
