--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -33,15 +33,15 @@
 
     def choose(self, now: float) -> ServerEntry | None:
         """Return the server with the lowest cost; None when no server can run the request."""
-        found = [self._candidate(entry, now) for entry in self._eligible(now)]
-        noise = [random.random() for _ in found]
-        chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
-        self._candidates = found
+        candidates = [self._candidate(entry, now) for entry in self._eligible(now)]
+        noise = [random.random() for _ in candidates]
+        chosen = lowest_cost(candidates, self._zone, self._cache_key(), noise)
+        self._candidates = candidates
         return chosen.entry if chosen else None
 
     def _eligible(self, now: float) -> list[ServerEntry]:
-        if self._connectivity.is_cut and (proven := self._responsive_idle(now)):
-            return proven
+        if self._connectivity.is_cut and (responsive := self._responsive_idle(now)):
+            return responsive
         return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
     def _candidate(self, entry: ServerEntry, now: float) -> Candidate:
