--- a/loomwind/serving/server_cost.py
+++ b/loomwind/serving/server_cost.py
@@ -8,7 +8,7 @@
 from loomwind.serving.views import ServerEntry
 
 ERROR_COST = 20.0
-OPEN_COST = 1000.0
+BREAKER_OPEN_COST = 1000.0
 TRIED_COST = 300.0
 OTHER_ZONE_COST = 0.4
 CACHE_COST = 1.5
@@ -55,7 +55,7 @@
     slots = max(1, candidate.entry.slots)
     total = (candidate.in_flight + candidate.load) * 8.0 / slots
     total += ERROR_COST * candidate.error_rate
-    total += OPEN_COST if candidate.breaker_open else 0.0
+    total += BREAKER_OPEN_COST if candidate.breaker_open else 0.0
     total += TRIED_COST if candidate.tried else 0.0
     total += OTHER_ZONE_COST if candidate.entry.zone != zone else 0.0
     total += 0.0 if candidate.connected else NEW_CONNECTION_COST
