--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -54,7 +54,7 @@
 
     def are_better(self) -> bool:
         """Whether a peer may serve the request better: no server can be reached from here."""
-        return self._allowed and self._choice.is_cut_off(self._serving.now())
+        return self._allowed and self._choice.is_service_unreachable(self._serving.now())
 
     def next_peer(self) -> PeerEntry | None:
         """Return a peer to ask; None when there is none, and then no more are asked."""
--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -55,7 +55,7 @@
             self._forwarder.has_idle_connection(entry),
         )
 
-    def is_cut_off(self, now: float) -> bool:
+    def is_service_unreachable(self, now: float) -> bool:
         """Whether new connections to the servers fail and no idle connection is known to work."""
         return self._connectivity.is_cut and not self._responsive_idle(now)
 
