--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -101,12 +101,12 @@
         self.metrics.accepted.inc()
         self.metrics.waiting.inc()
         try:
-            await self._answer(exchange)
+            await self._respond(exchange)
         finally:
             self.open_requests -= 1
             self.metrics.waiting.dec()
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _respond(self, exchange: Exchange) -> None:
         request = exchange.request
         if request is None:
             bad = exchange.bad
@@ -119,8 +119,8 @@
             self.metrics.answered.inc()
         except Refused as refusal:
             await self._refuse(exchange, caller, refusal)
-        except StreamTruncated as cut:
-            log_decision("cut", caller.request_id, reason=str(cut))
+        except StreamTruncated as error:
+            log_decision("cut", caller.request_id, reason=str(error))
             self.metrics.refused.labels("answer-cut-short", "partial").inc()
             exchange.abort()
         except (ConnectionBroken, asyncio.CancelledError):
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -278,9 +278,9 @@
             self._pool.demand.record_arrival(key, self._arrived_at)
         if entry is not None:
             return entry
-        began = self._handler.now()
+        wait_started_at = self._handler.now()
         deadline = self._request.deadline
-        since = began if self._exchange.started else self._arrived_at
+        since = wait_started_at if self._exchange.started else self._arrived_at
         wait = ModelWait(self._handler, key, self._route, self._caller, since, deadline)
         self._is_waiting = True
         self._handler.metrics.waiting_for_model.inc()
@@ -295,7 +295,7 @@
             raise self._final_error(str(error), error.ready_in_seconds) from error
         finally:
             self._handler.metrics.waiting_for_model.dec()
-            self._waited_seconds += self._handler.now() - began
+            self._waited_seconds += self._handler.now() - wait_started_at
         self._is_waiting = False
         return entry
 
