--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -42,15 +42,15 @@
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings, ListenSettings, Settings, StoreSettings
 
-OWN_TABLE = "loomwind"
+PEER_TABLE = "loomwind"
 LEASE_TABLE = "loomwind-lease"
-LEASE_PART = 0.6
+LEASE_FRACTION = 0.6
 # A short lease is renewed sooner, so that it holds over two failed renewals.
-LEASE_RENEW_PART = 0.25
-LEASE_MARGIN_PART = 0.2
+LEASE_RENEW_FRACTION = 0.25
+LEASE_MARGIN_FRACTION = 0.2
 STOP_MARGIN_SECONDS = 0.6
-LAST_ANSWERS_SECONDS = 0.3
-WAITING_GRACE_PART = 0.55
+LAST_RESPONSES_SECONDS = 0.3
+WAITING_GRACE_FRACTION = 0.55
 DRAIN_POLL_SECONDS = 0.05
 # What a peer adds to the head of a request.
 RELAY_HEAD_BYTES = 1024
@@ -73,7 +73,7 @@
 
 def _lease_seconds(bounds: BoundSettings) -> float:
     """Return how long a lease lasts without a renewal."""
-    return LEASE_PART * bounds.lease_ms / MS_PER_SECOND
+    return LEASE_FRACTION * bounds.lease_ms / MS_PER_SECOND
 
 
 def _relay_address(listen: ListenSettings) -> str:
@@ -101,12 +101,12 @@
         self.stopping = False
         self._client = client
         self._tasks: set[asyncio.Task[None]] = set()
-        self._make_knowledge(deployment)
-        self._make_exchange()
-        self._make_control(deployment)
-        self._make_servers(deployment)
+        self._create_store_access(deployment)
+        self._create_peer_protocols()
+        self._create_placement(deployment)
+        self._create_servers(deployment)
 
-    def _make_knowledge(self, deployment: Deployment) -> None:
+    def _create_store_access(self, deployment: Deployment) -> None:
         """Make what follows the store."""
         settings = self.settings
         self._own = LeaseHolder(settings.name, uuid.uuid4().hex[:12], settings.listen.peer)
@@ -124,13 +124,13 @@
         lease = Lease(
             self._own,
             duration,
-            min(constants.LEASE_RENEW_SECONDS, LEASE_RENEW_PART * duration),
-            min(constants.LEASE_MARGIN_SECONDS, LEASE_MARGIN_PART * duration),
+            min(constants.LEASE_RENEW_SECONDS, LEASE_RENEW_FRACTION * duration),
+            min(constants.LEASE_MARGIN_SECONDS, LEASE_MARGIN_FRACTION * duration),
         )
         self._election = Election(store, LEASE_TABLE, self._own, lease, self._health)
         self._peers = PeerTable(
             store,
-            OWN_TABLE,
+            PEER_TABLE,
             self._own,
             settings.zone,
             self._election,
@@ -150,14 +150,14 @@
             ),
             TableFollower(
                 store,
-                OWN_TABLE,
+                PEER_TABLE,
                 self._health,
                 self._peers.on_rows,
                 self._peers.rest_seconds,
                 self._peers.retry_seconds,
             ),
         )
-        self._servers = TableFollower(
+        self._server_follower = TableFollower(
             store,
             store.server_table,
             self._health,
@@ -165,14 +165,14 @@
             max_retry_seconds=self._peers.retry_seconds,
         )
 
-    def _make_exchange(self) -> None:
+    def _create_peer_protocols(self) -> None:
         """Make what speaks to peers."""
         self._transport = PeerTransport(
             self._on_message,
             Connector(silence_ms=constants.POOL_SILENCE_MS),
             self.metrics,
         )
-        self._watch = LeaderWatch(
+        self._leader_watch = LeaderWatch(
             self._own,
             self._transport,
             self._peers,
@@ -180,16 +180,16 @@
             self._health,
             self._pool.demand,
         )
-        self._server_list = ServerListFollower(
+        self._server_list_follower = ServerListFollower(
             self._own,
-            self._servers,
+            self._server_follower,
             self._transport,
             self._peers,
             self.replicated_state,
             self.settings.bounds,
         )
-        self._prompts = PromptGuard(self._own.address, self._transport, self._peers)
-        self._configurations = ConfigurationGossip(
+        self._prompt_guard = PromptGuard(self._own.address, self._transport, self._peers)
+        self._configuration_gossip = ConfigurationGossip(
             self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._anti_entropy = AntiEntropy(
@@ -198,10 +198,10 @@
             self._peers,
             self.replicated_state,
             self._health,
-            self._prompts,
-            self._configurations,
+            self._prompt_guard,
+            self._configuration_gossip,
         )
-        self._gossip = DepartureGossip(
+        self._departure_gossip = DepartureGossip(
             self._own.address, self._transport, self._peers, self.replicated_state
         )
         self._exchange = PeerExchange(
@@ -212,14 +212,14 @@
             self._pool,
             self.replicated_state,
             self._health,
-            self._watch,
-            self._server_list,
+            self._leader_watch,
+            self._server_list_follower,
             self._anti_entropy,
-            self._prompts,
-            self._configurations,
+            self._prompt_guard,
+            self._configuration_gossip,
         )
 
-    def _make_control(self, deployment: Deployment) -> None:
+    def _create_placement(self, deployment: Deployment) -> None:
         """Make what works while this daemon leads."""
         self._controller = PlacementController(
             self.settings.name,
@@ -243,7 +243,7 @@
     async def _on_message(self, message: AnyMessage) -> AnyMessage | None:
         return await self._exchange.on_message(message)
 
-    def _make_servers(self, deployment: Deployment) -> None:
+    def _create_servers(self, deployment: Deployment) -> None:
         """Make what callers and questioners reach."""
         forwarder = Forwarder(
             self._client,
@@ -266,25 +266,25 @@
                 self._client,
                 deployment.dialect,
                 self.metrics,
-                self._configurations.note_version,
+                self._configuration_gossip.note_version,
             ),
-            self._prompts,
+            self._prompt_guard,
         )
         self._relay_service = RelayService(self._handler)
-        self._relayed = HttpServer(self._on_relayed)
+        self._relay_server = HttpServer(self._on_relayed_request)
         self.callers = HttpServer(self._on_request)
-        self._ready = HttpServer(self._on_ready_question)
-        self._admin = AdminServer(self.metrics, self.is_ready)
-        self.replicated_state.configuration_listeners.append(self._limit_callers)
+        self._readiness_server = HttpServer(self._on_readiness_check)
+        self._admin_server = AdminServer(self.metrics, self.is_ready)
+        self.replicated_state.configuration_listeners.append(self._apply_limits)
 
     async def start(self) -> None:
         """Listen, and serve as soon as a configuration and servers are known."""
         listen = self.settings.listen
         await self._transport.start(*split_address(listen.peer))
         await self.callers.start(*split_address(listen.caller))
-        await self._relayed.start(*split_address(_relay_address(listen)))
-        await self._ready.start(*split_address(listen.ready or "127.0.0.1:0"))
-        await self._admin.server.start(*split_address(listen.admin))
+        await self._relay_server.start(*split_address(_relay_address(listen)))
+        await self._readiness_server.start(*split_address(listen.ready or "127.0.0.1:0"))
+        await self._admin_server.server.start(*split_address(listen.admin))
         for follower in self._followers:
             self._spawn(follower.run())
         self._spawn(self._election.run())
@@ -295,15 +295,15 @@
         self._spawn(self._leader_reach.run())
         self._spawn(self._exchange.send_demand())
         self._spawn(self._anti_entropy.run())
-        self._spawn(self._configurations.run())
-        self._spawn(self._server_list.run())
-        self._spawn(self._watch.watch())
-        self._spawn(self._watch.tell())
+        self._spawn(self._configuration_gossip.run())
+        self._spawn(self._server_list_follower.run())
+        self._spawn(self._leader_watch.watch())
+        self._spawn(self._leader_watch.tell())
         self._spawn(self._store.log_calls())
         log_state("daemon", "started", name=self.settings.name, life=self._own.life)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
@@ -320,18 +320,18 @@
     async def _on_request(self, exchange: Exchange) -> None:
         await self._handler.handle(exchange)
 
-    async def _on_relayed(self, exchange: Exchange) -> None:
+    async def _on_relayed_request(self, exchange: Exchange) -> None:
         await self._relay_service.handle(exchange)
 
-    def _limit_callers(self) -> None:
+    def _apply_limits(self) -> None:
         """Hold open connections, too, to the limits of the configuration that is in force now."""
         limits = self.replicated_state.limits
         self.callers.limits = limits
-        self._relayed.limits = msgspec.structs.replace(
+        self._relay_server.limits = msgspec.structs.replace(
             limits, max_head_bytes=limits.max_head_bytes + RELAY_HEAD_BYTES
         )
 
-    async def _on_ready_question(self, exchange: Exchange) -> None:
+    async def _on_readiness_check(self, exchange: Exchange) -> None:
         await exchange.respond(200 if self.is_ready() else 503, (), b"")
 
     # Changed settings.
@@ -339,22 +339,22 @@
     def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Put changed sections in force; returns those that need a restart."""
         self.settings = settings
-        return tuple(name for name in changed if not self._take_up(getattr(settings, name)))
+        return tuple(name for name in changed if not self._apply_section(getattr(settings, name)))
 
     @singledispatchmethod
-    def _take_up(self, section: object) -> bool:
+    def _apply_section(self, section: object) -> bool:
         """Put one section in force; returns False when that takes a restart."""
         return False
 
-    @_take_up.register
+    @_apply_section.register
     def _(self, section: BoundSettings) -> bool:
         self._pool.set_bounds(section)
         self._controller.set_bounds(section)
-        self._server_list.set_bounds(section)
+        self._server_list_follower.set_bounds(section)
         self._election.lease.set_duration(_lease_seconds(section))
         return True
 
-    @_take_up.register
+    @_apply_section.register
     def _(self, section: StoreSettings) -> bool:
         self._store.set_address(section.address, section.timeout_seconds)
         return True
@@ -362,28 +362,30 @@
     async def stop(self) -> None:
         """Leave: hand the lease over, serve until callers have noticed, end what is in progress."""
         self.stopping = True
-        began = self._now()
+        stop_started_at = self._now()
         log_state("daemon", "leaving", name=self.settings.name)
         self.callers.start_draining()
-        self._spawn(self._hand_over())
+        self._spawn(self._release_leadership())
         await asyncio.sleep(self.settings.bounds.notice_seconds)
         self.callers.stop_listening()
-        self._relayed.stop_listening()
+        self._relay_server.stop_listening()
         grace = self.settings.bounds.grace_seconds
-        await self._finish_requests(began + grace * WAITING_GRACE_PART)
+        await self._finish_requests(stop_started_at + grace * WAITING_GRACE_FRACTION)
         self._handler.reject_waiting()
-        await self._finish_requests(began + grace - STOP_MARGIN_SECONDS)
+        await self._finish_requests(stop_started_at + grace - STOP_MARGIN_SECONDS)
         self._handler.end_all_requests()
-        await self._finish_requests(began + grace - STOP_MARGIN_SECONDS + LAST_ANSWERS_SECONDS)
+        await self._finish_requests(
+            stop_started_at + grace - STOP_MARGIN_SECONDS + LAST_RESPONSES_SECONDS
+        )
         log_state("daemon", "stopped", open=self._handler.open_requests)
         self.close()
 
-    async def _finish_requests(self, until: float) -> None:
+    async def _finish_requests(self, deadline: float) -> None:
         """Wait until no request is in progress, or until a time."""
-        while self._handler.open_requests and self._now() < until:
+        while self._handler.open_requests and self._now() < deadline:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    async def _hand_over(self) -> None:
+    async def _release_leadership(self) -> None:
         """Give the lease up, once no order of this daemon can arrive after the next leader's."""
         if self._election.release():
             await self._controller.finish_orders()
@@ -395,9 +397,9 @@
         for task in list(self._tasks):
             task.cancel()
         self.callers.close()
-        self._relayed.close()
-        self._ready.close()
-        self._admin.server.close()
+        self._relay_server.close()
+        self._readiness_server.close()
+        self._admin_server.server.close()
         self._transport.close()
         self._client.close()
 
