--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that serves a pool by a store: makes the parts, starts them, and stops them gently."""
+"""The pool daemon: creates its components, starts them and shuts them down gracefully."""
 
 import asyncio
 import uuid
@@ -45,19 +45,19 @@
 PEER_TABLE = "loomwind"
 LEASE_TABLE = "loomwind-lease"
 LEASE_FRACTION = 0.6
-# A short lease is renewed sooner, so that it holds over two failed renewals.
+# A short lease is renewed early enough to survive two failed renewals.
 LEASE_RENEW_FRACTION = 0.25
 LEASE_MARGIN_FRACTION = 0.2
 STOP_MARGIN_SECONDS = 0.6
 LAST_RESPONSES_SECONDS = 0.3
 WAITING_GRACE_FRACTION = 0.55
 DRAIN_POLL_SECONDS = 0.05
-# What a peer adds to the head of a request.
+# Extra head size allowed for the headers that a peer adds to a relayed request.
 RELAY_HEAD_BYTES = 1024
 
 
 class Deployment(Struct, frozen=True):
-    """The adapters that one deployment needs."""
+    """The adapters to one deployment."""
 
     store: Store
     documents: DocumentParser
@@ -72,12 +72,12 @@
 
 
 def _lease_seconds(bounds: BoundSettings) -> float:
-    """Return how long a lease lasts without a renewal."""
+    """Return the duration of a lease without renewals."""
     return LEASE_FRACTION * bounds.lease_ms / MS_PER_SECOND
 
 
 def _relay_address(listen: ListenSettings) -> str:
-    """Return where requests of peers are taken."""
+    """Return the address for requests relayed by peers."""
     if listen.relay is not None:
         return listen.relay
     host, port = split_address(listen.peer)
@@ -87,14 +87,14 @@
 class PoolDaemon:
     """One daemon. Call :meth:`start`, and later :meth:`stop`.
 
-    :ivar replicated_state: the configuration and the servers, as this daemon knows them.
-    :ivar callers: what callers reach.
+    :ivar replicated_state: the configuration and server list known to this daemon.
+    :ivar callers: the HTTP server for callers.
     """
 
     def __init__(self, settings: Settings, deployment: Deployment, client: HttpClient) -> None:
-        """Make a daemon.
+        """Create a daemon.
 
-        :param client: what requests are sent with; closed at the stop.
+        :param client: sends requests to servers and peers; closed when the daemon stops.
         """
         self.settings = settings
         self.metrics = Metrics()
@@ -107,7 +107,7 @@
         self._create_servers(deployment)
 
     def _create_store_access(self, deployment: Deployment) -> None:
-        """Make what follows the store."""
+        """Create the components that follow the store."""
         settings = self.settings
         self._own = LeaseHolder(settings.name, uuid.uuid4().hex[:12], settings.listen.peer)
         store = MeteredStore(deployment.store, self.metrics, Clock(), self._own.life)
@@ -166,7 +166,7 @@
         )
 
     def _create_peer_protocols(self) -> None:
-        """Make what speaks to peers."""
+        """Create the components that communicate with peers."""
         self._transport = PeerTransport(
             self._on_message,
             Connector(silence_ms=constants.POOL_SILENCE_MS),
@@ -220,7 +220,7 @@
         )
 
     def _create_placement(self, deployment: Deployment) -> None:
-        """Make what works while this daemon leads."""
+        """Create the components that run while this daemon is the leader."""
         self._controller = PlacementController(
             self.settings.name,
             self._election,
@@ -244,7 +244,7 @@
         return await self._exchange.on_message(message)
 
     def _create_servers(self, deployment: Deployment) -> None:
-        """Make what callers and questioners reach."""
+        """Create request handling and the HTTP servers."""
         forwarder = Forwarder(
             self._client,
             deployment.dialect,
@@ -278,7 +278,7 @@
         self.replicated_state.configuration_listeners.append(self._apply_limits)
 
     async def start(self) -> None:
-        """Listen, and serve as soon as a configuration and servers are known."""
+        """Start listening; requests are served once a configuration and servers are known."""
         listen = self.settings.listen
         await self._transport.start(*split_address(listen.peer))
         await self.callers.start(*split_address(listen.caller))
@@ -313,7 +313,7 @@
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Return whether this daemon can serve callers."""
         known = self.replicated_state.routes is not None and bool(self._pool.directory.entries())
         return known and not self.stopping
 
@@ -324,7 +324,7 @@
         await self._relay_service.handle(exchange)
 
     def _apply_limits(self) -> None:
-        """Hold open connections, too, to the limits of the configuration that is in force now."""
+        """Apply the active configuration's limits, also to open connections."""
         limits = self.replicated_state.limits
         self.callers.limits = limits
         self._relay_server.limits = msgspec.structs.replace(
@@ -334,16 +334,16 @@
     async def _on_readiness_check(self, exchange: Exchange) -> None:
         await exchange.respond(200 if self.is_ready() else 503, (), b"")
 
-    # Changed settings.
+    # Settings changes.
 
     def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
-        """Put changed sections in force; returns those that need a restart."""
+        """Apply changed sections; returns those that need a restart."""
         self.settings = settings
         return tuple(name for name in changed if not self._apply_section(getattr(settings, name)))
 
     @singledispatchmethod
     def _apply_section(self, section: object) -> bool:
-        """Put one section in force; returns False when that takes a restart."""
+        """Apply one section; returns False if that needs a restart."""
         return False
 
     @_apply_section.register
@@ -360,7 +360,7 @@
         return True
 
     async def stop(self) -> None:
-        """Leave: hand the lease over, serve until callers have noticed, end what is in progress."""
+        """Shut down: release the lease, serve until callers have noticed, finish open requests."""
         self.stopping = True
         stop_started_at = self._now()
         log_state("daemon", "leaving", name=self.settings.name)
@@ -381,19 +381,19 @@
         self.close()
 
     async def _finish_requests(self, deadline: float) -> None:
-        """Wait until no request is in progress, or until a time."""
+        """Wait until no request is in progress or the deadline has passed."""
         while self._handler.open_requests and self._now() < deadline:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _release_leadership(self) -> None:
-        """Give the lease up, once no order of this daemon can arrive after the next leader's."""
+        """Release the lease once no order of this daemon can arrive after the next leader's."""
         if self._election.release():
             await self._controller.finish_orders()
             await self._election.hand_over()
         await self._peers.unregister()
 
     def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections."""
         for task in list(self._tasks):
             task.cancel()
         self.callers.close()
