--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 from behave import then, when
 
-from features.support.fleet_faults import FAULTS, MAX_FAULT_SECONDS, lose_history
+from features.support.fleet_faults import FAULTS, MAX_FAULT_SECONDS, discard_history
 from features.support.simulated_fleet import Fleet
 from features.support.virtual_time import run_in_virtual_time
 
@@ -49,10 +49,10 @@
     await fleet.start(draw)
     fleet.write_configuration()
     await asyncio.sleep(SETTLE_SECONDS)
-    out_of_reach = FAULTS[trouble].begin(fleet, draw)
+    out_of_reach = FAULTS[trouble].inject(fleet, draw)
     await asyncio.sleep(draw.uniform(0.0, MAX_FAULT_SECONDS))
     if FAULTS[trouble].loses_history:
-        fleet.spawn(lose_history(fleet))
+        fleet.spawn(discard_history(fleet))
     checks = []
     for _ in range(VERSIONS):
         version = fleet.write_configuration()
--- a/features/steps/departure_steps.py
+++ b/features/steps/departure_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from features.support.fake_store import server_document
-from features.support.fleet_faults import FAULTS, MAX_FAULT_SECONDS, lose_history
+from features.support.fleet_faults import FAULTS, MAX_FAULT_SECONDS, discard_history
 from features.support.simulated_fleet import Fleet
 from features.support.virtual_time import run_in_virtual_time
 
@@ -52,10 +52,10 @@
     await fleet.start(draw)
     fleet.spawn(_change_entries(fleet, draw, context.change_seconds))
     await asyncio.sleep(SETTLE_SECONDS)
-    out_of_reach = FAULTS[trouble].begin(fleet, draw)
+    out_of_reach = FAULTS[trouble].inject(fleet, draw)
     await asyncio.sleep(draw.uniform(0.0, MAX_FAULT_SECONDS))
     if FAULTS[trouble].loses_history:
-        fleet.spawn(lose_history(fleet))
+        fleet.spawn(discard_history(fleet))
     fleet.store.put(LEAVING, server_document("draining"))
     await asyncio.sleep(context.bound_seconds)
     late = tuple(
--- a/features/steps/lone_daemon_steps.py
+++ b/features/steps/lone_daemon_steps.py
@@ -26,7 +26,7 @@
     await fleet.start(draw)
     fleet.write_configuration()
     await asyncio.sleep(SETTLE_SECONDS)
-    fleet.store.faults.refuses.add(REFUSED)
+    fleet.store.faults.refused_daemons.add(REFUSED)
     daemon = fleet.restart(REFUSED)
     await asyncio.sleep(within_seconds)
     assert daemon.replicated_state.configuration_version == 1, (
--- a/features/support/fake_store.py
+++ b/features/support/fake_store.py
@@ -8,7 +8,7 @@
 from loomwind.serving.ports import HistoryLost, Snapshot, StoredRow, StoreUnavailable
 
 SERVICE = "tutor"
-CALL_SECONDS = 0.004
+CALL_LATENCY_SECONDS = 0.004
 # As the adapter of the store waits: for a feed longer than it asked, for a table so long.
 FEED_MARGIN_SECONDS = 0.6
 READ_TIMEOUT_SECONDS = 1.5
@@ -30,14 +30,14 @@
 class StoreFaults:
     """What is wrong with the store now.
 
-    :ivar silent_to: daemons whose calls get no answer.
-    :ivar refuses: daemons whose calls are refused at once.
-    :ivar deaf: whether feeds hear of no change.
+    :ivar unanswered_daemons: daemons whose calls get no answer.
+    :ivar refused_daemons: daemons whose calls are refused at once.
+    :ivar feeds_stalled: whether feeds hear of no change.
     """
 
-    silent_to: set[str] = field(factory=set)
-    refuses: set[str] = field(factory=set)
-    deaf: bool = False
+    unanswered_daemons: set[str] = field(factory=set)
+    refused_daemons: set[str] = field(factory=set)
+    feeds_stalled: bool = False
 
 
 class FakeStore:
@@ -48,7 +48,7 @@
         self._version = 1
         self._rows = {f"s{number}": (1, server_document("ready")) for number in range(servers)}
         self._changed = asyncio.Event()
-        self._oldest_kept = 1
+        self._oldest_version = 1
         self._epoch = 0
 
     @property
@@ -60,9 +60,9 @@
         """Write a row."""
         self._version += 1
         self._rows[name] = (self._version, document)
-        self.wake()
+        self.notify()
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Let the feeds look again."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -70,33 +70,33 @@
     def drop_pending_calls(self) -> None:
         """Never answer what is asked by now and held."""
         self._epoch += 1
-        self.wake()
+        self.notify()
 
     def discard_history(self) -> None:
         """Drop what feeds could tell of earlier changes, and cut them."""
-        self._oldest_kept = self._version + 1
-        self.wake()
+        self._oldest_version = self._version + 1
+        self.notify()
 
     async def read(self, daemon: str) -> Snapshot:
         """Return the whole table."""
-        await self._reach(daemon, READ_TIMEOUT_SECONDS)
+        await self._connect(daemon, READ_TIMEOUT_SECONDS)
         return self._since(0)
 
     async def changes(self, daemon: str, after: int, wait_seconds: float) -> Snapshot:
         """Return what has changed, as soon as something has."""
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_seconds
-        await self._reach(daemon, wait_seconds + FEED_MARGIN_SECONDS)
+        await self._connect(daemon, wait_seconds + FEED_MARGIN_SECONDS)
         epoch = self._epoch
         while True:
             if epoch != self._epoch:
                 await asyncio.sleep(until + FEED_MARGIN_SECONDS - loop.time())
                 raise StoreUnavailable("no answer")
-            if after < self._oldest_kept - 1:
+            if after < self._oldest_version - 1:
                 raise HistoryLost("the history is gone")
-            found = self._since(after)
-            if (found.rows and not self.faults.deaf) or loop.time() >= until:
-                return Snapshot((), after) if self.faults.deaf else found
+            snapshot = self._since(after)
+            if (snapshot.rows and not self.faults.feeds_stalled) or loop.time() >= until:
+                return Snapshot((), after) if self.faults.feeds_stalled else snapshot
             changed = self._changed
             try:
                 async with asyncio.timeout_at(until):
@@ -112,12 +112,12 @@
         ]
         return Snapshot(tuple(rows), self._version)
 
-    async def _reach(self, daemon: str, timeout: float) -> None:
-        if daemon in self.faults.silent_to:
+    async def _connect(self, daemon: str, timeout: float) -> None:
+        if daemon in self.faults.unanswered_daemons:
             await asyncio.sleep(timeout)
             raise StoreUnavailable("no answer")
-        await asyncio.sleep(CALL_SECONDS)
-        if daemon in self.faults.refuses:
+        await asyncio.sleep(CALL_LATENCY_SECONDS)
+        if daemon in self.faults.refused_daemons:
             raise StoreUnavailable("status 503")
 
 
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -44,20 +44,20 @@
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings
 
-LINK_SECONDS = 0.002
+LINK_LATENCY_SECONDS = 0.002
 CONFIGURATION_KEY = "config"
 
 
 class SimulatedNetwork:
     """The links between daemons.
 
-    :ivar silent: daemons that answer no peer, and hear none.
-    :ivar loses_gossip: whether word of departures, and of versions, is lost.
+    :ivar unreachable: daemons that answer no peer, and hear none.
+    :ivar drops_gossip: whether word of departures, and of versions, is lost.
     """
 
     def __init__(self) -> None:
-        self.silent: set[str] = set()
-        self.loses_gossip = False
+        self.unreachable: set[str] = set()
+        self.drops_gossip = False
         self._daemons: dict[str, FleetDaemon] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -71,9 +71,9 @@
         """Ask a peer."""
         try:
             async with asyncio.timeout(timeout):
-                await self._pass(sender, address)
+                await self._transmit(sender, address)
                 answer = await self._daemons[address].on_message(message)
-                await self._pass(sender, address)
+                await self._transmit(sender, address)
         except TimeoutError as error:
             raise PeerUnreachable("no answer") from error
         assert answer is not None
@@ -86,31 +86,31 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _cast(self, sender: str, address: str, message: AnyMessage) -> None:
-        lost = self.loses_gossip and isinstance(message, ServerDepartures | ConfigurationNotice)
-        if not lost and not {sender, address} & self.silent:
-            await asyncio.sleep(LINK_SECONDS)
+        lost = self.drops_gossip and isinstance(message, ServerDepartures | ConfigurationNotice)
+        if not lost and not {sender, address} & self.unreachable:
+            await asyncio.sleep(LINK_LATENCY_SECONDS)
             await self._daemons[address].on_message(message)
 
-    async def _pass(self, sender: str, address: str) -> None:
-        await asyncio.sleep(LINK_SECONDS)
-        if {sender, address} & self.silent:
+    async def _transmit(self, sender: str, address: str) -> None:
+        await asyncio.sleep(LINK_LATENCY_SECONDS)
+        if {sender, address} & self.unreachable:
             await asyncio.Event().wait()
 
 
 class DaemonTransport:
     """The links as one daemon uses them."""
 
-    def __init__(self, links: SimulatedNetwork, daemon: str) -> None:
-        self._links = links
+    def __init__(self, network: SimulatedNetwork, daemon: str) -> None:
+        self._network = network
         self._daemon = daemon
 
     async def call(self, address: str, message: AnyMessage, timeout: float) -> AnyMessage:
         """Ask a peer."""
-        return await self._links.call(self._daemon, address, message, timeout)
+        return await self._network.call(self._daemon, address, message, timeout)
 
     def cast(self, address: str, message: AnyMessage) -> None:
         """Tell a peer."""
-        self._links.cast(self._daemon, address, message)
+        self._network.cast(self._daemon, address, message)
 
 
 class SimulatedPeerTable:
@@ -162,7 +162,7 @@
         self,
         name: str,
         tables: FleetTables,
-        links: SimulatedNetwork,
+        network: SimulatedNetwork,
         peers: SimulatedPeerTable,
         bounds: BoundSettings,
     ) -> None:
@@ -171,7 +171,7 @@
         self.replicated_state = ReplicatedState(
             PlatformDocuments(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
         )
-        self._table = TableFollower(
+        self._server_table = TableFollower(
             cast(Store, DaemonStoreClient(tables.servers, name)),
             "servers",
             health,
@@ -188,24 +188,24 @@
         )
         self._follower = ServerListFollower(
             LeaseHolder(name, f"life-{name}", name),
-            self._table,
-            cast(PeerTransport, DaemonTransport(links, name)),
+            self._server_table,
+            cast(PeerTransport, DaemonTransport(network, name)),
             cast(PeerTable, peers),
             self.replicated_state,
             bounds,
         )
         prompts = PromptGuard(
-            name, cast(PeerTransport, DaemonTransport(links, name)), cast(PeerTable, peers)
+            name, cast(PeerTransport, DaemonTransport(network, name)), cast(PeerTable, peers)
         )
         self._configurations = ConfigurationGossip(
             name,
-            cast(PeerTransport, DaemonTransport(links, name)),
+            cast(PeerTransport, DaemonTransport(network, name)),
             cast(PeerTable, peers),
             self.replicated_state,
         )
         self._anti_entropy = AntiEntropy(
             name,
-            cast(PeerTransport, DaemonTransport(links, name)),
+            cast(PeerTransport, DaemonTransport(network, name)),
             cast(PeerTable, peers),
             self.replicated_state,
             health,
@@ -214,7 +214,7 @@
         )
         DepartureGossip(
             name,
-            cast(PeerTransport, DaemonTransport(links, name)),
+            cast(PeerTransport, DaemonTransport(network, name)),
             cast(PeerTable, peers),
             self.replicated_state,
         )
@@ -265,26 +265,26 @@
         self.store = FakeStore(servers)
         self.configuration = FakeStore(0, self.store.faults)
         self._configuration_version = 0
-        self.links = SimulatedNetwork()
+        self.network = SimulatedNetwork()
         self.names = [f"d{number}" for number in range(daemons)]
         self.mirrors = self.names[:mirrors]
         self._bounds = bounds = BoundSettings(drain_ms=bound_ms, apply_ms=bound_ms)
         self._tables = tables = FleetTables(self.store, self.configuration)
         self.daemons = [
             FleetDaemon(
-                name, tables, self.links, SimulatedPeerTable(name, self.names, mirrors), bounds
+                name, tables, self.network, SimulatedPeerTable(name, self.names, mirrors), bounds
             )
             for name in self.names
         ]
         for daemon in self.daemons:
-            self.links.add(daemon)
+            self.network.add(daemon)
         self._tasks: list[asyncio.Task[None]] = []
 
     def restart(self, name: str) -> FleetDaemon:
         """Let a daemon start again: it knows nothing, no peer either; the others know of it."""
         alone = SimulatedPeerTable(name, [], 0)
-        daemon = FleetDaemon(name, self._tables, self.links, alone, self._bounds)
-        self.links.add(daemon)
+        daemon = FleetDaemon(name, self._tables, self.network, alone, self._bounds)
+        self.network.add(daemon)
         self._tasks.append(asyncio.ensure_future(daemon.run()))
         return daemon
 
