--- a/features/support/fake_store.py
+++ b/features/support/fake_store.py
@@ -1,4 +1,4 @@
-"""A store in memory for tests in virtual time: one table with its feed, and faults to switch on."""
+"""An in-memory store for tests in virtual time: one table with a change feed, and faults."""
 
 import asyncio
 
@@ -9,30 +9,30 @@
 
 SERVICE = "tutor"
 CALL_LATENCY_SECONDS = 0.004
-# As the adapter of the store waits: for a feed longer than it asked, for a table so long.
+# Timeouts of the store adapter: margin on top of the wait of a feed call, and for a full read.
 FEED_MARGIN_SECONDS = 0.6
 READ_TIMEOUT_SECONDS = 1.5
 
 
 def server_document(state: str, held: int = 0) -> bytes:
-    """Return a server's entry as it stands in the store."""
+    """Return an encoded server entry."""
     entry = {"service": SERVICE, "address": "a:1", "zone": "z", "state": state}
     return msgspec.json.encode(entry | {"models": [{"name": f"m{held}"}]})
 
 
 def configuration_document(version: int, idle_timeout_ms: int = 15_000) -> bytes:
-    """Return a configuration as it stands in the store."""
+    """Return an encoded configuration."""
     limits = {"idle-timeout-ms": idle_timeout_ms}
     return msgspec.json.encode({"version": version, "routes": [], "services": [], "limits": limits})
 
 
 @define
 class StoreFaults:
-    """What is wrong with the store now.
+    """The active faults of the store.
 
-    :ivar unanswered_daemons: daemons whose calls get no answer.
+    :ivar unanswered_daemons: daemons whose calls get no response.
     :ivar refused_daemons: daemons whose calls are refused at once.
-    :ivar feeds_stalled: whether feeds hear of no change.
+    :ivar feeds_stalled: whether feeds report no changes.
     """
 
     unanswered_daemons: set[str] = field(factory=set)
@@ -41,7 +41,7 @@
 
 
 class FakeStore:
-    """One table with its feed; it begins with the entries of some servers."""
+    """One table with its change feed, created with the entries of some servers."""
 
     def __init__(self, servers: int, faults: StoreFaults | None = None) -> None:
         self.faults = faults or StoreFaults()
@@ -63,17 +63,17 @@
         self.notify()
 
     def notify(self) -> None:
-        """Let the feeds look again."""
+        """Make waiting feed calls check for changes again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def drop_pending_calls(self) -> None:
-        """Never answer what is asked by now and held."""
+        """Never respond to the feed calls that are waiting now."""
         self._epoch += 1
         self.notify()
 
     def discard_history(self) -> None:
-        """Drop what feeds could tell of earlier changes, and cut them."""
+        """Discard all earlier changes, and fail the feeds that need them."""
         self._oldest_version = self._version + 1
         self.notify()
 
@@ -83,7 +83,7 @@
         return self._since(0)
 
     async def changes(self, daemon: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what has changed, as soon as something has."""
+        """Return the changes after a version, once there are any."""
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_seconds
         await self._connect(daemon, wait_seconds + FEED_MARGIN_SECONDS)
@@ -93,7 +93,7 @@
                 await asyncio.sleep(until + FEED_MARGIN_SECONDS - loop.time())
                 raise StoreUnavailable("no answer")
             if after < self._oldest_version - 1:
-                raise HistoryLost("the history is gone")
+                raise HistoryLost("the history was discarded")
             snapshot = self._since(after)
             if (snapshot.rows and not self.faults.feeds_stalled) or loop.time() >= until:
                 return Snapshot((), after) if self.faults.feeds_stalled else snapshot
@@ -122,9 +122,9 @@
 
 
 class DaemonStoreClient:
-    """The store as one daemon calls it, whatever the table.
+    """One daemon's access to the store; the table name is ignored.
 
-    :ivar calls: how many calls it has made.
+    :ivar calls: the number of calls made.
     """
 
     def __init__(self, store: FakeStore, daemon: str) -> None:
@@ -138,6 +138,6 @@
         return await self._store.read(self._daemon)
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what has changed."""
+        """Return the changes after a version."""
         self.calls += 1
         return await self._store.changes(self._daemon, after, wait_seconds)
--- a/features/support/fleet_faults.py
+++ b/features/support/fleet_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a store, links and daemons around a change, for tests in virtual time."""
+"""Faults of the store, the network and daemons, injected around a change in virtual time."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 THIRD = 1 / 3
 FOUR_FIFTHS = 0.8
 FEED_STALL_SECONDS = 1.0
-# A trouble may stand for any time, up to this one, before the change.
+# A fault is active for a random time, at most this long, before the change.
 MAX_FAULT_SECONDS = 3.0
 
 
@@ -20,7 +20,7 @@
 
 
 async def discard_history(fleet: Fleet) -> None:
-    """Let the feeds hear nothing for a while, and then lose the history of what was changed."""
+    """Stall the feeds for a while, then discard the history of changes."""
     fleet.store.faults.feeds_stalled = True
     await asyncio.sleep(FEED_STALL_SECONDS)
     fleet.store.faults.feeds_stalled = False
@@ -88,10 +88,10 @@
 
 @frozen
 class Fault:
-    """What goes wrong around a change.
+    """A fault around a change.
 
-    :param inject: sets faults a while before; returns the daemons that don't count.
-    :param loses_history: whether the history of the feeds is lost at the change.
+    :param inject: injects the fault before the change; returns the daemons excluded from the check.
+    :param loses_history: whether the feeds stall and lose their history at the change.
     """
 
     inject: Callable[[Fleet, random.Random], set[str]]
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of daemons that follow a store: the real followers, a made store and links.
+"""A fleet of daemons with the real followers, a fake store and a simulated network.
 
-It runs in virtual time. The store and the links can be given faults.
+It runs in virtual time. Faults can be injected into the store and the network.
 """
 
 import asyncio
@@ -49,10 +49,10 @@
 
 
 class SimulatedNetwork:
-    """The links between daemons.
+    """The network between daemons.
 
-    :ivar unreachable: daemons that answer no peer, and hear none.
-    :ivar drops_gossip: whether word of departures, and of versions, is lost.
+    :ivar unreachable: daemons that exchange no messages with peers.
+    :ivar drops_gossip: whether notices of departures and configuration versions are lost.
     """
 
     def __init__(self) -> None:
@@ -62,13 +62,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def add(self, daemon: "FleetDaemon") -> None:
-        """Let a daemon be reached."""
+        """Add a daemon, replacing an earlier one of the same name."""
         self._daemons[daemon.name] = daemon
 
     async def call(
         self, sender: str, address: str, message: AnyMessage, timeout: float
     ) -> AnyMessage:
-        """Ask a peer."""
+        """Send a request to a peer and return its response."""
         try:
             async with asyncio.timeout(timeout):
                 await self._transmit(sender, address)
@@ -80,7 +80,7 @@
         return answer
 
     def cast(self, sender: str, address: str, message: AnyMessage) -> None:
-        """Tell a peer."""
+        """Send a message to a peer without waiting for a response."""
         task = asyncio.get_running_loop().create_task(self._cast(sender, address, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -98,23 +98,23 @@
 
 
 class DaemonTransport:
-    """The links as one daemon uses them."""
+    """The network as one daemon uses it."""
 
     def __init__(self, network: SimulatedNetwork, daemon: str) -> None:
         self._network = network
         self._daemon = daemon
 
     async def call(self, address: str, message: AnyMessage, timeout: float) -> AnyMessage:
-        """Ask a peer."""
+        """Send a request to a peer and return its response."""
         return await self._network.call(self._daemon, address, message, timeout)
 
     def cast(self, address: str, message: AnyMessage) -> None:
-        """Tell a peer."""
+        """Send a message to a peer without waiting for a response."""
         self._network.cast(self._daemon, address, message)
 
 
 class SimulatedPeerTable:
-    """The fleet's daemons in their order; the first ones are mirrors."""
+    """The daemons of the fleet in order; the first ones are mirrors."""
 
     def __init__(self, own: str, names: list[str], mirrors: int) -> None:
         self._own = own
@@ -122,15 +122,15 @@
         self._mirrors = mirrors
 
     def others(self) -> list[PeerEntry]:
-        """Return all daemons but this one."""
+        """Return all other daemons."""
         return [entry for entry in self._entries if entry.address != self._own]
 
     def mirrors(self) -> list[PeerEntry]:
-        """Return the daemons that read the store for others."""
+        """Return the daemons that follow the store for others."""
         return self._entries[: self._mirrors]
 
     def is_mirror(self) -> bool:
-        """Whether this daemon reads the store for others."""
+        """Return whether this daemon follows the store for others."""
         mirrors = self.mirrors()
         return not mirrors or any(entry.address == self._own for entry in mirrors)
 
@@ -139,7 +139,7 @@
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
     def fingers(self) -> list[PeerEntry]:
-        """Return the daemons that this one passes word on to."""
+        """Return the daemons that this one forwards gossip to."""
         count = len(self._entries)
         if not count:
             return []
@@ -149,14 +149,14 @@
 
 @frozen
 class FleetTables:
-    """The store's tables that daemons follow."""
+    """The store tables that daemons follow."""
 
     servers: FakeStore
     configuration: FakeStore
 
 
 class FleetDaemon:
-    """One daemon's part that follows the store."""
+    """The components of a daemon that follow the store and exchange updates with peers."""
 
     def __init__(
         self,
@@ -220,7 +220,7 @@
         )
 
     async def on_message(self, message: AnyMessage) -> AnyMessage | None:
-        """Act on a peer's message."""
+        """Handle a message from a peer."""
         match message:
             case ServerListQuestion():
                 return await self._follower.answer(message)
@@ -237,7 +237,7 @@
         return None
 
     def uses(self, server: str) -> bool:
-        """Whether a request may be sent to a server."""
+        """Return whether this daemon may send requests to a server."""
         now = asyncio.get_running_loop().time()
         return any(
             entry.name == server
@@ -245,7 +245,7 @@
         )
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Run the components until cancelled."""
         await asyncio.gather(
             self._follower.run(),
             self._configuration.run(),
@@ -255,12 +255,12 @@
 
 
 class Fleet:
-    """Daemons, store and links, with their faults."""
+    """Daemons, store and network."""
 
     def __init__(self, daemons: int, mirrors: int, servers: int, bound_ms: float) -> None:
-        """Make a fleet.
+        """Create a fleet.
 
-        :param bound_ms: how soon a departure, or a configuration, has to count everywhere.
+        :param bound_ms: how soon a departure or a configuration must be applied everywhere.
         """
         self.store = FakeStore(servers)
         self.configuration = FakeStore(0, self.store.faults)
@@ -281,7 +281,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def restart(self, name: str) -> FleetDaemon:
-        """Let a daemon start again: it knows nothing, no peer either; the others know of it."""
+        """Restart a daemon with empty state and no known peers; the others still know it."""
         alone = SimulatedPeerTable(name, [], 0)
         daemon = FleetDaemon(name, self._tables, self.network, alone, self._bounds)
         self.network.add(daemon)
@@ -289,28 +289,28 @@
         return daemon
 
     def write_configuration(self) -> int:
-        """Write the next version of the configuration, and return it."""
+        """Write the next version of the configuration and return its number."""
         self._configuration_version += 1
         document = configuration_document(self._configuration_version)
         self.configuration.put(CONFIGURATION_KEY, document)
         return self._configuration_version
 
-    async def start(self, draw: random.Random) -> None:
-        """Let the daemons begin within a second of each other."""
+    async def start(self, rng: random.Random) -> None:
+        """Start the daemons at random times within one second."""
         for daemon in self.daemons:
-            self._tasks.append(asyncio.ensure_future(self._start_later(daemon, draw.random())))
+            self._tasks.append(asyncio.ensure_future(self._start_later(daemon, rng.random())))
 
     @staticmethod
     async def _start_later(daemon: FleetDaemon, delay: float) -> None:
         await asyncio.sleep(delay)
         await daemon.run()
 
-    def spawn(self, work: Coroutine[None, None, None]) -> None:
-        """Run something beside the daemons until the fleet stops."""
-        self._tasks.append(asyncio.ensure_future(work))
+    def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Run a coroutine until the fleet stops."""
+        self._tasks.append(asyncio.ensure_future(coroutine))
 
     async def stop(self) -> None:
-        """End everything."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
