--- a/features/departures.feature
+++ b/features/departures.feature
@@ -1,58 +1,58 @@
-Feature: All daemons learn in time that a server leaves, whatever one way of learning it does
+Feature: All daemons learn of a departing server in time, even if one source of updates fails
 
-  Scenario Outline: a server that leaves gets no request after the drain bound: <trouble>
-    Given a fleet of <daemons> daemons, <mirrors> of them mirrors, under a bound of <bound> s
-    And entries of servers that change twice a second
-    When <trouble>, and a server says that it leaves, in each of 4 plays
-    Then each daemon that has a way to know stops using it within the bound
+  Scenario Outline: a departing server gets no requests after the drain bound: <fault>
+    Given a fleet of <daemons> daemons with <mirrors> mirrors and a bound of <bound> s
+    And server entries that change twice a second
+    When <fault>, and a server starts draining, in each of 4 runs
+    Then each daemon that can learn of it stops using the server within the bound
 
-    Examples: fleets and troubles
-      | daemons | mirrors | bound | trouble                                               |
-      | 69      | 3       | 3.0   | all is well                                           |
-      | 69      | 3       | 3.0   | the feeds hear nothing for 1 s and lose their history |
-      | 69      | 3       | 3.0   | the store refuses a third of the daemons              |
-      | 69      | 3       | 3.0   | the store is silent to a third of the daemons         |
-      | 69      | 3       | 3.0   | the store is silent to all mirrors                    |
-      | 69      | 3       | 3.0   | a mirror is cut off, and the feeds lose their history |
-      | 69      | 3       | 3.0   | a third of the daemons is gone, the mirrors first     |
-      | 195     | 7       | 4.0   | the store refuses a third of the daemons              |
-      | 6       | 3       | 2.0   | a mirror is cut off, and the feeds lose their history |
-      | 69      | 3       | 3.0   | gossip is lost                                        |
-      | 69      | 3       | 3.0   | gossip is lost, and the store refuses a third         |
-      | 69      | 3       | 3.0   | gossip is lost, and a mirror is cut off               |
-      | 69      | 3       | 3.0   | gossip is lost, and the feeds lose their history      |
+    Examples: fleets and faults
+      | daemons | mirrors | bound | fault                                                                     |
+      | 69      | 3       | 3.0   | nothing fails                                                             |
+      | 69      | 3       | 3.0   | the feeds stall for 1 s and lose their history                            |
+      | 69      | 3       | 3.0   | the store refuses the calls of a third of the daemons                     |
+      | 69      | 3       | 3.0   | the store does not respond to a third of the daemons                      |
+      | 69      | 3       | 3.0   | the store does not respond to any mirror                                  |
+      | 69      | 3       | 3.0   | a mirror is isolated, and the feeds lose their history                    |
+      | 69      | 3       | 3.0   | the mirrors and a third of the daemons are down                           |
+      | 195     | 7       | 4.0   | the store refuses the calls of a third of the daemons                     |
+      | 6       | 3       | 2.0   | a mirror is isolated, and the feeds lose their history                    |
+      | 69      | 3       | 3.0   | gossip is lost                                                            |
+      | 69      | 3       | 3.0   | gossip is lost, and the store refuses the calls of a third of the daemons |
+      | 69      | 3       | 3.0   | gossip is lost, and a mirror is isolated                                  |
+      | 69      | 3       | 3.0   | gossip is lost, and the feeds lose their history                          |
 
-  Scenario: word of a departure counts until the store lists the server as ready at a later version
+  Scenario: a departure notice is valid until the store lists the server as ready at a later version
     Given a daemon that lists server s1 as ready at version 4
-    When a peer says that s1 leaves as of version 7
-    Then s1 gets no new work, and that is passed on once
-    When the store's feed says at version 6 that s1 is ready and holds another model
-    Then s1 gets no new work, and that is passed on once
-    When the store's feed says at version 8 that s1 is ready and holds another model
-    Then s1 gets new work
+    When a peer reports at version 7 that s1 is draining
+    Then s1 gets no requests, and its departure is forwarded once
+    When the store's feed lists s1 at version 6 as ready with another model
+    Then s1 gets no requests, and its departure is forwarded once
+    When the store's feed lists s1 at version 8 as ready with another model
+    Then s1 gets requests
 
-  Scenario: word of a departure that is no newer than the own list counts for nothing
+  Scenario: a departure notice that is not newer than the daemon's own list is ignored
     Given a daemon that lists server s1 as ready at version 8
-    When a peer says that s1 leaves as of version 7
-    Then s1 gets new work, and nothing is passed on
+    When a peer reports at version 7 that s1 is draining
+    Then s1 gets requests, and nothing is forwarded
 
-  Scenario: an entry that went and came back in one answer of the feed is no departure
+  Scenario: an entry that is removed and added again in one feed response is no departure
     Given a daemon that lists server s1 as ready at version 4
-    When the store's feed says in one answer that the entry of s1 went at version 6 and came at version 7
-    Then s1 gets new work, and nothing is passed on
+    When one feed response removes the entry of s1 at version 6 and adds it again at version 7
+    Then s1 gets requests, and nothing is forwarded
 
-  Scenario: word that an entry has gone counts for nothing while the store is in trouble here
+  Scenario: a notice of a removed entry is ignored shortly after an own call to the store failed
     Given a daemon that lists server s1 as ready at version 4
-    And whose call of the store has just failed
-    When a peer says that the entry of s1 has gone as of version 7
-    Then s1 gets new work
+    And whose call to the store has just failed
+    When a peer reports at version 7 that the entry of s1 was removed
+    Then s1 gets requests
 
-  Scenario: a server that begins to leave while a connection to it is made gets no request
+  Scenario: a server that starts draining while a connection to it is opened gets no request
     Given a daemon that lists server s1 as ready at version 4
-    When a request is sent to s1, which says that it leaves before the connection is made
+    When a request is sent to s1, which starts draining before the connection is open
     Then nothing was sent, the connection is kept, and the request may go to another server
 
-  Scenario Outline: what each daemon passes on once to its fingers reaches all
+  Scenario Outline: gossip that each daemon forwards once to its fingers reaches all daemons
     Given the rows of <daemons> daemons
     When one of them passes a word on, and each that hears it first does the same
     Then all <daemons> have heard it, in at most <hops> hops
--- a/features/steps/lone_daemon_steps.py
+++ b/features/steps/lone_daemon_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a daemon that starts while the store refuses it, in virtual time."""
+"""Steps for a daemon that restarts while the store refuses its calls, in virtual time."""
 
 import asyncio
 import random
@@ -14,16 +14,16 @@
 SERVER = "s0"
 
 
-@when("the store refuses one of the daemons for good, and it starts again and knows no peer")
+@when("the store permanently refuses the calls of one daemon, which restarts and knows no peers")
 def step_starts_again(context: Any) -> None:
-    context.play = _play
+    context.run_restart = _run
 
 
-async def _play(context: Any, within_seconds: float) -> None:
-    draw = random.Random(0)
+async def _run(context: Any, within_seconds: float) -> None:
+    rng = random.Random(0)
     random.seed(0)
     fleet: Fleet = context.make_fleet()
-    await fleet.start(draw)
+    await fleet.start(rng)
     fleet.write_configuration()
     await asyncio.sleep(SETTLE_SECONDS)
     fleet.store.faults.refused_daemons.add(REFUSED)
@@ -36,6 +36,6 @@
     await fleet.stop()
 
 
-@then("it has the configuration and a server of the newest lists within {seconds:f} s")
+@then("it has the configuration and a server of the newest list within {seconds:f} s")
 def step_knows_all(context: Any, seconds: float) -> None:
-    run_in_virtual_time(_play(context, seconds))
+    run_in_virtual_time(_run(context, seconds))
--- a/features/support/fleet_faults.py
+++ b/features/support/fleet_faults.py
@@ -99,17 +99,19 @@
 
 
 FAULTS = {
-    "all is well": Fault(_no_fault),
-    "the feeds hear nothing for 1 s and lose their history": Fault(_no_fault, True),
-    "the store refuses a third of the daemons": Fault(_refuse_a_third),
-    "the store is silent to a third of the daemons": Fault(_unresponsive_to_a_third),
-    "the store is silent to four fifths of the daemons": Fault(_unresponsive_to_four_fifths),
-    "the store is silent to all mirrors": Fault(_unresponsive_to_mirrors),
-    "the store loses the questions that it holds": Fault(_drop_pending_calls),
-    "a mirror is cut off, and the feeds lose their history": Fault(_isolate_a_mirror, True),
-    "a third of the daemons is gone, the mirrors first": Fault(_stop_a_third),
+    "nothing fails": Fault(_no_fault),
+    "the feeds stall for 1 s and lose their history": Fault(_no_fault, True),
+    "the store refuses the calls of a third of the daemons": Fault(_refuse_a_third),
+    "the store does not respond to a third of the daemons": Fault(_unresponsive_to_a_third),
+    "the store does not respond to four fifths of the daemons": Fault(_unresponsive_to_four_fifths),
+    "the store does not respond to any mirror": Fault(_unresponsive_to_mirrors),
+    "the store drops its pending calls": Fault(_drop_pending_calls),
+    "a mirror is isolated, and the feeds lose their history": Fault(_isolate_a_mirror, True),
+    "the mirrors and a third of the daemons are down": Fault(_stop_a_third),
     "gossip is lost": Fault(_drop_gossip),
-    "gossip is lost, and the store refuses a third": Fault(_drop_gossip_and_refuse),
-    "gossip is lost, and a mirror is cut off": Fault(_drop_gossip_and_isolate_a_mirror),
+    "gossip is lost, and the store refuses the calls of a third of the daemons": Fault(
+        _drop_gossip_and_refuse
+    ),
+    "gossip is lost, and a mirror is isolated": Fault(_drop_gossip_and_isolate_a_mirror),
     "gossip is lost, and the feeds lose their history": Fault(_drop_gossip, True),
 }
--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -44,7 +44,7 @@
         return now - self.last_failure < UNAVAILABLE_SECONDS
 
     def recently_failed(self, now: float) -> bool:
-        """Return whether a call failed recently, so that entries may have lapsed without a cause."""
+        """Return whether a call failed recently, so that entries may lapse without a cause."""
         return self.last_failure is not None and now - self.last_failure < RECENT_FAILURE_SECONDS
 
     def available_seconds(self, now: float) -> float:
