--- a/features/configuration_effects.feature
+++ b/features/configuration_effects.feature
@@ -1,9 +1,9 @@
-Feature: All that a version of the configuration changes counts as soon as it is in force
+Feature: A new configuration version takes full effect as soon as it is active
 
-  Scenario: a connection rests as long as the newest version lets it, though no request has come since
-    Given a daemon whose configuration lets connections rest for 2.0 s
-    And a caller's connection that begins to rest
-    When a version that lets them rest for 10.0 s is in force 1.0 s later
+  Scenario: the newest idle timeout also applies to connections that are idle already
+    Given a daemon whose configuration has an idle timeout of 2.0 s
+    And a caller's connection that becomes idle
+    When a version with an idle timeout of 10.0 s is activated 1.0 s later
     Then the connection is open 8.0 s later, and closed 2.5 s after that
 
   Scenario: a daemon fetches the version by which a peer has served its request
@@ -11,7 +11,7 @@
     When a peer has served a request of it by version 4
     Then it knows that the peer has version 4
 
-  Scenario: a copy that cannot be taken in does not end a daemon's fetching
+  Scenario: an invalid copy does not stop a daemon from fetching further versions
     Given a daemon that has version 3 in force
-    When a peer tells version 4, whose copy cannot be taken in, and then another one version 5
-    Then it has asked both peers
+    When a peer announces version 4 with an invalid copy, and then another peer version 5
+    Then it has queried both peers
--- a/features/steps/configuration_effect_steps.py
+++ b/features/steps/configuration_effect_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a version of the configuration changes, in virtual time."""
+"""Steps for the effects of a new configuration version, in virtual time."""
 
 import asyncio
 from typing import Any
@@ -16,51 +16,51 @@
 MS = 1000
 
 
-class SilentTransport(asyncio.Transport):
-    """A caller's connection on which nothing comes."""
+class IdleTransport(asyncio.Transport):
+    """A caller's connection without any traffic."""
 
     def __init__(self) -> None:
         super().__init__()
         self.closed = False
 
     def close(self) -> None:
-        """Note that the daemon has closed it."""
+        """Record that the daemon closed it."""
         self.closed = True
 
 
-def _put_in_force(daemon: PoolDaemon, version: int, idle_seconds: float) -> None:
+def _apply_configuration(daemon: PoolDaemon, version: int, idle_seconds: float) -> None:
     document = configuration_document(version, round(idle_seconds * MS))
     row = StoredRow("config", version, document)
     daemon.replicated_state.on_configuration_rows(Snapshot((row,), version), False)
 
 
-@given("a daemon whose configuration lets connections rest for {seconds:f} s")
-def step_rest(context: Any, seconds: float) -> None:
+@given("a daemon whose configuration has an idle timeout of {seconds:f} s")
+def step_idle_timeout(context: Any, seconds: float) -> None:
     context.first_seconds = seconds
 
 
-@given("a caller's connection that begins to rest")
+@given("a caller's connection that becomes idle")
 def step_connection(context: Any) -> None:
-    context.transport = SilentTransport()
+    context.transport = IdleTransport()
 
 
-@when("a version that lets them rest for {seconds:f} s is in force {later:f} s later")
+@when("a version with an idle timeout of {seconds:f} s is activated {later:f} s later")
 def step_new_version(context: Any, seconds: float, later: float) -> None:
     context.second_seconds, context.later = seconds, later
 
 
 @then("the connection is open {first:f} s later, and closed {second:f} s after that")
 def step_open_then_closed(context: Any, first: float, second: float) -> None:
-    run_in_virtual_time(_rest(context, first, second))
+    run_in_virtual_time(_check_idle_timeout(context, first, second))
 
 
-async def _rest(context: Any, first: float, second: float) -> None:
+async def _check_idle_timeout(context: Any, first: float, second: float) -> None:
     store = StoreSettings("store:1")
     daemon = pool_daemon(Settings("daemon-1", store=store), store)
-    _put_in_force(daemon, 1, context.first_seconds)
+    _apply_configuration(daemon, 1, context.first_seconds)
     ServerConnection(daemon.callers).connection_made(context.transport)
     await asyncio.sleep(context.later)
-    _put_in_force(daemon, 2, context.second_seconds)
+    _apply_configuration(daemon, 2, context.second_seconds)
     await asyncio.sleep(first)
     assert not context.transport.closed
     await asyncio.sleep(second)
--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -1,4 +1,4 @@
-"""Steps about fetching versions of the configuration from peers, in virtual time."""
+"""Steps for fetching configuration versions from peers, in virtual time."""
 
 import asyncio
 from typing import Any, cast
@@ -23,29 +23,29 @@
 SETTLE_SECONDS = 0.2
 
 
-class NoPeers:
-    """Nobody to tell."""
+class EmptyPeerTable:
+    """A peer table without peers."""
 
     def fingers(self) -> list[Any]:
-        """Return nobody."""
+        """Return no peers."""
         return []
 
 
-class BadCopies:
-    """Peers whose copies are of the wrong type inside."""
+class InvalidCopyTransport:
+    """Peers whose copies contain a document of the wrong type."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.queried: list[str] = []
 
     async def call(self, address: str, message: AnyMessage, timeout: float) -> AnyMessage:
-        """Answer with a copy that cannot be taken in."""
-        self.asked.append(address)
+        """Respond with an invalid copy."""
+        self.queried.append(address)
         return ConfigurationCopy(9, cast(bytes, None))
 
 
-@when("a peer tells version 4, whose copy cannot be taken in, and then another one version 5")
+@when("a peer announces version 4 with an invalid copy, and then another peer version 5")
 def step_bad_copy(context: Any) -> None:
-    context.copies = BadCopies()
+    context.copies = InvalidCopyTransport()
     run_in_virtual_time(_fetch(context))
 
 
@@ -56,7 +56,10 @@
     row = StoredRow("config", context.version, configuration_document(context.version))
     replicated_state.on_configuration_rows(Snapshot((row,), context.version), True)
     gossip = ConfigurationGossip(
-        "own:1", cast(PeerTransport, context.copies), cast(PeerTable, NoPeers()), replicated_state
+        "own:1",
+        cast(PeerTransport, context.copies),
+        cast(PeerTable, EmptyPeerTable()),
+        replicated_state,
     )
     task = asyncio.ensure_future(gossip.run())
     for address, version in (("peer:1", 4), ("peer:2", 5)):
@@ -66,6 +69,6 @@
     await asyncio.gather(task, return_exceptions=True)
 
 
-@then("it has asked both peers")
+@then("it has queried both peers")
 def step_both(context: Any) -> None:
-    assert context.copies.asked == ["peer:1", "peer:2"], context.copies.asked
+    assert context.copies.queried == ["peer:1", "peer:2"], context.copies.queried
