--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from loomwind.serving.reach import ServerReach
+from loomwind.serving.connectivity import ServerReach
 
 NOW_MS = 1000.0
 
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -9,9 +9,9 @@
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
+from loomwind.serving.connectivity import ServerReach
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.ports import AnswerVerdict, Dialect
-from loomwind.serving.reach import ServerReach
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
 CONNECT_TIMEOUT_SECONDS = 0.4
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -8,11 +8,11 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.budget import RetryBudget
+from loomwind.serving.connectivity import ServerReach
 from loomwind.serving.demand import DemandBoard
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.expectations import Expectations, ExpectedTarget
-from loomwind.serving.reach import ServerReach
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ModelKey, ServerEntry
 from loomwind.settings import BoundSettings
--- a/loomwind/serving/reach_probe.py
+++ b/loomwind/serving/reach_probe.py
@@ -7,10 +7,10 @@
 import asyncio
 import random
 
+from loomwind.serving.connectivity import SERVERS_OF_A_CUT
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.pool import ServerPool
-from loomwind.serving.reach import SERVERS_OF_A_CUT
 from loomwind.serving.views import ServerEntry
 
 PAUSE_SECONDS = 0.25
