--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -24,6 +24,7 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_pace import ConfigurationPace
+from loomwind.serving.connectivity_probe import ReachProbe
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
@@ -37,7 +38,6 @@
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Dialect, Documents, EngineControl, Store
 from loomwind.serving.prompt_guard import PromptGuard
-from loomwind.serving.reach_probe import ReachProbe
 from loomwind.serving.relay_service import RelayService
 from loomwind.serving.server_list import ServerListFollower
 from loomwind.settings import BoundSettings, ListenSettings, Settings, StoreSettings
