--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -31,7 +31,7 @@
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.leader_stepdown import LeaderReach
 from loomwind.serving.leader_watch import LeaderWatch
-from loomwind.serving.metered import MeteredStore
+from loomwind.serving.metered_store import MeteredStore
 from loomwind.serving.peer_exchange import PeerExchange
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerTable
