--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -4,14 +4,14 @@
 
 from behave import given, then, when
 
-from loomwind.serving.connectivity import ServerReach
+from loomwind.serving.connectivity import ServiceConnectivity
 
 NOW_MS = 1000.0
 
 
 @given("{count:d} servers that are listed")
 def step_listed(context: Any, count: int) -> None:
-    context.reach = ServerReach()
+    context.reach = ServiceConnectivity()
     context.reach.list_servers({str(number) for number in range(1, count + 1)})
 
 
--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -21,7 +21,7 @@
     CUT = "cut"
 
 
-class ServerReach:
+class ServiceConnectivity:
     """What connects say of the way to the servers of a service."""
 
     def __init__(
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -9,7 +9,7 @@
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
-from loomwind.serving.connectivity import ServerReach
+from loomwind.serving.connectivity import ServiceConnectivity
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.ports import AnswerVerdict, Dialect
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
@@ -53,7 +53,7 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        reach_of: Callable[[str], ServerReach],
+        reach_of: Callable[[str], ServiceConnectivity],
         gets_work: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Make a forwarder.
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -8,7 +8,7 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.budget import RetryBudget
-from loomwind.serving.connectivity import ServerReach
+from loomwind.serving.connectivity import ServiceConnectivity
 from loomwind.serving.demand import DemandBoard
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.errors import SendFailed
@@ -36,7 +36,7 @@
         self.demand = DemandBoard()
         self.expectations = Expectations()
         self.reach_doubted = asyncio.Event()
-        self._reaches: dict[str, ServerReach] = {}
+        self._reaches: dict[str, ServiceConnectivity] = {}
         self._bounds = bounds
         self._daemons = UNKNOWN_DAEMONS
         self._health: dict[str, ServerHealth] = {}
@@ -70,11 +70,11 @@
             self._health[entry.instance] = health
         return health
 
-    def reach_of(self, service: str) -> ServerReach:
+    def reach_of(self, service: str) -> ServiceConnectivity:
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
-            reach = ServerReach(service, self.reach_doubted.set, forget)
+            reach = ServiceConnectivity(service, self.reach_doubted.set, forget)
             reach.list_servers(self._instances_by_service()[service])
             self._reaches[service] = reach
         return self._reaches[service]
