--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -13,7 +13,7 @@
 SERVERS_OF_A_CUT = 2
 
 
-class ReachState(enum.Enum):
+class ConnectivityState(enum.Enum):
     """What is believed of the way to the servers."""
 
     REACHED = "reached"
@@ -43,20 +43,20 @@
         self._heard_at = float("-inf")
         self._failed: set[str] = set()
         self._failing_since_ms = 0.0
-        self._told = ReachState.REACHED
+        self._told = ConnectivityState.REACHED
 
     @property
-    def state(self) -> ReachState:
+    def state(self) -> ConnectivityState:
         """Return what is believed now."""
         if not self._failed:
-            return ReachState.REACHED
+            return ConnectivityState.REACHED
         needed = min(SERVERS_OF_A_CUT, max(1, self._known))
-        return ReachState.CUT if len(self._failed) >= needed else ReachState.DOUBTED
+        return ConnectivityState.CUT if len(self._failed) >= needed else ConnectivityState.DOUBTED
 
     @property
     def is_cut(self) -> bool:
         """Whether new connections to servers are not worth a try."""
-        return self.state is ReachState.CUT
+        return self.state is ConnectivityState.CUT
 
     @property
     def needs_probe(self) -> bool:
@@ -113,7 +113,7 @@
     def _tell(self, now_ms: float) -> None:
         """Log a change between a cut and what is none."""
         state = self.state
-        if (state is ReachState.CUT) == (self._told is ReachState.CUT):
+        if (state is ConnectivityState.CUT) == (self._told is ConnectivityState.CUT):
             return
         self._told = state
         log_state(
