--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -16,7 +16,7 @@
 class ConnectivityState(enum.Enum):
     """What is believed of the way to the servers."""
 
-    REACHED = "reached"
+    REACHABLE = "reached"
     DOUBTED = "doubted"
     CUT = "cut"
 
@@ -43,13 +43,13 @@
         self._heard_at = float("-inf")
         self._failed: set[str] = set()
         self._failing_since_ms = 0.0
-        self._told = ConnectivityState.REACHED
+        self._told = ConnectivityState.REACHABLE
 
     @property
     def state(self) -> ConnectivityState:
         """Return what is believed now."""
         if not self._failed:
-            return ConnectivityState.REACHED
+            return ConnectivityState.REACHABLE
         needed = min(SERVERS_OF_A_CUT, max(1, self._known))
         return ConnectivityState.CUT if len(self._failed) >= needed else ConnectivityState.DOUBTED
 
