--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -17,7 +17,7 @@
     """What is believed of the way to the servers."""
 
     REACHABLE = "reached"
-    DOUBTED = "doubted"
+    SUSPECT = "doubted"
     CUT = "cut"
 
 
@@ -51,7 +51,7 @@
         if not self._failed:
             return ConnectivityState.REACHABLE
         needed = min(SERVERS_OF_A_CUT, max(1, self._known))
-        return ConnectivityState.CUT if len(self._failed) >= needed else ConnectivityState.DOUBTED
+        return ConnectivityState.CUT if len(self._failed) >= needed else ConnectivityState.SUSPECT
 
     @property
     def is_cut(self) -> bool:
