--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -18,7 +18,7 @@
 
     REACHABLE = "reached"
     SUSPECT = "doubted"
-    CUT = "cut"
+    UNREACHABLE = "cut"
 
 
 class ServiceConnectivity:
@@ -51,12 +51,16 @@
         if not self._failed:
             return ConnectivityState.REACHABLE
         needed = min(SERVERS_OF_A_CUT, max(1, self._known))
-        return ConnectivityState.CUT if len(self._failed) >= needed else ConnectivityState.SUSPECT
+        return (
+            ConnectivityState.UNREACHABLE
+            if len(self._failed) >= needed
+            else ConnectivityState.SUSPECT
+        )
 
     @property
     def is_cut(self) -> bool:
         """Whether new connections to servers are not worth a try."""
-        return self.state is ConnectivityState.CUT
+        return self.state is ConnectivityState.UNREACHABLE
 
     @property
     def needs_probe(self) -> bool:
@@ -113,7 +117,9 @@
     def _tell(self, now_ms: float) -> None:
         """Log a change between a cut and what is none."""
         state = self.state
-        if (state is ConnectivityState.CUT) == (self._told is ConnectivityState.CUT):
+        if (state is ConnectivityState.UNREACHABLE) == (
+            self._told is ConnectivityState.UNREACHABLE
+        ):
             return
         self._told = state
         log_state(
