--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -16,7 +16,7 @@
 PAUSE_SECONDS = 0.25
 
 
-class ReachProbe:
+class ConnectivityProbe:
     """Probes while there is a doubt."""
 
     def __init__(self, pool: ServerPool, forwarder: Forwarder) -> None:
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -24,7 +24,7 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_pace import ConfigurationPace
-from loomwind.serving.connectivity_probe import ReachProbe
+from loomwind.serving.connectivity_probe import ConnectivityProbe
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
@@ -247,7 +247,7 @@
             self._client, deployment.dialect, self._pool.reach_of, self._pool.gets_work
         )
         self._client.on_idle_broken = self._pool.note_broken
-        self._probe = ReachProbe(self._pool, forwarder)
+        self._probe = ConnectivityProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
             self._pool,
