--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -29,7 +29,7 @@
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.handler import RequestHandler
-from loomwind.serving.leader_stepdown import LeaderReach
+from loomwind.serving.leader_stepdown import LeaderStepDown
 from loomwind.serving.leader_watch import LeaderWatch
 from loomwind.serving.metered_store import MeteredStore
 from loomwind.serving.peer_exchange import PeerExchange
@@ -230,7 +230,7 @@
             self.metrics,
         )
 
-        self._leader_reach = LeaderReach(
+        self._leader_reach = LeaderStepDown(
             self._election,
             self._pool,
             self.beliefs,
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -19,7 +19,7 @@
 CUT_TAKER_SECONDS = 3.0
 
 
-class LeaderReach:
+class LeaderStepDown:
     """Looks after the lease by what is known of the way to the servers."""
 
     def __init__(
