--- a/features/steps/departure_word_steps.py
+++ b/features/steps/departure_word_steps.py
@@ -144,7 +144,7 @@
     route = RouteRule("r", "h", "/", RequestKind.IDEMPOTENT, parts, 30.0, 0.6)
     outgoing = Outgoing(HttpRequest("POST", "/"), CallerRequest("id-1", "h", 30.0), route, 30.0)
     forwarder = Forwarder(
-        cast(HttpClient, client), PlatformDialect(), pool.reach_of, pool.gets_work
+        cast(HttpClient, client), PlatformDialect(), pool.connectivity_of, pool.gets_work
     )
     try:
         connection = await forwarder.connect(entry)
--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -44,7 +44,7 @@
         """Return servers to connect to: those first that have not failed."""
         entries = self._pool.directory.usable(service, self._pool.now())
         random.shuffle(entries)
-        reach = self._pool.reach_of(service)
+        reach = self._pool.connectivity_of(service)
         entries.sort(key=lambda entry: reach.failed_at(entry.instance))
         return entries[:SERVERS_OF_A_CUT]
 
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -244,7 +244,7 @@
     def _make_servers(self, deployment: Deployment) -> None:
         """Make what callers and questioners reach."""
         forwarder = Forwarder(
-            self._client, deployment.dialect, self._pool.reach_of, self._pool.gets_work
+            self._client, deployment.dialect, self._pool.connectivity_of, self._pool.gets_work
         )
         self._client.on_idle_broken = self._pool.note_broken
         self._probe = ConnectivityProbe(self._pool, forwarder)
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -53,7 +53,7 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        reach_of: Callable[[str], ServiceConnectivity],
+        connectivity_of: Callable[[str], ServiceConnectivity],
         gets_work: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Make a forwarder.
@@ -63,7 +63,7 @@
         """
         self._client = client
         self._dialect = dialect
-        self._reach_of = reach_of
+        self._reach_of = connectivity_of
         self._gets_work = gets_work
         self._clock = Clock()
 
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -60,7 +60,7 @@
             return []
         long_ago_ms = self._clock.now_ms() - HAND_OVER_AFTER_MS
         with_models = [each.name for each in configuration.services if each.engine is not None]
-        reaches = {name: self._pool.reach_of(name) for name in with_models}
+        reaches = {name: self._pool.connectivity_of(name) for name in with_models}
         return [
             name
             for name, reach in reaches.items()
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -113,5 +113,5 @@
             self._outgoing.caller.request_id,
             peer=peer.address,
             reason=reason,
-            reach=self._serving.pool.reach_of(self._service).state.value,
+            reach=self._serving.pool.connectivity_of(self._service).state.value,
         )
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -66,11 +66,11 @@
         """Return what this daemon has seen of a server."""
         health = self._health.get(entry.instance)
         if health is None:
-            health = ServerHealth(self.reach_of(entry.service).note_heard)
+            health = ServerHealth(self.connectivity_of(entry.service).note_heard)
             self._health[entry.instance] = health
         return health
 
-    def reach_of(self, service: str) -> ServiceConnectivity:
+    def connectivity_of(self, service: str) -> ServiceConnectivity:
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
@@ -157,7 +157,7 @@
         """An idle connection has ended without a proper end; does nothing for one of no server."""
         for entry in self.directory.entries():
             if entry.address == address:
-                self.reach_of(entry.service).doubt()
+                self.connectivity_of(entry.service).doubt()
 
     def _forget_unreachable(self, service: str) -> None:
         """Forget which servers accepted no connection: the fault was on this daemon's side."""
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -359,7 +359,7 @@
     @contextlib.contextmanager
     def _doubt_when_silent(self) -> Iterator[None]:
         """Let the way to the servers be probed when an answer does not begin for a while."""
-        reach = self._pool.reach_of(self._service)
+        reach = self._pool.connectivity_of(self._service)
         timer = asyncio.get_running_loop().call_later(
             SUSPECT_SILENCE_SECONDS, reach.note_silence, self._serving.now()
         )
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -23,7 +23,7 @@
         :param zone: this daemon's own zone.
         """
         self._pool = pool
-        self._reach = pool.reach_of(service)
+        self._reach = pool.connectivity_of(service)
         self._forwarder = forwarder
         self._zone = zone
         self._service = service
