--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -26,8 +26,8 @@
     async def run(self) -> None:
         """Probe for ever, whenever there is a doubt."""
         while True:
-            await self._pool.reach_doubted.wait()
-            self._pool.reach_doubted.clear()
+            await self._pool.probe_needed.wait()
+            self._pool.probe_needed.clear()
             while services := self._pool.services_to_probe():
                 async with asyncio.TaskGroup() as group:
                     for service in services:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -35,7 +35,7 @@
         self.residency = Residency()
         self.demand = DemandBoard()
         self.expectations = Expectations()
-        self.reach_doubted = asyncio.Event()
+        self.probe_needed = asyncio.Event()
         self._reaches: dict[str, ServiceConnectivity] = {}
         self._bounds = bounds
         self._daemons = UNKNOWN_DAEMONS
@@ -74,7 +74,7 @@
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
-            reach = ServiceConnectivity(service, self.reach_doubted.set, forget)
+            reach = ServiceConnectivity(service, self.probe_needed.set, forget)
             reach.list_servers(self._instances_by_service()[service])
             self._reaches[service] = reach
         return self._reaches[service]
