--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -58,7 +58,7 @@
         )
 
     @property
-    def is_cut(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether new connections to servers are not worth a try."""
         return self.state is ConnectivityState.UNREACHABLE
 
@@ -86,7 +86,7 @@
 
     def note_connected(self, now_ms: float) -> None:
         """A server accepted a new connection."""
-        regained = self.is_cut
+        regained = self.is_unreachable
         self._failed.clear()
         self._doubted = False
         self._tell(now_ms)
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -152,7 +152,7 @@
             detail = f"no route; configuration {routes.configuration.version}"
             raise Refused(404, detail) if relayed is None else RelayDeclined(detail)
         service = routes.service_of(route)
-        if relayed is not None and self.pool.connectivity_of(service).is_cut:
+        if relayed is not None and self.pool.connectivity_of(service).is_unreachable:
             raise RelayDeclined("no server is reached from here")
         await RequestRun(self, exchange, request, caller, route, service, relayed).serve()
 
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -64,7 +64,7 @@
         return [
             name
             for name, reach in reaches.items()
-            if reach.is_cut and reach.failing_since_ms < long_ago_ms
+            if reach.is_unreachable and reach.failing_since_ms < long_ago_ms
         ]
 
     async def _step_down(self) -> None:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -91,7 +91,7 @@
 
     def cut_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
-        return tuple(service for service, reach in self._reaches.items() if reach.is_cut)
+        return tuple(service for service, reach in self._reaches.items() if reach.is_unreachable)
 
     def budget(self, service: str) -> RetryBudget:
         """Return the budget for repeated sends to a service."""
--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -40,7 +40,7 @@
         return chosen.entry if chosen else None
 
     def _able(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_cut and (proven := self._proven(now)):
+        if self._reach.is_unreachable and (proven := self._proven(now)):
             return proven
         return self._pool.able(self._service, self._caller.target, now)
 
@@ -57,7 +57,7 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Whether servers accept no connection, and none of those that are open can be used."""
-        return self._reach.is_cut and not self._proven(now)
+        return self._reach.is_unreachable and not self._proven(now)
 
     def _proven(self, now: float) -> list[ServerEntry]:
         """Return the servers from which something has come, on connections that are idle now, since
