--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -72,7 +72,7 @@
         """Return when the first connect failed since one was accepted; not while reached."""
         return self._failing_since_ms
 
-    def failed_at(self, instance: str) -> bool:
+    def has_failed(self, instance: str) -> bool:
         """Whether a server has accepted no connection since any server did."""
         return instance in self._failed
 
--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -45,7 +45,7 @@
         entries = self._pool.directory.usable(service, self._pool.now())
         random.shuffle(entries)
         reach = self._pool.connectivity_of(service)
-        entries.sort(key=lambda entry: reach.failed_at(entry.instance))
+        entries.sort(key=lambda entry: reach.has_failed(entry.instance))
         return entries[:SERVERS_OF_A_CUT]
 
     async def _connect(self, entry: ServerEntry) -> None:
