--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -17,7 +17,7 @@
 
 @when("server {number} accepts no connection")
 def step_failed(context: Any, number: str) -> None:
-    context.reach.note_failed(number, NOW_MS)
+    context.reach.record_connect_failure(number, NOW_MS)
 
 
 @when("server {number} accepts a connection")
--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -76,7 +76,7 @@
         """Whether a server has accepted no connection since any server did."""
         return instance in self._failed
 
-    def note_failed(self, instance: str, now_ms: float) -> None:
+    def record_connect_failure(self, instance: str, now_ms: float) -> None:
         """A server accepted no connection."""
         if not self._failed:
             self._failing_since_ms = now_ms
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -116,7 +116,7 @@
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            reach.note_failed(entry.instance, self._clock.now_ms())
+            reach.record_connect_failure(entry.instance, self._clock.now_ms())
             raise SendFailed(f"{entry.instance}: {error}", ran=False, unreachable=True) from error
         reach.note_connected(self._clock.now_ms())
         return connection
