--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -22,7 +22,7 @@
 
 @when("server {number} accepts a connection")
 def step_connected(context: Any, number: str) -> None:
-    context.reach.note_connected(NOW_MS)
+    context.reach.record_connected(NOW_MS)
 
 
 @then("the daemon is {state:w}")
--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -84,7 +84,7 @@
         self._tell(now_ms)
         self.doubt()
 
-    def note_connected(self, now_ms: float) -> None:
+    def record_connected(self, now_ms: float) -> None:
         """A server accepted a new connection."""
         regained = self.is_unreachable
         self._failed.clear()
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -118,7 +118,7 @@
         except ConnectFailed as error:
             reach.record_connect_failure(entry.instance, self._clock.now_ms())
             raise SendFailed(f"{entry.instance}: {error}", ran=False, unreachable=True) from error
-        reach.note_connected(self._clock.now_ms())
+        reach.record_connected(self._clock.now_ms())
         return connection
 
     def _as_sent(
