--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -93,7 +93,7 @@
         if regained:
             self._on_regained()
 
-    def note_heard(self, now: float) -> None:
+    def record_received(self, now: float) -> None:
         """Something has come from a server, at a time in seconds."""
         self._heard_at = now
 
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -66,7 +66,7 @@
         """Return what this daemon has seen of a server."""
         health = self._health.get(entry.instance)
         if health is None:
-            health = ServerHealth(self.connectivity_of(entry.service).note_heard)
+            health = ServerHealth(self.connectivity_of(entry.service).record_received)
             self._health[entry.instance] = health
         return health
 
