--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -97,7 +97,7 @@
         """Something has come from a server, at a time in seconds."""
         self._heard_at = now
 
-    def note_silence(self, since: float) -> None:
+    def record_no_answer(self, since: float) -> None:
         """A server has not answered a request that it was sent at a time, in seconds."""
         if self._heard_at < since:
             self.doubt()
