--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -82,7 +82,7 @@
             self._failing_since_ms = now_ms
         self._failed.add(instance)
         self._tell(now_ms)
-        self.doubt()
+        self.request_probe()
 
     def record_connected(self, now_ms: float) -> None:
         """A server accepted a new connection."""
@@ -100,9 +100,9 @@
     def record_no_answer(self, since: float) -> None:
         """A server has not answered a request that it was sent at a time, in seconds."""
         if self._heard_at < since:
-            self.doubt()
+            self.request_probe()
 
-    def doubt(self) -> None:
+    def request_probe(self) -> None:
         """Let it be found out whether the servers are reached."""
         self._doubted = True
         self._on_doubt()
