--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -12,7 +12,7 @@
 @given("{count:d} servers that are listed")
 def step_listed(context: Any, count: int) -> None:
     context.reach = ServiceConnectivity()
-    context.reach.list_servers({str(number) for number in range(1, count + 1)})
+    context.reach.set_servers({str(number) for number in range(1, count + 1)})
 
 
 @when("server {number} accepts no connection")
--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -107,7 +107,7 @@
         self._doubted = True
         self._on_doubt()
 
-    def list_servers(self, known: set[str]) -> None:
+    def set_servers(self, known: set[str]) -> None:
         """Take in which servers are listed now; one that has gone says nothing any more."""
         self._known = len(known)
         self._failed &= known
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -75,7 +75,7 @@
         if service not in self._reaches:
             forget = partial(self._forget_unreachable, service)
             reach = ServiceConnectivity(service, self.probe_needed.set, forget)
-            reach.list_servers(self._instances_by_service()[service])
+            reach.set_servers(self._instances_by_service()[service])
             self._reaches[service] = reach
         return self._reaches[service]
 
@@ -171,7 +171,7 @@
         self.residency.forget(known)
         by_service = self._instances_by_service()
         for service, reach in self._reaches.items():
-            reach.list_servers(by_service[service])
+            reach.set_servers(by_service[service])
         self._health = {name: health for name, health in self._health.items() if name in known}
         self.demand.wake()
 
