--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -10,7 +10,7 @@
 from loomwind.logs import log_state
 
 # With fewer, a crash of one server would look the same.
-SERVERS_OF_A_CUT = 2
+MIN_FAILED_SERVERS = 2
 
 
 class ConnectivityState(enum.Enum):
@@ -50,7 +50,7 @@
         """Return what is believed now."""
         if not self._failed:
             return ConnectivityState.REACHABLE
-        needed = min(SERVERS_OF_A_CUT, max(1, self._known))
+        needed = min(MIN_FAILED_SERVERS, max(1, self._known))
         return (
             ConnectivityState.UNREACHABLE
             if len(self._failed) >= needed
--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -7,7 +7,7 @@
 import asyncio
 import random
 
-from loomwind.serving.connectivity import SERVERS_OF_A_CUT
+from loomwind.serving.connectivity import MIN_FAILED_SERVERS
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.pool import ServerPool
@@ -46,7 +46,7 @@
         random.shuffle(entries)
         reach = self._pool.connectivity_of(service)
         entries.sort(key=lambda entry: reach.has_failed(entry.instance))
-        return entries[:SERVERS_OF_A_CUT]
+        return entries[:MIN_FAILED_SERVERS]
 
     async def _connect(self, entry: ServerEntry) -> None:
         try:
