--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -36,7 +36,7 @@
         self.demand = DemandBoard()
         self.expectations = Expectations()
         self.probe_needed = asyncio.Event()
-        self._reaches: dict[str, ServiceConnectivity] = {}
+        self._connectivities: dict[str, ServiceConnectivity] = {}
         self._bounds = bounds
         self._daemons = UNKNOWN_DAEMONS
         self._health: dict[str, ServerHealth] = {}
@@ -72,12 +72,12 @@
 
     def connectivity_of(self, service: str) -> ServiceConnectivity:
         """Return whether this daemon reaches the servers of a service."""
-        if service not in self._reaches:
+        if service not in self._connectivities:
             forget = partial(self._forget_unreachable, service)
             reach = ServiceConnectivity(service, self.probe_needed.set, forget)
             reach.set_servers(self._instances_by_service()[service])
-            self._reaches[service] = reach
-        return self._reaches[service]
+            self._connectivities[service] = reach
+        return self._connectivities[service]
 
     def _instances_by_service(self) -> defaultdict[str, set[str]]:
         by_service: defaultdict[str, set[str]] = defaultdict(set)
@@ -87,11 +87,13 @@
 
     def services_to_probe(self) -> list[str]:
         """Return the services of which it should be found out whether they are reached."""
-        return [service for service, reach in self._reaches.items() if reach.needs_probe]
+        return [service for service, reach in self._connectivities.items() if reach.needs_probe]
 
     def cut_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
-        return tuple(service for service, reach in self._reaches.items() if reach.is_unreachable)
+        return tuple(
+            service for service, reach in self._connectivities.items() if reach.is_unreachable
+        )
 
     def budget(self, service: str) -> RetryBudget:
         """Return the budget for repeated sends to a service."""
@@ -170,7 +172,7 @@
         known = {entry.instance for entry in self.directory.entries()}
         self.residency.forget(known)
         by_service = self._instances_by_service()
-        for service, reach in self._reaches.items():
+        for service, reach in self._connectivities.items():
             reach.set_servers(by_service[service])
         self._health = {name: health for name, health in self._health.items() if name in known}
         self.demand.wake()
