--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -23,7 +23,7 @@
     running: tuple[RunningCount, ...]
     store_answers: bool = True
     next_in_ms: float = 0.0
-    cut_services: tuple[str, ...] = ()
+    unreachable_services: tuple[str, ...] = ()
 
 
 class LeaderQuestion(Message, frozen=True, tag=True, array_like=True):
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -114,7 +114,9 @@
         self._store = store
         self._health = StoreHealth()
         self._pool = ServerPool(settings.bounds)
-        self.metrics.cut_from_servers.set_function(lambda: float(bool(self._pool.cut_services())))
+        self.metrics.cut_from_servers.set_function(
+            lambda: float(bool(self._pool.unreachable_services()))
+        )
         self.beliefs = Beliefs(
             deployment.documents, store.configuration_key, self._pool, self._health, self.metrics
         )
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -145,7 +145,7 @@
         self.inbox.put(message)
         good_for = REPORTS_KEPT * message.next_in_ms / MS_PER_SECOND
         self._cut_at_peers[message.sender] = CutServices(
-            message.cut_services, self._now() + good_for
+            message.unreachable_services, self._now() + good_for
         )
         confirmations = self._election.confirmations
         if message.store_answers:
@@ -235,7 +235,7 @@
             demand.running(),
             not self._health.is_away(self._now()),
             self._report_interval_seconds() * MS_PER_SECOND,
-            self._pool.cut_services(),
+            self._pool.unreachable_services(),
         )
 
     def _report_interval_seconds(self) -> float:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -89,7 +89,7 @@
         """Return the services of which it should be found out whether they are reached."""
         return [service for service, reach in self._connectivities.items() if reach.needs_probe]
 
-    def cut_services(self) -> tuple[str, ...]:
+    def unreachable_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
         return tuple(
             service for service, reach in self._connectivities.items() if reach.is_unreachable
