--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -159,7 +159,7 @@
         """An idle connection has ended without a proper end; does nothing for one of no server."""
         for entry in self.directory.entries():
             if entry.address == address:
-                self.connectivity_of(entry.service).doubt()
+                self.connectivity_of(entry.service).request_probe()
 
     def _forget_unreachable(self, service: str) -> None:
         """Forget which servers accepted no connection: the fault was on this daemon's side."""
