--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -48,7 +48,7 @@
     @property
     def hears_every_seconds(self) -> float:
         """Return the longest time between two words of a leader that answers."""
-        pause = self.peers.paced(constants.LEADER_QUESTION_SECONDS) * (1 + QUESTION_JITTER)
+        pause = self.peers.scale_interval(constants.LEADER_QUESTION_SECONDS) * (1 + QUESTION_JITTER)
         return pause + QUESTION_TIMEOUT_SECONDS
 
     def action_after(self, seconds: float) -> LeaseAction:
--- a/features/support/server_list_fleet.py
+++ b/features/support/server_list_fleet.py
@@ -134,7 +134,7 @@
         mirrors = self.mirrors()
         return not mirrors or any(entry.address == self._own for entry in mirrors)
 
-    def paced(self, seconds: float) -> float:
+    def scale_interval(self, seconds: float) -> float:
         """Return an interval, longer in a large fleet."""
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -132,7 +132,7 @@
                     self._step()
             except Exception as error:
                 log_state("controller", "failed", error=repr(error))
-            await asyncio.sleep(self._exchange.paced(SHORTEST_STEP_SECONDS))
+            await asyncio.sleep(self._exchange.scale_interval(SHORTEST_STEP_SECONDS))
 
     def _step(self) -> None:
         configuration = self._beliefs.configuration
@@ -148,7 +148,7 @@
             if service.engine is not None:
                 self._plan(service.name, service.engine.loads_per_second)
         self._reported.clear()
-        if self._now() - self._told_all_at > self._exchange.paced(TELL_ALL_SECONDS):
+        if self._now() - self._told_all_at > self._exchange.scale_interval(TELL_ALL_SECONDS):
             self._told_all_at = self._now()
             self._tell_holdings(list(self._ledgers.values()))
             self._shortages.note_unserved(self._demand.asked_in_vain())
--- a/loomwind/serving/configuration_pace.py
+++ b/loomwind/serving/configuration_pace.py
@@ -43,7 +43,7 @@
         if self._peers.is_mirror():
             return rest
         longest = LONGEST_REST_PART * self._bounds().apply_ms / MS_PER_SECOND
-        return min(longest, self._peers.paced(rest))
+        return min(longest, self._peers.scale_interval(rest))
 
     def wait_seconds(self) -> float:
         """Return how long the store may hold its answer until there is a new version."""
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -102,7 +102,7 @@
     def _pause_seconds(self) -> float:
         """Return the time until the leader is asked again."""
         jitter = random.uniform(1 - QUESTION_JITTER, 1 + QUESTION_JITTER)
-        return jitter * self._peers.paced(constants.LEADER_QUESTION_SECONDS)
+        return jitter * self._peers.scale_interval(constants.LEADER_QUESTION_SECONDS)
 
     async def _look(self) -> None:
         """Ask the holder, and read the row when that does not settle who leads."""
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -186,7 +186,7 @@
         for holding in message.holdings:
             self._untold[holding.instance] = holding
         if self._telling is None:
-            delay = self._peers.paced(TELL_DELAY_SECONDS) - TELL_DELAY_SECONDS
+            delay = self._peers.scale_interval(TELL_DELAY_SECONDS) - TELL_DELAY_SECONDS
             loop = asyncio.get_running_loop()
             self._telling = loop.call_later(delay, self._tell_all, message.fence)
 
@@ -198,9 +198,9 @@
         for peer in self._peers.others():
             self._transport.cast(peer.address, message)
 
-    def paced(self, seconds: float) -> float:
+    def scale_interval(self, seconds: float) -> float:
         """Return an interval, longer in a large fleet; see :meth:`PeerTable.paced`."""
-        return self._peers.paced(seconds)
+        return self._peers.scale_interval(seconds)
 
     async def send_demand(self) -> None:
         """Tell the leader what callers want: at once when a request begins to wait."""
@@ -239,7 +239,7 @@
         )
 
     def _report_interval_seconds(self) -> float:
-        return self._peers.paced(constants.POOL_DEMAND_INTERVAL_SECONDS)
+        return self._peers.scale_interval(constants.POOL_DEMAND_INTERVAL_SECONDS)
 
     @staticmethod
     def _now() -> float:
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -83,7 +83,7 @@
         """Return the daemon of that name; None when it has no row."""
         return self._peers.get(name)
 
-    def paced(self, seconds: float) -> float:
+    def scale_interval(self, seconds: float) -> float:
         """Return an interval, longer in a large fleet so that the leader's work stays bounded."""
         return seconds * max(1.0, len(self._peers) / constants.SMALL_FLEET_DAEMONS)
 
@@ -107,7 +107,7 @@
         if self._own.name in self._ranked[:STANDBYS]:
             return 0.0
         question = constants.LEADER_QUESTION_SECONDS
-        return LATER_TAKER_SECONDS + self.paced(question) - question
+        return LATER_TAKER_SECONDS + self.scale_interval(question) - question
 
     def rest_seconds(self) -> float:
         """Return the pause between two looks at the rows.
@@ -117,7 +117,7 @@
         rest = REST_SECONDS_A_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBYS] or self._leads():
             return min(LONGEST_REST_SECONDS, rest)
-        return min(LONGEST_FOLLOWER_REST_SECONDS, self.paced(rest))
+        return min(LONGEST_FOLLOWER_REST_SECONDS, self.scale_interval(rest))
 
     def _leads(self) -> bool:
         return self._election.lease.fence is not None
@@ -129,7 +129,7 @@
         """
         if self.is_mirror():
             return RETRY_SECONDS
-        return min(LONGEST_RETRY_SECONDS, self.paced(RETRY_SECONDS))
+        return min(LONGEST_RETRY_SECONDS, self.scale_interval(RETRY_SECONDS))
 
     def standbys(self) -> list[PeerEntry]:
         """Return the daemons that take the lease first; told of each renewal."""
