--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -176,7 +176,7 @@
         if daemon == self._own.name:
             self._on_expectations(message)
             return
-        peer = self._peers.named(daemon)
+        peer = self._peers.get(daemon)
         if peer is not None:
             self._transport.cast(peer.address, message)
 
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -79,7 +79,7 @@
         """Return the other daemons."""
         return [peer for name, peer in self._peers.items() if name != self._own.name]
 
-    def named(self, name: str) -> PeerEntry | None:
+    def get(self, name: str) -> PeerEntry | None:
         """Return the daemon of that name; None when it has no row."""
         return self._peers.get(name)
 
