--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -109,7 +109,7 @@
         question = constants.LEADER_QUESTION_SECONDS
         return LATER_TAKER_SECONDS + self.scale_interval(question) - question
 
-    def rest_seconds(self) -> float:
+    def poll_interval_seconds(self) -> float:
         """Return the pause between two looks at the rows.
 
         Each change answers the feed of each daemon, and all daemons of a fleet may start at once.
