--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -23,7 +23,7 @@
 
 PEER_KEY_PREFIX = "daemon/"
 REGISTER_RETRY_SECONDS = 0.5
-STANDBYS = 5
+STANDBY_COUNT = 5
 # So that a standby, which hears of each renewal, takes a lease before any other daemon tries.
 LATER_TAKER_SECONDS = 0.7
 REST_SECONDS_A_DAEMON = 0.01
@@ -104,7 +104,7 @@
 
         It hears of one only when it asks the leader: more rarely the larger the fleet is.
         """
-        if self._own.name in self._ranked[:STANDBYS]:
+        if self._own.name in self._ranked[:STANDBY_COUNT]:
             return 0.0
         question = constants.LEADER_QUESTION_SECONDS
         return LATER_TAKER_SECONDS + self.scale_interval(question) - question
@@ -115,7 +115,7 @@
         Each change answers the feed of each daemon, and all daemons of a fleet may start at once.
         """
         rest = REST_SECONDS_A_DAEMON * len(self._peers)
-        if self._own.name in self._ranked[:STANDBYS] or self._leads():
+        if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
             return min(LONGEST_REST_SECONDS, rest)
         return min(LONGEST_FOLLOWER_REST_SECONDS, self.scale_interval(rest))
 
@@ -133,7 +133,7 @@
 
     def standbys(self) -> list[PeerEntry]:
         """Return the daemons that take the lease first; told of each renewal."""
-        names = [name for name in self._ranked[:STANDBYS] if name != self._own.name]
+        names = [name for name in self._ranked[:STANDBY_COUNT] if name != self._own.name]
         return [self._peers[name] for name in names]
 
     def mirrors(self) -> list[PeerEntry]:
