--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -25,7 +25,7 @@
 REGISTER_RETRY_SECONDS = 0.5
 STANDBY_COUNT = 5
 # So that a standby, which hears of each renewal, takes a lease before any other daemon tries.
-LATER_TAKER_SECONDS = 0.7
+NON_STANDBY_DELAY_SECONDS = 0.7
 REST_SECONDS_A_DAEMON = 0.01
 # The leader has to tell new daemons what it decides; standbys may lead next.
 LONGEST_REST_SECONDS = 0.5
@@ -107,7 +107,7 @@
         if self._own.name in self._ranked[:STANDBY_COUNT]:
             return 0.0
         question = constants.LEADER_QUESTION_SECONDS
-        return LATER_TAKER_SECONDS + self.scale_interval(question) - question
+        return NON_STANDBY_DELAY_SECONDS + self.scale_interval(question) - question
 
     def poll_interval_seconds(self) -> float:
         """Return the pause between two looks at the rows.
