--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -26,7 +26,7 @@
 STANDBY_COUNT = 5
 # So that a standby, which hears of each renewal, takes a lease before any other daemon tries.
 NON_STANDBY_DELAY_SECONDS = 0.7
-REST_SECONDS_A_DAEMON = 0.01
+POLL_SECONDS_PER_DAEMON = 0.01
 # The leader has to tell new daemons what it decides; standbys may lead next.
 LONGEST_REST_SECONDS = 0.5
 # The others need the list to find peers alone, some of which may be outdated.
@@ -114,7 +114,7 @@
 
         Each change answers the feed of each daemon, and all daemons of a fleet may start at once.
         """
-        rest = REST_SECONDS_A_DAEMON * len(self._peers)
+        rest = POLL_SECONDS_PER_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
             return min(LONGEST_REST_SECONDS, rest)
         return min(LONGEST_FOLLOWER_REST_SECONDS, self.scale_interval(rest))
