--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -28,7 +28,7 @@
 NON_STANDBY_DELAY_SECONDS = 0.7
 POLL_SECONDS_PER_DAEMON = 0.01
 # The leader has to tell new daemons what it decides; standbys may lead next.
-LONGEST_REST_SECONDS = 0.5
+MAX_POLL_SECONDS = 0.5
 # The others need the list to find peers alone, some of which may be outdated.
 LONGEST_FOLLOWER_REST_SECONDS = 5.0
 RETRY_SECONDS = 0.6
@@ -116,7 +116,7 @@
         """
         rest = POLL_SECONDS_PER_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
-            return min(LONGEST_REST_SECONDS, rest)
+            return min(MAX_POLL_SECONDS, rest)
         return min(LONGEST_FOLLOWER_REST_SECONDS, self.scale_interval(rest))
 
     def _leads(self) -> bool:
