--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -30,7 +30,7 @@
 # The leader has to tell new daemons what it decides; standbys may lead next.
 MAX_POLL_SECONDS = 0.5
 # The others need the list to find peers alone, some of which may be outdated.
-LONGEST_FOLLOWER_REST_SECONDS = 5.0
+MAX_FOLLOWER_POLL_SECONDS = 5.0
 RETRY_SECONDS = 0.6
 # Under the time after which a daemon counts as in touch again, 3 s, by the deployments' sheets.
 LONGEST_RETRY_SECONDS = 2.0
@@ -117,7 +117,7 @@
         rest = POLL_SECONDS_PER_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
             return min(MAX_POLL_SECONDS, rest)
-        return min(LONGEST_FOLLOWER_REST_SECONDS, self.scale_interval(rest))
+        return min(MAX_FOLLOWER_POLL_SECONDS, self.scale_interval(rest))
 
     def _leads(self) -> bool:
         return self._election.lease.fence is not None
