--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -33,7 +33,7 @@
 MAX_FOLLOWER_POLL_SECONDS = 5.0
 RETRY_SECONDS = 0.6
 # Under the time after which a daemon counts as in touch again, 3 s, by the deployments' sheets.
-LONGEST_RETRY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 2.0
 LEAST_MIRRORS = 3
 DAEMONS_A_MIRROR = 25
 
@@ -129,7 +129,7 @@
         """
         if self.is_mirror():
             return RETRY_SECONDS
-        return min(LONGEST_RETRY_SECONDS, self.scale_interval(RETRY_SECONDS))
+        return min(MAX_RETRY_SECONDS, self.scale_interval(RETRY_SECONDS))
 
     def standbys(self) -> list[PeerEntry]:
         """Return the daemons that take the lease first; told of each renewal."""
