--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -34,7 +34,7 @@
 RETRY_SECONDS = 0.6
 # Under the time after which a daemon counts as in touch again, 3 s, by the deployments' sheets.
 MAX_RETRY_SECONDS = 2.0
-LEAST_MIRRORS = 3
+MIN_MIRRORS = 3
 DAEMONS_A_MIRROR = 25
 
 
@@ -138,7 +138,7 @@
 
     def mirrors(self) -> list[PeerEntry]:
         """Return the daemons that follow the store for the others too."""
-        count = max(LEAST_MIRRORS, len(self._peers) // DAEMONS_A_MIRROR)
+        count = max(MIN_MIRRORS, len(self._peers) // DAEMONS_A_MIRROR)
         return [self._peers[name] for name in self._ranked[:count]]
 
     def is_mirror(self) -> bool:
