--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -35,7 +35,7 @@
 # Under the time after which a daemon counts as in touch again, 3 s, by the deployments' sheets.
 MAX_RETRY_SECONDS = 2.0
 MIN_MIRRORS = 3
-DAEMONS_A_MIRROR = 25
+DAEMONS_PER_MIRROR = 25
 
 
 class PeerEntry(Struct, frozen=True):
@@ -138,7 +138,7 @@
 
     def mirrors(self) -> list[PeerEntry]:
         """Return the daemons that follow the store for the others too."""
-        count = max(MIN_MIRRORS, len(self._peers) // DAEMONS_A_MIRROR)
+        count = max(MIN_MIRRORS, len(self._peers) // DAEMONS_PER_MIRROR)
         return [self._peers[name] for name in self._ranked[:count]]
 
     def is_mirror(self) -> bool:
