--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -73,7 +73,7 @@
         self._pool = pool
         self._peers: dict[str, PeerEntry] = {}
         self._ranked: list[str] = []
-        self._election.longer_seconds = self._longer_seconds()
+        self._election.longer_seconds = self._extra_wait_seconds()
 
     def others(self) -> list[PeerEntry]:
         """Return the other daemons."""
@@ -97,9 +97,9 @@
         self._ranked = sorted(self._peers, key=_rank)
         self._pool.set_daemons(len(self._peers))
         self._election.daemons = max(1, len(self._peers))
-        self._election.longer_seconds = self._longer_seconds()
+        self._election.longer_seconds = self._extra_wait_seconds()
 
-    def _longer_seconds(self) -> float:
+    def _extra_wait_seconds(self) -> float:
         """Return how much longer than a standby this daemon waits for a renewal of the lease.
 
         It hears of one only when it asks the leader: more rarely the larger the fleet is.
