--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -44,7 +44,7 @@
 
 
 @frozen
-class CutServices:
+class UnreachableServices:
     """The services whose servers a peer does not reach.
 
     :ivar good_until: loop time until which its report counts.
@@ -108,7 +108,7 @@
         self._untold: dict[str, ServerHolding] = {}
         self._telling: asyncio.TimerHandle | None = None
         self.inbox = DemandInbox()
-        self._cut_at_peers: dict[str, CutServices] = {}
+        self._cut_at_peers: dict[str, UnreachableServices] = {}
 
     async def on_message(self, message: AnyMessage) -> AnyMessage | None:
         """Act on a peer's message; returns the answer of one that wants one."""
@@ -144,7 +144,7 @@
     def _on_demand(self, message: PoolDemand) -> None:
         self.inbox.put(message)
         good_for = REPORTS_KEPT * message.next_in_ms / MS_PER_SECOND
-        self._cut_at_peers[message.sender] = CutServices(
+        self._cut_at_peers[message.sender] = UnreachableServices(
             message.unreachable_services, self._now() + good_for
         )
         confirmations = self._election.confirmations
