--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -51,7 +51,7 @@
     """
 
     services: tuple[str, ...]
-    good_until: float
+    expires_at: float
 
 
 class DemandInbox:
@@ -156,7 +156,7 @@
     def is_reached_by_peers(self, service: str) -> bool:
         """Whether a peer that reports its demand here reaches the servers of a service."""
         now = self._now()
-        fresh = (each for each in self._cut_at_peers.values() if now < each.good_until)
+        fresh = (each for each in self._cut_at_peers.values() if now < each.expires_at)
         return any(service not in each.services for each in fresh)
 
     def _on_holdings(self, message: PoolHoldings) -> None:
