--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -108,7 +108,7 @@
         self._untold: dict[str, ServerHolding] = {}
         self._telling: asyncio.TimerHandle | None = None
         self.inbox = DemandInbox()
-        self._cut_at_peers: dict[str, UnreachableServices] = {}
+        self._unreachable_at_peers: dict[str, UnreachableServices] = {}
 
     async def on_message(self, message: AnyMessage) -> AnyMessage | None:
         """Act on a peer's message; returns the answer of one that wants one."""
@@ -144,7 +144,7 @@
     def _on_demand(self, message: PoolDemand) -> None:
         self.inbox.put(message)
         good_for = REPORTS_KEPT * message.next_in_ms / MS_PER_SECOND
-        self._cut_at_peers[message.sender] = UnreachableServices(
+        self._unreachable_at_peers[message.sender] = UnreachableServices(
             message.unreachable_services, self._now() + good_for
         )
         confirmations = self._election.confirmations
@@ -156,7 +156,7 @@
     def is_reached_by_peers(self, service: str) -> bool:
         """Whether a peer that reports its demand here reaches the servers of a service."""
         now = self._now()
-        fresh = (each for each in self._cut_at_peers.values() if now < each.expires_at)
+        fresh = (each for each in self._unreachable_at_peers.values() if now < each.expires_at)
         return any(service not in each.services for each in fresh)
 
     def _on_holdings(self, message: PoolHoldings) -> None:
