--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -46,7 +46,7 @@
         while True:
             cut = self._cut_services()
             self._election.cut_seconds = CUT_TAKER_SECONDS if cut else 0.0
-            elsewhere = [each for each in cut if self._exchange.is_reached_by_peers(each)]
+            elsewhere = [each for each in cut if self._exchange.is_reachable_by_peers(each)]
             if elsewhere and self._election.leads():
                 reason = "model servers are not reached, and are by peers"
                 log_state("election", "steps-down", reason=reason, cut=elsewhere)
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -153,7 +153,7 @@
         else:
             confirmations.note(message.sender, self._now())
 
-    def is_reached_by_peers(self, service: str) -> bool:
+    def is_reachable_by_peers(self, service: str) -> bool:
         """Whether a peer that reports its demand here reaches the servers of a service."""
         now = self._now()
         fresh = (each for each in self._unreachable_at_peers.values() if now < each.expires_at)
