--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -38,7 +38,7 @@
 from loomwind.serving.server_list import ServerListFollower
 
 TELL_DELAY_SECONDS = 0.02
-MOST_REPORTS_KEPT = 4096
+MAX_BUFFERED_REPORTS = 4096
 # A peer whose reports are missing for so many intervals says nothing any more.
 REPORTS_KEPT = 4
 
@@ -58,7 +58,7 @@
     """Reports of demand that the leader has not looked at yet."""
 
     def __init__(self) -> None:
-        self._reports: deque[PoolDemand] = deque(maxlen=MOST_REPORTS_KEPT)
+        self._reports: deque[PoolDemand] = deque(maxlen=MAX_BUFFERED_REPORTS)
         self.arrived = asyncio.Event()
 
     def put(self, report: PoolDemand) -> None:
