--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -40,7 +40,7 @@
 TELL_DELAY_SECONDS = 0.02
 MAX_BUFFERED_REPORTS = 4096
 # A peer whose reports are missing for so many intervals says nothing any more.
-REPORTS_KEPT = 4
+REPORT_EXPIRY_INTERVALS = 4
 
 
 @frozen
@@ -143,7 +143,7 @@
 
     def _on_demand(self, message: PoolDemand) -> None:
         self.inbox.put(message)
-        good_for = REPORTS_KEPT * message.next_in_ms / MS_PER_SECOND
+        good_for = REPORT_EXPIRY_INTERVALS * message.next_in_ms / MS_PER_SECOND
         self._unreachable_at_peers[message.sender] = UnreachableServices(
             message.unreachable_services, self._now() + good_for
         )
