--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -37,7 +37,7 @@
 from loomwind.serving.residency import ServerHolding
 from loomwind.serving.server_list import ServerListFollower
 
-TELL_DELAY_SECONDS = 0.02
+BROADCAST_DELAY_SECONDS = 0.02
 MAX_BUFFERED_REPORTS = 4096
 # A peer whose reports are missing for so many intervals says nothing any more.
 REPORT_EXPIRY_INTERVALS = 4
@@ -186,7 +186,7 @@
         for holding in message.holdings:
             self._untold[holding.instance] = holding
         if self._telling is None:
-            delay = self._peers.scale_interval(TELL_DELAY_SECONDS) - TELL_DELAY_SECONDS
+            delay = self._peers.scale_interval(BROADCAST_DELAY_SECONDS) - BROADCAST_DELAY_SECONDS
             loop = asyncio.get_running_loop()
             self._telling = loop.call_later(delay, self._tell_all, message.fence)
 
