--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -105,7 +105,7 @@
         self._prompts = prompts
         self._configurations = configurations
         self._holdings_fence = 0
-        self._untold: dict[str, ServerHolding] = {}
+        self._pending_holdings: dict[str, ServerHolding] = {}
         self._telling: asyncio.TimerHandle | None = None
         self.inbox = DemandInbox()
         self._unreachable_at_peers: dict[str, UnreachableServices] = {}
@@ -184,7 +184,7 @@
         """Tell all daemons what servers hold; in a large fleet several changes at once."""
         self._on_holdings(message)
         for holding in message.holdings:
-            self._untold[holding.instance] = holding
+            self._pending_holdings[holding.instance] = holding
         if self._telling is None:
             delay = self._peers.scale_interval(BROADCAST_DELAY_SECONDS) - BROADCAST_DELAY_SECONDS
             loop = asyncio.get_running_loop()
@@ -193,8 +193,8 @@
     def _tell_all(self, fence: int) -> None:
         self._telling = None
         paces = tuple(self._pool.residency.paces.values())
-        message = PoolHoldings(fence, tuple(self._untold.values()), paces)
-        self._untold.clear()
+        message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
+        self._pending_holdings.clear()
         for peer in self._peers.others():
             self._transport.cast(peer.address, message)
 
