--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -106,7 +106,7 @@
         self._configurations = configurations
         self._holdings_fence = 0
         self._pending_holdings: dict[str, ServerHolding] = {}
-        self._telling: asyncio.TimerHandle | None = None
+        self._broadcast_timer: asyncio.TimerHandle | None = None
         self.inbox = DemandInbox()
         self._unreachable_at_peers: dict[str, UnreachableServices] = {}
 
@@ -185,13 +185,13 @@
         self._on_holdings(message)
         for holding in message.holdings:
             self._pending_holdings[holding.instance] = holding
-        if self._telling is None:
+        if self._broadcast_timer is None:
             delay = self._peers.scale_interval(BROADCAST_DELAY_SECONDS) - BROADCAST_DELAY_SECONDS
             loop = asyncio.get_running_loop()
-            self._telling = loop.call_later(delay, self._tell_all, message.fence)
+            self._broadcast_timer = loop.call_later(delay, self._tell_all, message.fence)
 
     def _tell_all(self, fence: int) -> None:
-        self._telling = None
+        self._broadcast_timer = None
         paces = tuple(self._pool.residency.paces.values())
         message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
         self._pending_holdings.clear()
