--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -188,9 +188,9 @@
         if self._broadcast_timer is None:
             delay = self._peers.scale_interval(BROADCAST_DELAY_SECONDS) - BROADCAST_DELAY_SECONDS
             loop = asyncio.get_running_loop()
-            self._broadcast_timer = loop.call_later(delay, self._tell_all, message.fence)
+            self._broadcast_timer = loop.call_later(delay, self._broadcast_pending, message.fence)
 
-    def _tell_all(self, fence: int) -> None:
+    def _broadcast_pending(self, fence: int) -> None:
         self._broadcast_timer = None
         paces = tuple(self._pool.residency.paces.values())
         message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
