--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -329,7 +329,7 @@
             now * MS_PER_SECOND,
         )
         for daemon, known in due.items():
-            self._exchange.tell_expectations(daemon, PoolExpectations(fence, known))
+            self._exchange.send_expectations(daemon, PoolExpectations(fence, known))
 
     def _may_stage(self, now: float) -> bool:
         """Whether no request for a model has been heard of since this daemon began to lead."""
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -171,7 +171,7 @@
         if message.fence >= self._holdings_fence:
             self._pool.expect(message.expected)
 
-    def tell_expectations(self, daemon: str, message: PoolExpectations) -> None:
+    def send_expectations(self, daemon: str, message: PoolExpectations) -> None:
         """Tell one daemon when what its requests wait for should be there."""
         if daemon == self._own.name:
             self._on_expectations(message)
