--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -256,7 +256,7 @@
         )
         if holdings:
             paces = tuple(pace.learned(service) for service, pace in self._paces.items())
-            self._exchange.tell_holdings(PoolHoldings(fence, holdings, paces))
+            self._exchange.broadcast_holdings(PoolHoldings(fence, holdings, paces))
 
     # Orders.
 
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -180,7 +180,7 @@
         if peer is not None:
             self._transport.cast(peer.address, message)
 
-    def tell_holdings(self, message: PoolHoldings) -> None:
+    def broadcast_holdings(self, message: PoolHoldings) -> None:
         """Tell all daemons what servers hold; in a large fleet several changes at once."""
         self._on_holdings(message)
         for holding in message.holdings:
