--- a/features/steps/large_fleet_demand_steps.py
+++ b/features/steps/large_fleet_demand_steps.py
@@ -33,7 +33,7 @@
 def step_reports(context: Any, now: float) -> None:
     context.demand = DemandView()
     waits = TargetDemand(SERVICE, KEY.target, 1, 1.0, 4.0, 4.0)
-    report = PoolDemand(DAEMON, (waits,), (), next_in_ms=context.interval_ms)
+    report = PoolDemand(DAEMON, (waits,), (), next_report_in_ms=context.interval_ms)
     context.demand.note(report, now)
 
 
--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -22,7 +22,7 @@
     demand: tuple[TargetDemand, ...]
     running: tuple[RunningCount, ...]
     store_answers: bool = True
-    next_in_ms: float = 0.0
+    next_report_in_ms: float = 0.0
     unreachable_services: tuple[str, ...] = ()
 
 
--- a/loomwind/placement/demand_view.py
+++ b/loomwind/placement/demand_view.py
@@ -103,7 +103,8 @@
         return [
             report
             for sender, report in self._reports.items()
-            if now - self._heard[sender] < REPORT_GRACE_SECONDS + report.next_in_ms / MS_PER_SECOND
+            if now - self._heard[sender]
+            < REPORT_GRACE_SECONDS + report.next_report_in_ms / MS_PER_SECOND
         ]
 
     def waiting_by_daemon(self, now: float) -> dict[str, list[DemandKey]]:
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -143,7 +143,7 @@
 
     def _on_demand(self, message: PoolDemand) -> None:
         self.inbox.put(message)
-        good_for = REPORT_EXPIRY_INTERVALS * message.next_in_ms / MS_PER_SECOND
+        good_for = REPORT_EXPIRY_INTERVALS * message.next_report_in_ms / MS_PER_SECOND
         self._unreachable_at_peers[message.sender] = UnreachableServices(
             message.unreachable_services, self._now() + good_for
         )
