--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -102,7 +102,7 @@
 
 @then("the store is asked for the list at most {most:d} times a second while daemons come and go")
 def step_looks(context: Any, most: int) -> None:
-    looks = sum(1 / daemon.peers.rest_seconds() for daemon in context.fleet)
+    looks = sum(1 / daemon.peers.poll_interval_seconds() for daemon in context.fleet)
     assert looks <= most, looks
 
 
@@ -114,7 +114,7 @@
 
 @then("standbys look at the list every 0.5 s at the latest")
 def step_standbys_look(context: Any) -> None:
-    rests = [daemon.peers.rest_seconds() for daemon in context.fleet if daemon.is_standby]
+    rests = [daemon.peers.poll_interval_seconds() for daemon in context.fleet if daemon.is_standby]
     assert rests and max(rests) <= 0.5, rests
 
 
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -153,7 +153,7 @@
                 OWN_TABLE,
                 self._health,
                 self._peers.on_rows,
-                self._peers.rest_seconds,
+                self._peers.poll_interval_seconds,
                 self._peers.retry_seconds,
             ),
         )
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -199,7 +199,7 @@
             self._transport.cast(peer.address, message)
 
     def scale_interval(self, seconds: float) -> float:
-        """Return an interval, longer in a large fleet; see :meth:`PeerTable.paced`."""
+        """Return an interval, longer in a large fleet; see :meth:`PeerTable.scale_interval`."""
         return self._peers.scale_interval(seconds)
 
     async def send_demand(self) -> None:
