--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -108,7 +108,7 @@
 
 @then("the store is asked at most {most:d} times a second by each kind of reader while it is away")
 def step_retries(context: Any, most: int) -> None:
-    retries = sum(1 / daemon.peers.retry_seconds() for daemon in context.fleet)
+    retries = sum(1 / daemon.peers.max_retry_seconds() for daemon in context.fleet)
     assert retries <= most, retries
 
 
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -145,7 +145,7 @@
                 self._health,
                 self.beliefs.on_configuration_rows,
                 pace.rest_seconds,
-                self._peers.retry_seconds,
+                self._peers.max_retry_seconds,
                 pace.wait_seconds,
             ),
             TableFollower(
@@ -154,7 +154,7 @@
                 self._health,
                 self._peers.on_rows,
                 self._peers.poll_interval_seconds,
-                self._peers.retry_seconds,
+                self._peers.max_retry_seconds,
             ),
         )
         self._servers = TableFollower(
@@ -162,7 +162,7 @@
             store.server_table,
             self._health,
             self.beliefs.on_server_rows,
-            longest_retry_seconds=self._peers.retry_seconds,
+            longest_retry_seconds=self._peers.max_retry_seconds,
         )
 
     def _make_exchange(self) -> None:
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -122,7 +122,7 @@
     def _leads(self) -> bool:
         return self._election.lease.fence is not None
 
-    def retry_seconds(self) -> float:
+    def max_retry_seconds(self) -> float:
         """Return the longest pause between two calls while the store does not answer.
 
         The daemons that read for others keep the pace of a small fleet.
