--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -67,7 +67,7 @@
         if any(demand.waiting for demand in report.demand):
             self.arrived.set()
 
-    def take(self) -> list[PoolDemand]:
+    def drain(self) -> list[PoolDemand]:
         """Return the reports, oldest first, and forget them."""
         reports = list(self._reports)
         self._reports.clear()
