--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -80,7 +80,7 @@
 
     def _take_demand(self) -> None:
         """Take in what daemons have told since the last step."""
-        for report in self._exchange.inbox.take():
+        for report in self._exchange.inbox.drain():
             self._demand.note(report, self._now())
             self._doubt_holders(report)
             self._reported.add(report.sender)
