--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -99,7 +99,7 @@
     :param teller: ``host:port`` of the daemon for peers.
     """
 
-    teller: str
+    sender: str
     version: int
 
 
@@ -185,7 +185,7 @@
     :param teller: ``host:port`` of the daemon for peers.
     """
 
-    teller: str
+    sender: str
     departures: tuple[ServerDeparture, ...]
 
 
@@ -210,7 +210,7 @@
     :param teller: ``host:port`` of the daemon for peers.
     """
 
-    teller: str
+    sender: str
     crashes: tuple[PromptCrash, ...]
 
 
--- a/loomwind/serving/beliefs.py
+++ b/loomwind/serving/beliefs.py
@@ -51,7 +51,7 @@
 
     source: Source
     version: int
-    teller: str = ""
+    sender: str = ""
 
 
 class Beliefs:
@@ -108,7 +108,7 @@
             if row.key == self._configuration_key and not row.gone:
                 self._apply(row.value, Origin(source, row.version))
 
-    def on_configuration_copy(self, copy: ConfigurationCopy, teller: str) -> None:
+    def on_configuration_copy(self, copy: ConfigurationCopy, sender: str) -> None:
         """Take in what a peer has sent.
 
         :param teller: the peer's ``host:port``, for the log.
@@ -118,9 +118,9 @@
         try:
             document = zlib.decompress(copy.document)
         except zlib.error as error:
-            log_state("configuration", "unreadable", error=str(error), teller=teller)
+            log_state("configuration", "unreadable", error=str(error), teller=sender)
             return
-        self._apply(document, Origin(Source.PEER, 0, teller))
+        self._apply(document, Origin(Source.PEER, 0, sender))
 
     def _apply(self, document: bytes, origin: Origin) -> None:
         """Put a configuration in force, unless one as new is in force already."""
@@ -141,7 +141,7 @@
             "in-force",
             version=configuration.version,
             source=source,
-            teller=origin.teller,
+            teller=origin.sender,
             row_version=origin.version,
         )
         self.pool.demand.wake()
@@ -171,7 +171,7 @@
                 self._put(row.key, row.value, origin)
         self._note_servers(snapshot.version)
 
-    def on_directory_copy(self, copy: DirectoryCopy, teller: str = "") -> None:
+    def on_directory_copy(self, copy: DirectoryCopy, sender: str = "") -> None:
         """Take in a peer's list of servers, if it is newer.
 
         :param teller: the peer's ``host:port``, for the log.
@@ -179,7 +179,7 @@
         if copy.version <= self.server_version:
             return
         trouble = copy.store_in_trouble or self._health.in_trouble(self._now())
-        origin = Origin(Source.PEER, copy.version, teller)
+        origin = Origin(Source.PEER, copy.version, sender)
         self._drop_all_but(copy.listed, trouble, origin)
         for server in copy.servers:
             self._put(server.name, server.document, origin)
@@ -197,7 +197,7 @@
             if self.pool.directory.note_departure(
                 departure.name, departure.instance, departure.version
             ):
-                origin = Origin(Source.GOSSIP, departure.version, notice.teller)
+                origin = Origin(Source.GOSSIP, departure.version, notice.sender)
                 self._log_server("departing", departure.instance, origin)
                 self._departures.append(departure)
         self._tell_departures()
@@ -289,7 +289,7 @@
             state,
             server=server,
             source=origin.source.value,
-            teller=origin.teller,
+            teller=origin.sender,
             list_version=origin.version,
             list_age_ms=round(self.list_age_ms) if math.isfinite(self.list_age_ms) else None,
             **fields,
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -86,18 +86,18 @@
             await self._heard.wait()
             self._heard.clear()
             while self._tellers and self._heard_version > self._beliefs.configuration_version:
-                teller = self._tellers.pop(0)
+                sender = self._tellers.pop(0)
                 try:
-                    await self._fetch(teller)
+                    await self._fetch(sender)
                 except Exception as error:
-                    log_state("configuration", "failed", teller=teller, error=repr(error))
+                    log_state("configuration", "failed", teller=sender, error=repr(error))
 
-    async def _fetch(self, teller: str) -> None:
+    async def _fetch(self, sender: str) -> None:
         question = ConfigurationQuestion(self._beliefs.configuration_version)
         try:
-            copy = await self._transport.call(teller, question, FETCH_TIMEOUT_SECONDS)
+            copy = await self._transport.call(sender, question, FETCH_TIMEOUT_SECONDS)
         except PeerUnreachable as error:
-            log_state("configuration", "not-fetched", teller=teller, reason=str(error))
+            log_state("configuration", "not-fetched", teller=sender, reason=str(error))
             return
         if isinstance(copy, ConfigurationCopy):
-            self._beliefs.on_configuration_copy(copy, teller)
+            self._beliefs.on_configuration_copy(copy, sender)
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -61,7 +61,7 @@
         identities = {crash.identity for crash in message.crashes}
         good = tuple(each for each in sorted(identities) if self._suspicions.is_good(each, now_ms))
         if good:
-            self._transport.cast(message.teller, PromptsAnswered(good))
+            self._transport.cast(message.sender, PromptsAnswered(good))
         self._take_crashes(message.crashes)
 
     def on_answered(self, message: PromptsAnswered) -> None:
