--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -39,7 +39,7 @@
         self._changed = asyncio.Event()
         self._heard = asyncio.Event()
         self._heard_version = 0
-        self._tellers: list[str] = []
+        self._sources: list[str] = []
         beliefs.configuration_listeners.append(self._changed.set)
 
     async def run(self) -> None:
@@ -77,16 +77,16 @@
             return
         if version > self._heard_version:
             self._heard_version = version
-            self._tellers.clear()
-        self._tellers.append(address)
+            self._sources.clear()
+        self._sources.append(address)
         self._heard.set()
 
     async def _fetch_news(self) -> None:
         while True:
             await self._heard.wait()
             self._heard.clear()
-            while self._tellers and self._heard_version > self._beliefs.configuration_version:
-                sender = self._tellers.pop(0)
+            while self._sources and self._heard_version > self._beliefs.configuration_version:
+                sender = self._sources.pop(0)
                 try:
                     await self._fetch(sender)
                 except Exception as error:
