--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -38,7 +38,7 @@
         self._beliefs = beliefs
         self._changed = asyncio.Event()
         self._heard = asyncio.Event()
-        self._heard_version = 0
+        self._newest_known_version = 0
         self._sources: list[str] = []
         beliefs.configuration_listeners.append(self._changed.set)
 
@@ -73,10 +73,10 @@
         own = self._beliefs.configuration_version
         if version < own:
             self._tell(address)
-        if version <= max(own, self._heard_version - 1):
+        if version <= max(own, self._newest_known_version - 1):
             return
-        if version > self._heard_version:
-            self._heard_version = version
+        if version > self._newest_known_version:
+            self._newest_known_version = version
             self._sources.clear()
         self._sources.append(address)
         self._heard.set()
@@ -85,7 +85,9 @@
         while True:
             await self._heard.wait()
             self._heard.clear()
-            while self._sources and self._heard_version > self._beliefs.configuration_version:
+            while (
+                self._sources and self._newest_known_version > self._beliefs.configuration_version
+            ):
                 sender = self._sources.pop(0)
                 try:
                     await self._fetch(sender)
