--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -37,7 +37,7 @@
         self._peers = peers
         self._beliefs = beliefs
         self._changed = asyncio.Event()
-        self._heard = asyncio.Event()
+        self._version_announced = asyncio.Event()
         self._newest_known_version = 0
         self._sources: list[str] = []
         beliefs.configuration_listeners.append(self._changed.set)
@@ -79,12 +79,12 @@
             self._newest_known_version = version
             self._sources.clear()
         self._sources.append(address)
-        self._heard.set()
+        self._version_announced.set()
 
     async def _fetch_news(self) -> None:
         while True:
-            await self._heard.wait()
-            self._heard.clear()
+            await self._version_announced.wait()
+            self._version_announced.clear()
             while (
                 self._sources and self._newest_known_version > self._beliefs.configuration_version
             ):
