--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -45,12 +45,12 @@
     async def run(self) -> None:
         """Tell and fetch for ever."""
         async with asyncio.TaskGroup() as work:
-            work.create_task(self._tell_changes())
+            work.create_task(self._announce_changes())
             work.create_task(self._fetch_news())
 
     # What this daemon says.
 
-    async def _tell_changes(self) -> None:
+    async def _announce_changes(self) -> None:
         while True:
             await self._changed.wait()
             self._changed.clear()
