--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -46,7 +46,7 @@
         """Tell and fetch for ever."""
         async with asyncio.TaskGroup() as work:
             work.create_task(self._announce_changes())
-            work.create_task(self._fetch_news())
+            work.create_task(self._fetch_newer())
 
     # What this daemon says.
 
@@ -81,7 +81,7 @@
         self._sources.append(address)
         self._version_announced.set()
 
-    async def _fetch_news(self) -> None:
+    async def _fetch_newer(self) -> None:
         while True:
             await self._version_announced.wait()
             self._version_announced.clear()
