--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -55,10 +55,10 @@
             await self._changed.wait()
             self._changed.clear()
             for peer in self._peers.fingers():
-                self._tell(peer.address)
+                self._send_notice(peer.address)
             await asyncio.sleep(TELL_PAUSE_SECONDS)
 
-    def _tell(self, address: str) -> None:
+    def _send_notice(self, address: str) -> None:
         version = self._beliefs.configuration_version
         self._transport.cast(address, ConfigurationNotice(self._own_address, version))
 
@@ -72,7 +72,7 @@
         """Take in which version a peer has in force; one that has an older one is told."""
         own = self._beliefs.configuration_version
         if version < own:
-            self._tell(address)
+            self._send_notice(address)
         if version <= max(own, self._newest_known_version - 1):
             return
         if version > self._newest_known_version:
