--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -19,7 +19,7 @@
 from loomwind.serving.peers import PeerTable
 
 # Versions that come within this time are told as one.
-TELL_PAUSE_SECONDS = 0.05
+NOTICE_BATCH_SECONDS = 0.05
 FETCH_TIMEOUT_SECONDS = 0.5
 
 
@@ -56,7 +56,7 @@
             self._changed.clear()
             for peer in self._peers.fingers():
                 self._send_notice(peer.address)
-            await asyncio.sleep(TELL_PAUSE_SECONDS)
+            await asyncio.sleep(NOTICE_BATCH_SECONDS)
 
     def _send_notice(self, address: str) -> None:
         version = self._beliefs.configuration_version
