--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -60,7 +60,7 @@
     )
     task = asyncio.ensure_future(gossip.run())
     for address, version in (("peer:1", 4), ("peer:2", 5)):
-        gossip.note_version(address, version)
+        gossip.record_peer_version(address, version)
         await asyncio.sleep(SETTLE_SECONDS)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -63,7 +63,7 @@
         """Send a peer what it lacks, and ask it for what is lacked here if no other is known."""
         if not self._peers.others():
             self._transport.cast(digest.sender, self._own_digest())
-        self._configurations.note_version(digest.sender, digest.configuration_version)
+        self._configurations.record_peer_version(digest.sender, digest.configuration_version)
         own_crashes = self._prompts.digest()
         if own_crashes and own_crashes != digest.prompt_crashes:
             self._transport.cast(digest.sender, self._prompts.all_crashes())
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -68,7 +68,7 @@
 
     # What this daemon hears.
 
-    def note_version(self, address: str, version: int) -> None:
+    def record_peer_version(self, address: str, version: int) -> None:
         """Take in which version a peer has in force; one that has an older one is told."""
         own = self._beliefs.configuration_version
         if version < own:
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -263,7 +263,7 @@
                 self._client,
                 deployment.dialect,
                 self.metrics,
-                self._configurations.note_version,
+                self._configurations.record_peer_version,
             ),
             self._prompts,
         )
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -128,7 +128,7 @@
             case PoolDigest():
                 self._anti_entropy.on_digest(message)
             case ConfigurationNotice():
-                self._configurations.note_version(message.sender, message.version)
+                self._configurations.record_peer_version(message.sender, message.version)
             case ConfigurationQuestion():
                 return self._configurations.answer(message)
             case DirectoryCopy():
