--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -22,9 +22,9 @@
         self._own_address = own_address
         self._transport = transport
         self._peers = peers
-        beliefs.on_departures = self.tell
+        beliefs.on_departures = self.broadcast
 
-    def tell(self, departures: tuple[ServerDeparture, ...]) -> None:
+    def broadcast(self, departures: tuple[ServerDeparture, ...]) -> None:
         """Pass on what this daemon has just learned."""
         notice = ServerDepartures(self._own_address, departures)
         for peer in self._peers.fingers():
