--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -13,7 +13,7 @@
 from loomwind.serving.prompt_guard import PromptGuard
 
 # Until any peer is known: a daemon that has just started lacks what the others have learned.
-FIRST_PEER_SECONDS = 0.05
+NO_PEERS_POLL_SECONDS = 0.05
 
 
 class AntiEntropy:
@@ -45,7 +45,7 @@
         while True:
             others = self._peers.others()
             if not others:
-                await asyncio.sleep(FIRST_PEER_SECONDS)
+                await asyncio.sleep(NO_PEERS_POLL_SECONDS)
                 continue
             self._transport.cast(random.choice(others).address, self._own_digest())
             await asyncio.sleep(constants.POOL_DIGEST_INTERVAL_SECONDS)
