--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -57,7 +57,7 @@
     def _store_answers(self) -> bool:
         return self._health.answering_since is not None
 
-    async def tell(self) -> None:
+    async def announce(self) -> None:
         """Tell standbys of each renewal for ever, and all daemons of each change of the leader."""
         while True:
             await self._election.wrote.wait()
