--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -295,7 +295,7 @@
         self._spawn(self._configurations.run())
         self._spawn(self._server_list.run())
         self._spawn(self._watch.watch())
-        self._spawn(self._watch.tell())
+        self._spawn(self._watch.announce())
         self._spawn(self._store.log_calls())
         log_state("daemon", "started", name=self.settings.name, life=self._own.life)
 
