--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -96,7 +96,7 @@
 class ConfigurationNotice(Message, frozen=True, tag=True, array_like=True):
     """Told by a daemon that has a version of the configuration in force.
 
-    :param teller: ``host:port`` of the daemon for peers.
+    :param sender: ``host:port`` of the daemon for peers.
     """
 
     sender: str
@@ -182,7 +182,7 @@
 class ServerDepartures(Message, frozen=True, tag=True, array_like=True):
     """Told by a daemon that has just learned which servers leave.
 
-    :param teller: ``host:port`` of the daemon for peers.
+    :param sender: ``host:port`` of the daemon for peers.
     """
 
     sender: str
@@ -207,7 +207,7 @@
 class PromptCrashes(Message, frozen=True, tag=True, array_like=True):
     """Told by a daemon that has just learned of crashes, or that knows more than a peer.
 
-    :param teller: ``host:port`` of the daemon for peers.
+    :param sender: ``host:port`` of the daemon for peers.
     """
 
     sender: str
--- a/loomwind/serving/beliefs.py
+++ b/loomwind/serving/beliefs.py
@@ -46,7 +46,7 @@
 
     :param version: the store's version that the list stands at with the change, or that wrote the
         configuration; 0 when a peer did not say.
-    :param teller: the peer's ``host:port``; empty when the store itself has told.
+    :param sender: the peer's ``host:port``; empty when the store itself has told.
     """
 
     source: Source
@@ -111,7 +111,7 @@
     def on_configuration_copy(self, copy: ConfigurationCopy, sender: str) -> None:
         """Take in what a peer has sent.
 
-        :param teller: the peer's ``host:port``, for the log.
+        :param sender: the peer's ``host:port``, for the log.
         """
         if copy.version <= self.configuration_version:
             return
@@ -174,7 +174,7 @@
     def on_directory_copy(self, copy: DirectoryCopy, sender: str = "") -> None:
         """Take in a peer's list of servers, if it is newer.
 
-        :param teller: the peer's ``host:port``, for the log.
+        :param sender: the peer's ``host:port``, for the log.
         """
         if copy.version <= self.server_version:
             return
