--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -90,7 +90,7 @@
         """See for ever who leads."""
         while True:
             try:
-                await self._look()
+                await self._check_leader()
             except Exception as error:
                 log_state("election", "watch-failed", error=repr(error))
             try:
@@ -104,7 +104,7 @@
         jitter = random.uniform(1 - QUESTION_JITTER, 1 + QUESTION_JITTER)
         return jitter * self._peers.scale_interval(constants.LEADER_QUESTION_SECONDS)
 
-    async def _look(self) -> None:
+    async def _check_leader(self) -> None:
         """Ask the holder, and read the row when that does not settle who leads."""
         holder = self._election.lease.holder
         if holder is not None and holder.life == self._own.life:
