--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -112,7 +112,7 @@
             return
         doubted = self._doubted.is_set()
         self._doubted.clear()
-        if not doubted and holder is not None and await self._leads(holder):
+        if not doubted and holder is not None and await self._confirms_leadership(holder):
             return
         before = self._election.lease.holder
         await self._election.read_row()
@@ -120,7 +120,7 @@
             self._demand.new_demand.set()
         await asyncio.sleep(ROW_READ_PAUSE_SECONDS)
 
-    async def _leads(self, holder: LeaseHolder) -> bool:
+    async def _confirms_leadership(self, holder: LeaseHolder) -> bool:
         """Whether the holder says that it leads and reaches the store."""
         try:
             answer = await self._transport.call(
