--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -43,7 +43,7 @@
         self._election = election
         self._health = health
         self._demand = demand
-        self._doubted = asyncio.Event()
+        self._check_requested = asyncio.Event()
         self._told_fence: int | None = None
         self._told_store_answers = True
 
@@ -84,7 +84,7 @@
         if notice.holder is not None and notice.holder != known:
             self._demand.new_demand.set()
         if not notice.store_answers:
-            self._doubted.set()
+            self._check_requested.set()
 
     async def watch(self) -> None:
         """See for ever who leads."""
@@ -95,7 +95,7 @@
                 log_state("election", "watch-failed", error=repr(error))
             try:
                 async with asyncio.timeout(self._pause_seconds()):
-                    await self._doubted.wait()
+                    await self._check_requested.wait()
             except TimeoutError:
                 pass
 
@@ -108,10 +108,10 @@
         """Ask the holder, and read the row when that does not settle who leads."""
         holder = self._election.lease.holder
         if holder is not None and holder.life == self._own.life:
-            self._doubted.clear()
+            self._check_requested.clear()
             return
-        doubted = self._doubted.is_set()
-        self._doubted.clear()
+        doubted = self._check_requested.is_set()
+        self._check_requested.clear()
         if not doubted and holder is not None and await self._confirms_leadership(holder):
             return
         before = self._election.lease.holder
