--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -45,7 +45,7 @@
         self._demand = demand
         self._check_requested = asyncio.Event()
         self._announced_fence: int | None = None
-        self._told_store_answers = True
+        self._announced_store_answers = True
 
     # What this daemon says.
 
@@ -69,9 +69,9 @@
             notice = LeaseNotice(holder, lease.version, self._store_answers())
             news = (lease.fence, notice.store_answers) != (
                 self._announced_fence,
-                self._told_store_answers,
+                self._announced_store_answers,
             )
-            self._announced_fence, self._told_store_answers = lease.fence, notice.store_answers
+            self._announced_fence, self._announced_store_answers = lease.fence, notice.store_answers
             for peer in self._peers.others() if news else self._peers.standbys():
                 self._transport.cast(peer.address, notice)
 
