--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -128,17 +128,17 @@
             )
         except PeerUnreachable as error:
             if error.refused:
-                self._note_dead(holder)
+                self._record_dead(holder)
             return False
         if not isinstance(answer, LeaderAnswer):
             return False
         if answer.life != holder.life:
-            self._note_dead(holder)
+            self._record_dead(holder)
             return False
         if answer.lease_version:
             self._election.note_heard(answer.lease_version, holder)
         return answer.lease_version > 0 and answer.store_answers
 
-    def _note_dead(self, holder: LeaseHolder) -> None:
+    def _record_dead(self, holder: LeaseHolder) -> None:
         log_state("election", "holder-ended", holder=holder.name, life=holder.life)
         self._election.lease.note_dead(holder.life, asyncio.get_running_loop().time())
