--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -94,12 +94,12 @@
             except Exception as error:
                 log_state("election", "watch-failed", error=repr(error))
             try:
-                async with asyncio.timeout(self._pause_seconds()):
+                async with asyncio.timeout(self._check_interval_seconds()):
                     await self._check_requested.wait()
             except TimeoutError:
                 pass
 
-    def _pause_seconds(self) -> float:
+    def _check_interval_seconds(self) -> float:
         """Return the time until the leader is asked again."""
         jitter = random.uniform(1 - QUESTION_JITTER, 1 + QUESTION_JITTER)
         return jitter * self._peers.scale_interval(constants.LEADER_QUESTION_SECONDS)
