--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -67,12 +67,12 @@
             if holder is not None and holder.life != self._own.life:
                 continue
             notice = LeaseNotice(holder, lease.version, self._store_answers())
-            news = (lease.fence, notice.store_answers) != (
+            changed = (lease.fence, notice.store_answers) != (
                 self._announced_fence,
                 self._announced_store_answers,
             )
             self._announced_fence, self._announced_store_answers = lease.fence, notice.store_answers
-            for peer in self._peers.others() if news else self._peers.standbys():
+            for peer in self._peers.others() if changed else self._peers.standbys():
                 self._transport.cast(peer.address, notice)
 
     # What this daemon hears.
