--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -12,7 +12,7 @@
 from loomwind.serving.peer_exchange import PeerExchange
 from loomwind.serving.pool import ServerPool
 
-LOOK_MS = 250.0
+CHECK_INTERVAL_MS = 250.0
 # A probe comes each quarter of a second: so many must have failed that no chance explains it.
 HAND_OVER_AFTER_MS = 1000.0
 # A daemon that is cut takes a free lease only when no other has by then.
@@ -51,7 +51,7 @@
                 reason = "model servers are not reached, and are by peers"
                 log_state("election", "steps-down", reason=reason, cut=elsewhere)
                 await self._step_down()
-            await self._clock.sleep_ms(LOOK_MS)
+            await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def _cut_services(self) -> list[str]:
         """Return the services with models whose servers were not reached for a while."""
