--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -14,7 +14,7 @@
 
 CHECK_INTERVAL_MS = 250.0
 # A probe comes each quarter of a second: so many must have failed that no chance explains it.
-HAND_OVER_AFTER_MS = 1000.0
+STEP_DOWN_AFTER_MS = 1000.0
 # A daemon that is cut takes a free lease only when no other has by then.
 CUT_TAKER_SECONDS = 3.0
 
@@ -58,7 +58,7 @@
         configuration = self._beliefs.configuration
         if configuration is None:
             return []
-        long_ago_ms = self._clock.now_ms() - HAND_OVER_AFTER_MS
+        long_ago_ms = self._clock.now_ms() - STEP_DOWN_AFTER_MS
         with_models = [each.name for each in configuration.services if each.engine is not None]
         reaches = {name: self._pool.connectivity_of(name) for name in with_models}
         return [
