--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -16,7 +16,7 @@
 # A probe comes each quarter of a second: so many must have failed that no chance explains it.
 STEP_DOWN_AFTER_MS = 1000.0
 # A daemon that is cut takes a free lease only when no other has by then.
-CUT_TAKER_SECONDS = 3.0
+UNREACHABLE_DELAY_SECONDS = 3.0
 
 
 class LeaderStepDown:
@@ -45,7 +45,7 @@
         """Look for ever."""
         while True:
             cut = self._cut_services()
-            self._election.cut_seconds = CUT_TAKER_SECONDS if cut else 0.0
+            self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if cut else 0.0
             elsewhere = [each for each in cut if self._exchange.is_reachable_by_peers(each)]
             if elsewhere and self._election.leads():
                 reason = "model servers are not reached, and are by peers"
