--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -44,7 +44,7 @@
     async def run(self) -> None:
         """Look for ever."""
         while True:
-            cut = self._cut_services()
+            cut = self._unreachable_services()
             self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if cut else 0.0
             elsewhere = [each for each in cut if self._exchange.is_reachable_by_peers(each)]
             if elsewhere and self._election.leads():
@@ -53,7 +53,7 @@
                 await self._step_down()
             await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def _cut_services(self) -> list[str]:
+    def _unreachable_services(self) -> list[str]:
         """Return the services with models whose servers were not reached for a while."""
         configuration = self._beliefs.configuration
         if configuration is None:
