--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -58,13 +58,13 @@
         configuration = self._beliefs.configuration
         if configuration is None:
             return []
-        long_ago_ms = self._clock.now_ms() - STEP_DOWN_AFTER_MS
+        failing_before_ms = self._clock.now_ms() - STEP_DOWN_AFTER_MS
         with_models = [each.name for each in configuration.services if each.engine is not None]
         reaches = {name: self._pool.connectivity_of(name) for name in with_models}
         return [
             name
             for name, reach in reaches.items()
-            if reach.is_unreachable and reach.failing_since_ms < long_ago_ms
+            if reach.is_unreachable and reach.failing_since_ms < failing_before_ms
         ]
 
     async def _step_down(self) -> None:
