--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -60,10 +60,10 @@
             return []
         failing_before_ms = self._clock.now_ms() - STEP_DOWN_AFTER_MS
         with_models = [each.name for each in configuration.services if each.engine is not None]
-        reaches = {name: self._pool.connectivity_of(name) for name in with_models}
+        connectivities = {name: self._pool.connectivity_of(name) for name in with_models}
         return [
             name
-            for name, reach in reaches.items()
+            for name, reach in connectivities.items()
             if reach.is_unreachable and reach.failing_since_ms < failing_before_ms
         ]
 
