--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -63,8 +63,8 @@
         connectivities = {name: self._pool.connectivity_of(name) for name in with_models}
         return [
             name
-            for name, reach in connectivities.items()
-            if reach.is_unreachable and reach.failing_since_ms < failing_before_ms
+            for name, connectivity in connectivities.items()
+            if connectivity.is_unreachable and connectivity.failing_since_ms < failing_before_ms
         ]
 
     async def _step_down(self) -> None:
