--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -44,9 +44,9 @@
     async def run(self) -> None:
         """Look for ever."""
         while True:
-            cut = self._unreachable_services()
-            self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if cut else 0.0
-            elsewhere = [each for each in cut if self._exchange.is_reachable_by_peers(each)]
+            unreachable = self._unreachable_services()
+            self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
+            elsewhere = [each for each in unreachable if self._exchange.is_reachable_by_peers(each)]
             if elsewhere and self._election.leads():
                 reason = "model servers are not reached, and are by peers"
                 log_state("election", "steps-down", reason=reason, cut=elsewhere)
