--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -44,8 +44,8 @@
         """Return servers to connect to: those first that have not failed."""
         entries = self._pool.directory.usable(service, self._pool.now())
         random.shuffle(entries)
-        reach = self._pool.connectivity_of(service)
-        entries.sort(key=lambda entry: reach.has_failed(entry.instance))
+        connectivity = self._pool.connectivity_of(service)
+        entries.sort(key=lambda entry: connectivity.has_failed(entry.instance))
         return entries[:MIN_FAILED_SERVERS]
 
     async def _connect(self, entry: ServerEntry) -> None:
