--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -13,7 +13,7 @@
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.views import ServerEntry
 
-PAUSE_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 
 
 class ConnectivityProbe:
@@ -32,7 +32,7 @@
                 async with asyncio.TaskGroup() as group:
                     for service in services:
                         group.create_task(self._probe(service))
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def _probe(self, service: str) -> None:
         """Connect to a few servers at once."""
