--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -38,7 +38,7 @@
         self._service = service
         self._on_doubt = on_doubt
         self._on_regained = on_regained
-        self._doubted = False
+        self._probe_requested = False
         self._known = 0
         self._heard_at = float("-inf")
         self._failed: set[str] = set()
@@ -65,7 +65,7 @@
     @property
     def needs_probe(self) -> bool:
         """Whether a connect should tell whether the servers are reached."""
-        return self._doubted or bool(self._failed)
+        return self._probe_requested or bool(self._failed)
 
     @property
     def failing_since_ms(self) -> float:
@@ -88,7 +88,7 @@
         """A server accepted a new connection."""
         regained = self.is_unreachable
         self._failed.clear()
-        self._doubted = False
+        self._probe_requested = False
         self._tell(now_ms)
         if regained:
             self._on_regained()
@@ -104,7 +104,7 @@
 
     def request_probe(self) -> None:
         """Let it be found out whether the servers are reached."""
-        self._doubted = True
+        self._probe_requested = True
         self._on_doubt()
 
     def set_servers(self, known: set[str]) -> None:
@@ -112,7 +112,7 @@
         self._known = len(known)
         self._failed &= known
         if not known:
-            self._doubted = False
+            self._probe_requested = False
 
     def _tell(self, now_ms: float) -> None:
         """Log a change between a cut and what is none."""
