--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -36,7 +36,7 @@
         :param on_regained: called when a cut has ended.
         """
         self._service = service
-        self._on_doubt = on_doubt
+        self._on_probe_needed = on_doubt
         self._on_regained = on_regained
         self._probe_requested = False
         self._known = 0
@@ -105,7 +105,7 @@
     def request_probe(self) -> None:
         """Let it be found out whether the servers are reached."""
         self._probe_requested = True
-        self._on_doubt()
+        self._on_probe_needed()
 
     def set_servers(self, known: set[str]) -> None:
         """Take in which servers are listed now; one that has gone says nothing any more."""
