--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -27,7 +27,7 @@
     def __init__(
         self,
         service: str = "",
-        on_doubt: Callable[[], None] = lambda: None,
+        on_probe_needed: Callable[[], None] = lambda: None,
         on_regained: Callable[[], None] = lambda: None,
     ) -> None:
         """Begin with servers that are reached.
@@ -36,7 +36,7 @@
         :param on_regained: called when a cut has ended.
         """
         self._service = service
-        self._on_probe_needed = on_doubt
+        self._on_probe_needed = on_probe_needed
         self._on_regained = on_regained
         self._probe_requested = False
         self._known = 0
