--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -37,7 +37,7 @@
         """
         self._service = service
         self._on_probe_needed = on_probe_needed
-        self._on_regained = on_regained
+        self._on_recovered = on_regained
         self._probe_requested = False
         self._known = 0
         self._heard_at = float("-inf")
@@ -91,7 +91,7 @@
         self._probe_requested = False
         self._tell(now_ms)
         if regained:
-            self._on_regained()
+            self._on_recovered()
 
     def record_received(self, now: float) -> None:
         """Something has come from a server, at a time in seconds."""
