--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -28,7 +28,7 @@
         self,
         service: str = "",
         on_probe_needed: Callable[[], None] = lambda: None,
-        on_regained: Callable[[], None] = lambda: None,
+        on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
         """Begin with servers that are reached.
 
@@ -37,7 +37,7 @@
         """
         self._service = service
         self._on_probe_needed = on_probe_needed
-        self._on_recovered = on_regained
+        self._on_recovered = on_recovered
         self._probe_requested = False
         self._known = 0
         self._heard_at = float("-inf")
