--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -86,11 +86,11 @@
 
     def record_connected(self, now_ms: float) -> None:
         """A server accepted a new connection."""
-        regained = self.is_unreachable
+        recovered = self.is_unreachable
         self._failed.clear()
         self._probe_requested = False
         self._tell(now_ms)
-        if regained:
+        if recovered:
             self._on_recovered()
 
     def record_received(self, now: float) -> None:
