--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -40,7 +40,7 @@
         self._on_recovered = on_recovered
         self._probe_requested = False
         self._known = 0
-        self._heard_at = float("-inf")
+        self._last_received_at = float("-inf")
         self._failed: set[str] = set()
         self._failing_since_ms = 0.0
         self._told = ConnectivityState.REACHABLE
@@ -95,11 +95,11 @@
 
     def record_received(self, now: float) -> None:
         """Something has come from a server, at a time in seconds."""
-        self._heard_at = now
+        self._last_received_at = now
 
     def record_no_answer(self, since: float) -> None:
         """A server has not answered a request that it was sent at a time, in seconds."""
-        if self._heard_at < since:
+        if self._last_received_at < since:
             self.request_probe()
 
     def request_probe(self) -> None:
