--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -43,7 +43,7 @@
         self._last_received_at = float("-inf")
         self._failed: set[str] = set()
         self._failing_since_ms = 0.0
-        self._told = ConnectivityState.REACHABLE
+        self._logged_state = ConnectivityState.REACHABLE
 
     @property
     def state(self) -> ConnectivityState:
@@ -118,10 +118,10 @@
         """Log a change between a cut and what is none."""
         state = self.state
         if (state is ConnectivityState.UNREACHABLE) == (
-            self._told is ConnectivityState.UNREACHABLE
+            self._logged_state is ConnectivityState.UNREACHABLE
         ):
             return
-        self._told = state
+        self._logged_state = state
         log_state(
             "reach",
             state.value,
