--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -81,7 +81,7 @@
         if not self._failed:
             self._failing_since_ms = now_ms
         self._failed.add(instance)
-        self._tell(now_ms)
+        self._log_transition(now_ms)
         self.request_probe()
 
     def record_connected(self, now_ms: float) -> None:
@@ -89,7 +89,7 @@
         recovered = self.is_unreachable
         self._failed.clear()
         self._probe_requested = False
-        self._tell(now_ms)
+        self._log_transition(now_ms)
         if recovered:
             self._on_recovered()
 
@@ -114,7 +114,7 @@
         if not known:
             self._probe_requested = False
 
-    def _tell(self, now_ms: float) -> None:
+    def _log_transition(self, now_ms: float) -> None:
         """Log a change between a cut and what is none."""
         state = self.state
         if (state is ConnectivityState.UNREACHABLE) == (
