--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -39,7 +39,7 @@
         self._on_probe_needed = on_probe_needed
         self._on_recovered = on_recovered
         self._probe_requested = False
-        self._known = 0
+        self._known_count = 0
         self._last_received_at = float("-inf")
         self._failed: set[str] = set()
         self._failing_since_ms = 0.0
@@ -50,7 +50,7 @@
         """Return what is believed now."""
         if not self._failed:
             return ConnectivityState.REACHABLE
-        needed = min(MIN_FAILED_SERVERS, max(1, self._known))
+        needed = min(MIN_FAILED_SERVERS, max(1, self._known_count))
         return (
             ConnectivityState.UNREACHABLE
             if len(self._failed) >= needed
@@ -109,7 +109,7 @@
 
     def set_servers(self, known: set[str]) -> None:
         """Take in which servers are listed now; one that has gone says nothing any more."""
-        self._known = len(known)
+        self._known_count = len(known)
         self._failed &= known
         if not known:
             self._probe_requested = False
@@ -127,6 +127,6 @@
             state.value,
             service=self._service,
             failed=sorted(self._failed),
-            known=self._known,
+            known=self._known_count,
             failing_ms=round(now_ms - self._failing_since_ms),
         )
