--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -20,7 +20,7 @@
 Answer = TypeVar("Answer")
 
 # One line of a daemon each time; a day's calls can be told from the last one.
-LINE_INTERVAL_SECONDS = 5.0
+LOG_INTERVAL_SECONDS = 5.0
 
 
 class MeteredStore(Store):
@@ -62,7 +62,7 @@
         """Say for ever, now and then, which calls this life has made so far."""
         said = 0
         while True:
-            await asyncio.sleep(LINE_INTERVAL_SECONDS)
+            await asyncio.sleep(LOG_INTERVAL_SECONDS)
             if self._calls.total() != said:
                 said = self._calls.total()
                 log_state("store", "calls", life=self._life, calls=dict(self._calls))
