--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -60,11 +60,11 @@
 
     async def log_calls(self) -> None:
         """Say for ever, now and then, which calls this life has made so far."""
-        said = 0
+        logged_total = 0
         while True:
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
-            if self._calls.total() != said:
-                said = self._calls.total()
+            if self._calls.total() != logged_total:
+                logged_total = self._calls.total()
                 log_state("store", "calls", life=self._life, calls=dict(self._calls))
 
     async def _metered(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
