--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -68,7 +68,7 @@
                 log_state("store", "calls", life=self._life, calls=dict(self._calls))
 
     async def _metered(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
-        began_ms = self._clock.now_ms()
+        start_ms = self._clock.now_ms()
         result = "cancelled"
         try:
             answer = await work
@@ -84,7 +84,7 @@
             result = "unknown" if error.unknown else "unavailable"
             raise
         finally:
-            seconds = (self._clock.now_ms() - began_ms) / MS_PER_SECOND
+            seconds = (self._clock.now_ms() - start_ms) / MS_PER_SECOND
             self._calls[f"{call} {table} {result}"] += 1
             self._metrics.store_calls.labels(call, table, result).inc()
             if call != "changes":
