--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -46,17 +46,17 @@
 
     async def read(self, table: str) -> Snapshot:
         """Return a whole table; see :meth:`Store.read`."""
-        return await self._metered("read", table, self._inner.read(table))
+        return await self._measure("read", table, self._inner.read(table))
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
         """Return what changed; see :meth:`Store.changes`."""
         work = self._inner.changes(table, after, wait_seconds)
-        return await self._metered("changes", table, work)
+        return await self._measure("changes", table, work)
 
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
         """Write a row; see :meth:`Store.write`."""
         work = self._inner.write(table, write, timeout_seconds)
-        return await self._metered("write", table, work)
+        return await self._measure("write", table, work)
 
     async def log_calls(self) -> None:
         """Say for ever, now and then, which calls this life has made so far."""
@@ -67,7 +67,7 @@
                 logged_total = self._calls.total()
                 log_state("store", "calls", life=self._life, calls=dict(self._calls))
 
-    async def _metered(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
+    async def _measure(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
         start_ms = self._clock.now_ms()
         result = "cancelled"
         try:
