--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -18,7 +18,7 @@
     from loomwind.serving.handler import RequestHandler
 
 # Peers that are asked to serve one request; then it is tried from here, as it would be otherwise.
-MOST_PEERS_ASKED = 4
+MAX_PEERS_ASKED = 4
 
 
 class PeerAttempts:
@@ -59,7 +59,7 @@
     def next_peer(self) -> PeerEntry | None:
         """Return a peer to ask; None when there is none, and then no more are asked."""
         peer = None
-        if len(self._asked) < MOST_PEERS_ASKED:
+        if len(self._asked) < MAX_PEERS_ASKED:
             peer = self._serving.relay.pick(self._service, self._asked)
         if peer is None:
             self._allowed = False
