--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -52,7 +52,7 @@
         """Return how many peers were asked."""
         return len(self._asked)
 
-    def are_better(self) -> bool:
+    def should_relay(self) -> bool:
         """Whether a peer may serve the request better: no server can be reached from here."""
         return self._allowed and self._choice.is_cut_off(self._serving.now())
 
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -172,7 +172,7 @@
     async def _try_servers(self) -> None:
         while True:
             self._refuse_if_banned()
-            if self._peers.are_better():
+            if self._peers.should_relay():
                 if await self._serve_by_peer():
                     return
                 continue
@@ -276,7 +276,7 @@
         self._serving.metrics.waiting_for_model.inc()
         try:
             with wait:
-                while entry is None and not self._peers.are_better():
+                while entry is None and not self._peers.should_relay():
                     self._refuse_if_leaving()
                     self._refuse_if_banned()
                     await wait.look_again(self._has_not_run())
