--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -67,7 +67,7 @@
             self._asked.add(peer.life)
         return peer
 
-    async def exchange_with(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
+    async def relay_to(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
         """Let a peer serve the request, and pass its server's answer on.
 
         :param runs: at how many servers it may have run already.
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -399,7 +399,7 @@
             return False
         self._server = peer.address
         try:
-            await self._peers.exchange_with(peer, self._runs, self._note_handed_over)
+            await self._peers.relay_to(peer, self._runs, self._note_handed_over)
         except RelayDeclined as declined:
             self._handed_over = False
             self._peers.log("relay-declined", peer, str(declined))
