--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -89,9 +89,9 @@
             RelayTerms(runs, self._serving.configuration_version()),
         )
         self.log("relayed", peer, "")
-        await self._pass_on(peer, answer)
+        await self._forward_answer(peer, answer)
 
-    async def _pass_on(self, peer: PeerEntry, answer: OpenAnswer) -> None:
+    async def _forward_answer(self, peer: PeerEntry, answer: OpenAnswer) -> None:
         if answer.streamed:
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
