--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -38,7 +38,7 @@
 
         :param allowed: False for a request that a peer could not serve itself: it goes one hop.
         """
-        self._serving = serving
+        self._handler = serving
         self._exchange = exchange
         self._outgoing = outgoing
         self._service = service
@@ -54,13 +54,13 @@
 
     def should_relay(self) -> bool:
         """Whether a peer may serve the request better: no server can be reached from here."""
-        return self._allowed and self._choice.is_cut_off(self._serving.now())
+        return self._allowed and self._choice.is_cut_off(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
         """Return a peer to ask; None when there is none, and then no more are asked."""
         peer = None
         if len(self._asked) < MAX_PEERS_ASKED:
-            peer = self._serving.relay.pick(self._service, self._asked)
+            peer = self._handler.relay.pick(self._service, self._asked)
         if peer is None:
             self._allowed = False
         else:
@@ -76,7 +76,7 @@
         :raises Refused: the peer's final answer.
         :raises SendFailed: there is no whole answer; it may have run.
         """
-        relay = self._serving.relay
+        relay = self._handler.relay
         connection = await relay.connect(peer, self._service)
         on_sent()
         answer = await relay.send(
@@ -84,9 +84,9 @@
             peer,
             self._service,
             self._outgoing,
-            self._serving.now(),
+            self._handler.now(),
             self._stream.last_event_id,
-            RelayTerms(runs, self._serving.configuration_version()),
+            RelayTerms(runs, self._handler.configuration_version()),
         )
         self.log("relayed", peer, "")
         await self._forward_answer(peer, answer)
@@ -97,13 +97,13 @@
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
             )
             await self._stream.pass_on(entry, answer, ServerHealth())
-            self._serving.forwarder.release(answer.connection)
+            self._handler.forwarder.release(answer.connection)
             return
-        body = await self._serving.forwarder.read_whole(answer)
+        body = await self._handler.forwarder.read_whole(answer)
         status = answer.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", ran=True)
-        headers = self._serving.dialect.answer_headers(answer.head)
+        headers = self._handler.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
     def log(self, decision: str, peer: PeerEntry, reason: str) -> None:
@@ -113,5 +113,5 @@
             self._outgoing.caller.request_id,
             peer=peer.address,
             reason=reason,
-            reach=self._serving.pool.connectivity_of(self._service).state.value,
+            reach=self._handler.pool.connectivity_of(self._service).state.value,
         )
