--- a/features/steps/relay_version_steps.py
+++ b/features/steps/relay_version_steps.py
@@ -12,7 +12,7 @@
 from loomwind.serving.forwarder import Outgoing
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerEntry, PeerTable
-from loomwind.serving.relay_protocol import RelayTerms, configuration_headers
+from loomwind.serving.relay_protocol import RelayMetadata, configuration_headers
 from loomwind.serving.views import RequestKind, RouteRule, WeightedService
 
 PEER = PeerEntry("peer:1", "zone-b", "life-2", "peer:2")
@@ -58,7 +58,9 @@
     route = RouteRule("r", "h", "/r/", RequestKind.IDEMPOTENT, parts, 1.0, 1.0, 1)
     connection = cast(ClientConnection, ServedConnection(version))
     outgoing = Outgoing(request, caller, route, 1.0)
-    await relay.send(connection, PEER, "web", outgoing, 0.0, None, RelayTerms(0, context.version))
+    await relay.send(
+        connection, PEER, "web", outgoing, 0.0, None, RelayMetadata(0, context.version)
+    )
 
 
 @then("it knows that the peer has version {version:d}")
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -21,7 +21,7 @@
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Dialect
 from loomwind.serving.prompt_guard import PromptGuard
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.request_run import RequestRun
 from loomwind.serving.views import CallerRequest, ServerEntry
 
@@ -135,7 +135,7 @@
         exchange: Exchange,
         request: HttpRequest,
         caller: CallerRequest,
-        relayed: RelayTerms | None = None,
+        relayed: RelayMetadata | None = None,
     ) -> None:
         """Find a request's route, and serve it.
 
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -9,7 +9,7 @@
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.forwarder import OpenAnswer, Outgoing
 from loomwind.serving.peers import PeerEntry
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.server_choice import ServerChoice
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import ServerEntry, ServerState
@@ -86,7 +86,7 @@
             self._outgoing,
             self._handler.now(),
             self._stream.last_event_id,
-            RelayTerms(runs, self._handler.configuration_version()),
+            RelayMetadata(runs, self._handler.configuration_version()),
         )
         self.log("relayed", peer, "")
         await self._forward_answer(peer, answer)
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -17,7 +17,7 @@
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.ports import Dialect
 from loomwind.serving.relay_protocol import (
-    RelayTerms,
+    RelayMetadata,
     configuration_of,
     error_of,
     is_server_answer,
@@ -94,7 +94,7 @@
         outgoing: Outgoing,
         now: float,
         last_event_id: str | None,
-        terms: RelayTerms,
+        terms: RelayMetadata,
     ) -> OpenAnswer:
         """Send a request to a peer and return the head of the server's answer.
 
@@ -126,13 +126,13 @@
         return OpenAnswer(connection, own_head)
 
     def _as_sent(
-        self, outgoing: Outgoing, now: float, last_event_id: str | None, terms: RelayTerms
+        self, outgoing: Outgoing, now: float, last_event_id: str | None, terms: RelayMetadata
     ) -> HttpRequest:
         request = outgoing.request
         remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
         headers = self._dialect.peer_headers(request, remaining, last_event_id)
         version = max(terms.configuration_version, self._newest_configuration)
-        terms = RelayTerms(terms.runs, version)
+        terms = RelayMetadata(terms.runs, version)
         return HttpRequest(request.method, request.target, headers + terms.headers, request.body)
 
     async def _read_body(self, connection: ClientConnection) -> bytes:
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -30,7 +30,7 @@
 
 
 @frozen
-class RelayTerms:
+class RelayMetadata:
     """What a peer has to know of a request that it serves for another daemon.
 
     :ivar runs: at how many servers it may have run already.
@@ -46,12 +46,12 @@
         return ((RUNS, str(self.runs)), (CONFIGURATION, str(self.configuration_version)))
 
 
-def read_terms(request: HttpRequest) -> RelayTerms:
+def read_terms(request: HttpRequest) -> RelayMetadata:
     """Return the terms of a request from a peer.
 
     :raises ValueError: it carries none.
     """
-    return RelayTerms(
+    return RelayMetadata(
         int(request.header(RUNS) or ""),
         int(request.header(CONFIGURATION) or ""),
     )
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -11,7 +11,7 @@
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.relay_protocol import (
     RelayEnd,
-    RelayTerms,
+    RelayMetadata,
     configuration_headers,
     end_headers,
     read_terms,
@@ -42,7 +42,7 @@
             self._handler.open_requests -= 1
             self._open -= 1
 
-    def _take(self, exchange: Exchange) -> tuple[RelayTerms, HttpRequest]:
+    def _take(self, exchange: Exchange) -> tuple[RelayMetadata, HttpRequest]:
         """Return a peer's request as its caller sent it, with what the peer says of it.
 
         :raises RelayDeclined: this daemon takes no such request now.
@@ -63,7 +63,7 @@
         headers = without_own_fields(request.headers)
         return terms, HttpRequest(request.method, request.target, headers, request.body)
 
-    async def _serve(self, exchange: Exchange, request: HttpRequest, terms: RelayTerms) -> None:
+    async def _serve(self, exchange: Exchange, request: HttpRequest, terms: RelayMetadata) -> None:
         caller = self._handler.dialect.read_request(request)
         end = "served"
         try:
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -26,7 +26,7 @@
 from loomwind.serving.forwarder import OpenAnswer, Outgoing
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.server_choice import ServerChoice
 from loomwind.serving.silence import allowed_silence_seconds
 from loomwind.serving.stream_relay import StreamRelay
@@ -56,7 +56,7 @@
         caller: CallerRequest,
         route: RouteRule,
         service: str,
-        relayed: RelayTerms | None = None,
+        relayed: RelayMetadata | None = None,
     ) -> None:
         """Make a run.
 
