--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -46,7 +46,7 @@
         return ((RUNS, str(self.runs)), (CONFIGURATION, str(self.configuration_version)))
 
 
-def read_terms(request: HttpRequest) -> RelayMetadata:
+def read_metadata(request: HttpRequest) -> RelayMetadata:
     """Return the terms of a request from a peer.
 
     :raises ValueError: it carries none.
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -14,7 +14,7 @@
     RelayMetadata,
     configuration_headers,
     end_headers,
-    read_terms,
+    read_metadata,
     without_own_fields,
 )
 
@@ -51,7 +51,7 @@
         if request is None:
             raise RelayDeclined("the request cannot be read")
         try:
-            terms = read_terms(request)
+            terms = read_metadata(request)
         except ValueError as error:
             raise RelayDeclined("it carries no terms") from error
         if self._handler.refuses_waiting:
