--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -94,7 +94,7 @@
         outgoing: Outgoing,
         now: float,
         last_event_id: str | None,
-        terms: RelayMetadata,
+        metadata: RelayMetadata,
     ) -> OpenAnswer:
         """Send a request to a peer and return the head of the server's answer.
 
@@ -103,7 +103,7 @@
         :raises SendFailed: there is no answer; it may have run.
         """
         try:
-            connection.send_request(self._as_sent(outgoing, now, last_event_id, terms))
+            connection.send_request(self._as_sent(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
             if not is_server_answer(head):
                 raise error_of(head, await self._read_body(connection))
@@ -126,14 +126,14 @@
         return OpenAnswer(connection, own_head)
 
     def _as_sent(
-        self, outgoing: Outgoing, now: float, last_event_id: str | None, terms: RelayMetadata
+        self, outgoing: Outgoing, now: float, last_event_id: str | None, metadata: RelayMetadata
     ) -> HttpRequest:
         request = outgoing.request
         remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
         headers = self._dialect.peer_headers(request, remaining, last_event_id)
-        version = max(terms.configuration_version, self._newest_configuration)
-        terms = RelayMetadata(terms.runs, version)
-        return HttpRequest(request.method, request.target, headers + terms.headers, request.body)
+        version = max(metadata.configuration_version, self._newest_configuration)
+        metadata = RelayMetadata(metadata.runs, version)
+        return HttpRequest(request.method, request.target, headers + metadata.headers, request.body)
 
     async def _read_body(self, connection: ClientConnection) -> bytes:
         body = bytearray()
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -30,14 +30,14 @@
         """Answer one request."""
         exchange.extra_headers = configuration_headers(self._handler.configuration_version())
         try:
-            terms, request = self._take(exchange)
+            metadata, request = self._take(exchange)
         except RelayDeclined as declined:
             await self._decline(exchange, declined)
             return
         self._open += 1
         self._handler.open_requests += 1
         try:
-            await self._serve(exchange, request, terms)
+            await self._serve(exchange, request, metadata)
         finally:
             self._handler.open_requests -= 1
             self._open -= 1
@@ -51,23 +51,25 @@
         if request is None:
             raise RelayDeclined("the request cannot be read")
         try:
-            terms = read_metadata(request)
+            metadata = read_metadata(request)
         except ValueError as error:
             raise RelayDeclined("it carries no terms") from error
         if self._handler.refuses_waiting:
             raise RelayDeclined("this daemon is leaving")
-        if self._handler.configuration_version() < terms.configuration_version:
+        if self._handler.configuration_version() < metadata.configuration_version:
             raise RelayDeclined("the configuration here is older")
         if self._open >= constants.MOST_RELAYED_REQUESTS:
             raise RelayDeclined("too many requests of peers are here")
         headers = without_own_fields(request.headers)
-        return terms, HttpRequest(request.method, request.target, headers, request.body)
+        return metadata, HttpRequest(request.method, request.target, headers, request.body)
 
-    async def _serve(self, exchange: Exchange, request: HttpRequest, terms: RelayMetadata) -> None:
+    async def _serve(
+        self, exchange: Exchange, request: HttpRequest, metadata: RelayMetadata
+    ) -> None:
         caller = self._handler.dialect.read_request(request)
         end = "served"
         try:
-            await self._handler.run(exchange, request, caller, terms)
+            await self._handler.run(exchange, request, caller, metadata)
         except RelayDeclined as declined:
             end = "declined"
             await self._decline(exchange, declined)
