--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -18,7 +18,7 @@
 RETRY_AFTER = "retry-after"
 
 
-class RelayEnd(enum.Enum):
+class RelayOutcome(enum.Enum):
     """How a peer ends a request without a server's answer.
 
     ``declined``: it has done nothing, and another peer may be asked. ``refused``: what it answers
@@ -62,7 +62,7 @@
     return tuple((name, value) for name, value in headers if name not in OWN_FIELDS)
 
 
-def end_headers(end: RelayEnd, retry_after_seconds: float | None = None) -> Headers:
+def end_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
     """Return the fields of an answer that no server gave."""
     headers: Headers = ((END, end.value),)
     if retry_after_seconds is not None:
@@ -89,7 +89,7 @@
 def error_of(head: HttpResponse, body: bytes) -> Refused | RelayDeclined:
     """Return what an answer says that no server has given."""
     reason = body.decode(errors="replace")
-    if head.header(END) == RelayEnd.DECLINED.value:
+    if head.header(END) == RelayOutcome.DECLINED.value:
         return RelayDeclined(reason)
     return Refused(head.status, reason, _seconds(head.header(RETRY_AFTER)))
 
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -10,8 +10,8 @@
 from loomwind.serving.errors import Refused, RelayDeclined, StreamCut
 from loomwind.serving.handler import RequestHandler
 from loomwind.serving.relay_protocol import (
-    RelayEnd,
     RelayMetadata,
+    RelayOutcome,
     configuration_headers,
     end_headers,
     read_metadata,
@@ -75,7 +75,7 @@
             await self._decline(exchange, declined)
         except Refused as refusal:
             end = "refused"
-            headers = end_headers(RelayEnd.REFUSED, refusal.retry_after_seconds)
+            headers = end_headers(RelayOutcome.REFUSED, refusal.retry_after_seconds)
             await exchange.respond(refusal.status, headers, str(refusal).encode())
         except StreamCut as cut:
             end = "cut"
@@ -94,4 +94,4 @@
     @staticmethod
     async def _decline(exchange: Exchange, declined: RelayDeclined) -> None:
         log_decision("relay-not-taken", "", reason=str(declined))
-        await exchange.respond(503, end_headers(RelayEnd.DECLINED), str(declined).encode())
+        await exchange.respond(503, end_headers(RelayOutcome.DECLINED), str(declined).encode())
