--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -62,7 +62,7 @@
     return tuple((name, value) for name, value in headers if name not in OWN_FIELDS)
 
 
-def end_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
+def outcome_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
     """Return the fields of an answer that no server gave."""
     headers: Headers = ((END, end.value),)
     if retry_after_seconds is not None:
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -13,7 +13,7 @@
     RelayMetadata,
     RelayOutcome,
     configuration_headers,
-    end_headers,
+    outcome_headers,
     read_metadata,
     without_own_fields,
 )
@@ -75,7 +75,7 @@
             await self._decline(exchange, declined)
         except Refused as refusal:
             end = "refused"
-            headers = end_headers(RelayOutcome.REFUSED, refusal.retry_after_seconds)
+            headers = outcome_headers(RelayOutcome.REFUSED, refusal.retry_after_seconds)
             await exchange.respond(refusal.status, headers, str(refusal).encode())
         except StreamCut as cut:
             end = "cut"
@@ -94,4 +94,4 @@
     @staticmethod
     async def _decline(exchange: Exchange, declined: RelayDeclined) -> None:
         log_decision("relay-not-taken", "", reason=str(declined))
-        await exchange.respond(503, end_headers(RelayOutcome.DECLINED), str(declined).encode())
+        await exchange.respond(503, outcome_headers(RelayOutcome.DECLINED), str(declined).encode())
