--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -18,7 +18,7 @@
 from loomwind.serving.ports import Dialect
 from loomwind.serving.relay_protocol import (
     RelayMetadata,
-    configuration_of,
+    configuration_version_of,
     error_of,
     is_server_answer,
     without_own_fields,
@@ -119,7 +119,7 @@
             self._client.release(connection)
             raise
         self._count("answered")
-        version = configuration_of(head)
+        version = configuration_version_of(head)
         self._newest_configuration = max(self._newest_configuration, version)
         self._on_configuration(peer.address, version)
         own_head = HttpResponse(head.status, without_own_fields(head.headers))
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -75,7 +75,7 @@
     return ((CONFIGURATION, str(version)),)
 
 
-def configuration_of(head: HttpResponse) -> int:
+def configuration_version_of(head: HttpResponse) -> int:
     """Return the version of the configuration that a request was served by; 0 if not said."""
     text = head.header(CONFIGURATION) or ""
     return int(text) if text.isdigit() else 0
