--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -19,7 +19,7 @@
 from loomwind.serving.relay_protocol import (
     RelayMetadata,
     configuration_version_of,
-    error_of,
+    decode_error,
     is_server_answer,
     without_own_fields,
 )
@@ -106,7 +106,7 @@
             connection.send_request(self._as_sent(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
             if not is_server_answer(head):
-                raise error_of(head, await self._read_body(connection))
+                raise decode_error(head, await self._read_body(connection))
         except HttpError as error:
             connection.close()
             self._count("failed")
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -86,7 +86,7 @@
     return head.header(END) is None
 
 
-def error_of(head: HttpResponse, body: bytes) -> Refused | RelayDeclined:
+def decode_error(head: HttpResponse, body: bytes) -> Refused | RelayDeclined:
     """Return what an answer says that no server has given."""
     reason = body.decode(errors="replace")
     if head.header(END) == RelayOutcome.DECLINED.value:
