--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -21,7 +21,7 @@
     configuration_version_of,
     decode_error,
     is_server_answer,
-    without_own_fields,
+    strip_relay_headers,
 )
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -122,7 +122,7 @@
         version = configuration_version_of(head)
         self._newest_configuration = max(self._newest_configuration, version)
         self._on_configuration(peer.address, version)
-        own_head = HttpResponse(head.status, without_own_fields(head.headers))
+        own_head = HttpResponse(head.status, strip_relay_headers(head.headers))
         return OpenAnswer(connection, own_head)
 
     def _as_sent(
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -57,7 +57,7 @@
     )
 
 
-def without_own_fields(headers: Headers) -> Headers:
+def strip_relay_headers(headers: Headers) -> Headers:
     """Return headers as they are outside of the exchange between daemons."""
     return tuple((name, value) for name, value in headers if name not in OWN_FIELDS)
 
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -15,7 +15,7 @@
     configuration_headers,
     outcome_headers,
     read_metadata,
-    without_own_fields,
+    strip_relay_headers,
 )
 
 
@@ -60,7 +60,7 @@
             raise RelayDeclined("the configuration here is older")
         if self._open >= constants.MOST_RELAYED_REQUESTS:
             raise RelayDeclined("too many requests of peers are here")
-        headers = without_own_fields(request.headers)
+        headers = strip_relay_headers(request.headers)
         return metadata, HttpRequest(request.method, request.target, headers, request.body)
 
     async def _serve(
