--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -14,7 +14,7 @@
 RUNS = "loomwind-runs"
 CONFIGURATION = "loomwind-configuration"
 END = "loomwind-end"
-OWN_FIELDS = frozenset({RUNS, CONFIGURATION, END})
+RELAY_HEADERS = frozenset({RUNS, CONFIGURATION, END})
 RETRY_AFTER = "retry-after"
 
 
@@ -59,7 +59,7 @@
 
 def strip_relay_headers(headers: Headers) -> Headers:
     """Return headers as they are outside of the exchange between daemons."""
-    return tuple((name, value) for name, value in headers if name not in OWN_FIELDS)
+    return tuple((name, value) for name, value in headers if name not in RELAY_HEADERS)
 
 
 def outcome_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
