--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -11,10 +11,10 @@
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
 from loomwind.serving.errors import Refused, RelayDeclined
 
-RUNS = "loomwind-runs"
+RUNS_HEADER = "loomwind-runs"
 CONFIGURATION = "loomwind-configuration"
 END = "loomwind-end"
-RELAY_HEADERS = frozenset({RUNS, CONFIGURATION, END})
+RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION, END})
 RETRY_AFTER = "retry-after"
 
 
@@ -43,7 +43,7 @@
     @property
     def headers(self) -> Headers:
         """Return the fields that say so."""
-        return ((RUNS, str(self.runs)), (CONFIGURATION, str(self.configuration_version)))
+        return ((RUNS_HEADER, str(self.runs)), (CONFIGURATION, str(self.configuration_version)))
 
 
 def read_metadata(request: HttpRequest) -> RelayMetadata:
@@ -52,7 +52,7 @@
     :raises ValueError: it carries none.
     """
     return RelayMetadata(
-        int(request.header(RUNS) or ""),
+        int(request.header(RUNS_HEADER) or ""),
         int(request.header(CONFIGURATION) or ""),
     )
 
