--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -12,9 +12,9 @@
 from loomwind.serving.errors import Refused, RelayDeclined
 
 RUNS_HEADER = "loomwind-runs"
-CONFIGURATION = "loomwind-configuration"
+CONFIGURATION_HEADER = "loomwind-configuration"
 END = "loomwind-end"
-RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION, END})
+RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION_HEADER, END})
 RETRY_AFTER = "retry-after"
 
 
@@ -43,7 +43,10 @@
     @property
     def headers(self) -> Headers:
         """Return the fields that say so."""
-        return ((RUNS_HEADER, str(self.runs)), (CONFIGURATION, str(self.configuration_version)))
+        return (
+            (RUNS_HEADER, str(self.runs)),
+            (CONFIGURATION_HEADER, str(self.configuration_version)),
+        )
 
 
 def read_metadata(request: HttpRequest) -> RelayMetadata:
@@ -53,7 +56,7 @@
     """
     return RelayMetadata(
         int(request.header(RUNS_HEADER) or ""),
-        int(request.header(CONFIGURATION) or ""),
+        int(request.header(CONFIGURATION_HEADER) or ""),
     )
 
 
@@ -72,12 +75,12 @@
 
 def configuration_headers(version: int) -> Headers:
     """Return the field that names the configuration that a request was served by."""
-    return ((CONFIGURATION, str(version)),)
+    return ((CONFIGURATION_HEADER, str(version)),)
 
 
 def configuration_version_of(head: HttpResponse) -> int:
     """Return the version of the configuration that a request was served by; 0 if not said."""
-    text = head.header(CONFIGURATION) or ""
+    text = head.header(CONFIGURATION_HEADER) or ""
     return int(text) if text.isdigit() else 0
 
 
