--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -13,8 +13,8 @@
 
 RUNS_HEADER = "loomwind-runs"
 CONFIGURATION_HEADER = "loomwind-configuration"
-END = "loomwind-end"
-RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION_HEADER, END})
+OUTCOME_HEADER = "loomwind-end"
+RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION_HEADER, OUTCOME_HEADER})
 RETRY_AFTER = "retry-after"
 
 
@@ -67,7 +67,7 @@
 
 def outcome_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
     """Return the fields of an answer that no server gave."""
-    headers: Headers = ((END, end.value),)
+    headers: Headers = ((OUTCOME_HEADER, end.value),)
     if retry_after_seconds is not None:
         headers += ((RETRY_AFTER, f"{retry_after_seconds:.3f}"),)
     return headers
@@ -86,13 +86,13 @@
 
 def is_server_answer(head: HttpResponse) -> bool:
     """Whether a server has given the answer, and the peer passes it on."""
-    return head.header(END) is None
+    return head.header(OUTCOME_HEADER) is None
 
 
 def decode_error(head: HttpResponse, body: bytes) -> Refused | RelayDeclined:
     """Return what an answer says that no server has given."""
     reason = body.decode(errors="replace")
-    if head.header(END) == RelayOutcome.DECLINED.value:
+    if head.header(OUTCOME_HEADER) == RelayOutcome.DECLINED.value:
         return RelayDeclined(reason)
     return Refused(head.status, reason, _seconds(head.header(RETRY_AFTER)))
 
