--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -15,7 +15,7 @@
 CONFIGURATION_HEADER = "loomwind-configuration"
 OUTCOME_HEADER = "loomwind-end"
 RELAY_HEADERS = frozenset({RUNS_HEADER, CONFIGURATION_HEADER, OUTCOME_HEADER})
-RETRY_AFTER = "retry-after"
+RETRY_AFTER_HEADER = "retry-after"
 
 
 class RelayOutcome(enum.Enum):
@@ -69,7 +69,7 @@
     """Return the fields of an answer that no server gave."""
     headers: Headers = ((OUTCOME_HEADER, end.value),)
     if retry_after_seconds is not None:
-        headers += ((RETRY_AFTER, f"{retry_after_seconds:.3f}"),)
+        headers += ((RETRY_AFTER_HEADER, f"{retry_after_seconds:.3f}"),)
     return headers
 
 
@@ -94,7 +94,7 @@
     reason = body.decode(errors="replace")
     if head.header(OUTCOME_HEADER) == RelayOutcome.DECLINED.value:
         return RelayDeclined(reason)
-    return Refused(head.status, reason, _seconds(head.header(RETRY_AFTER)))
+    return Refused(head.status, reason, _seconds(head.header(RETRY_AFTER_HEADER)))
 
 
 def _seconds(text: str | None) -> float | None:
