--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -94,10 +94,10 @@
     reason = body.decode(errors="replace")
     if head.header(OUTCOME_HEADER) == RelayOutcome.DECLINED.value:
         return RelayDeclined(reason)
-    return Refused(head.status, reason, _seconds(head.header(RETRY_AFTER_HEADER)))
+    return Refused(head.status, reason, _parse_seconds(head.header(RETRY_AFTER_HEADER)))
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_seconds(text: str | None) -> float | None:
     try:
         return None if text is None else float(text)
     except ValueError:
