--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -149,5 +149,5 @@
         }
         self._declined_until_ms[(peer.life, service)] = now_ms + DECLINED_MS
 
-    def _count(self, end: str) -> None:
-        self._metrics.peer_relays.labels("sent", end).inc()
+    def _count(self, outcome: str) -> None:
+        self._metrics.peer_relays.labels("sent", outcome).inc()
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -65,9 +65,9 @@
     return tuple((name, value) for name, value in headers if name not in RELAY_HEADERS)
 
 
-def outcome_headers(end: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
+def outcome_headers(outcome: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
     """Return the fields of an answer that no server gave."""
-    headers: Headers = ((OUTCOME_HEADER, end.value),)
+    headers: Headers = ((OUTCOME_HEADER, outcome.value),)
     if retry_after_seconds is not None:
         headers += ((RETRY_AFTER_HEADER, f"{retry_after_seconds:.3f}"),)
     return headers
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -67,29 +67,29 @@
         self, exchange: Exchange, request: HttpRequest, metadata: RelayMetadata
     ) -> None:
         caller = self._handler.dialect.read_request(request)
-        end = "served"
+        outcome = "served"
         try:
             await self._handler.run(exchange, request, caller, metadata)
         except RelayDeclined as declined:
-            end = "declined"
+            outcome = "declined"
             await self._decline(exchange, declined)
         except Refused as refusal:
-            end = "refused"
+            outcome = "refused"
             headers = outcome_headers(RelayOutcome.REFUSED, refusal.retry_after_seconds)
             await exchange.respond(refusal.status, headers, str(refusal).encode())
         except StreamCut as cut:
-            end = "cut"
+            outcome = "cut"
             log_decision("cut", caller.request_id, reason=str(cut))
             exchange.abort()
         except (ConnectionBroken, asyncio.CancelledError):
-            end = "cancelled"
+            outcome = "cancelled"
             raise
         except Exception as error:
-            end = "failed"
+            outcome = "failed"
             log_decision("failed", caller.request_id, reason=repr(error))
             exchange.abort()
         finally:
-            self._handler.metrics.peer_relays.labels("taken", end).inc()
+            self._handler.metrics.peer_relays.labels("taken", outcome).inc()
 
     @staticmethod
     async def _decline(exchange: Exchange, declined: RelayDeclined) -> None:
