--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -24,7 +24,7 @@
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
-        self._open = 0
+        self._open_count = 0
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -34,13 +34,13 @@
         except RelayDeclined as declined:
             await self._decline(exchange, declined)
             return
-        self._open += 1
+        self._open_count += 1
         self._handler.open_requests += 1
         try:
             await self._serve(exchange, request, metadata)
         finally:
             self._handler.open_requests -= 1
-            self._open -= 1
+            self._open_count -= 1
 
     def _take(self, exchange: Exchange) -> tuple[RelayMetadata, HttpRequest]:
         """Return a peer's request as its caller sent it, with what the peer says of it.
@@ -58,7 +58,7 @@
             raise RelayDeclined("this daemon is leaving")
         if self._handler.configuration_version() < metadata.configuration_version:
             raise RelayDeclined("the configuration here is older")
-        if self._open >= constants.MOST_RELAYED_REQUESTS:
+        if self._open_count >= constants.MOST_RELAYED_REQUESTS:
             raise RelayDeclined("too many requests of peers are here")
         headers = strip_relay_headers(request.headers)
         return metadata, HttpRequest(request.method, request.target, headers, request.body)
