--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -30,7 +30,7 @@
         """Answer one request."""
         exchange.extra_headers = configuration_headers(self._handler.configuration_version())
         try:
-            metadata, request = self._take(exchange)
+            metadata, request = self._accept(exchange)
         except RelayDeclined as declined:
             await self._decline(exchange, declined)
             return
@@ -42,7 +42,7 @@
             self._handler.open_requests -= 1
             self._open_count -= 1
 
-    def _take(self, exchange: Exchange) -> tuple[RelayMetadata, HttpRequest]:
+    def _accept(self, exchange: Exchange) -> tuple[RelayMetadata, HttpRequest]:
         """Return a peer's request as its caller sent it, with what the peer says of it.
 
         :raises RelayDeclined: this daemon takes no such request now.
