--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -26,7 +26,7 @@
 
 CONNECT_TIMEOUT_SECONDS = 0.4
 # How long a peer that has declined, or cannot be reached, is not asked again for a service.
-DECLINED_MS = 1000.0
+DECLINE_BACKOFF_MS = 1000.0
 # A peer's refusal, which says whether the request has run, should come before the time is over.
 ANSWER_MARGIN_SECONDS = 0.05
 
@@ -147,7 +147,7 @@
         self._declined_until_ms = {
             key: until_ms for key, until_ms in self._declined_until_ms.items() if until_ms > now_ms
         }
-        self._declined_until_ms[(peer.life, service)] = now_ms + DECLINED_MS
+        self._declined_until_ms[(peer.life, service)] = now_ms + DECLINE_BACKOFF_MS
 
     def _count(self, outcome: str) -> None:
         self._metrics.peer_relays.labels("sent", outcome).inc()
