--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -65,15 +65,15 @@
         :param asked: the lives of peers that were asked for this request.
         """
         now_ms = self._clock.now_ms()
-        able = [
+        candidates = [
             peer
             for peer in self._peers.others()
             if peer.relay
             and peer.life not in asked
             and self._declined_until_ms.get((peer.life, service), 0.0) <= now_ms
         ]
-        elsewhere = [peer for peer in able if peer.zone != self._zone]
-        return random.choice(elsewhere or able) if able else None
+        elsewhere = [peer for peer in candidates if peer.zone != self._zone]
+        return random.choice(elsewhere or candidates) if candidates else None
 
     async def connect(self, peer: PeerEntry, service: str) -> ClientConnection:
         """Return a connection to a peer, on which nothing has been sent yet.
