--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -72,8 +72,8 @@
             and peer.life not in asked
             and self._declined_until_ms.get((peer.life, service), 0.0) <= now_ms
         ]
-        elsewhere = [peer for peer in candidates if peer.zone != self._zone]
-        return random.choice(elsewhere or candidates) if candidates else None
+        other_zones = [peer for peer in candidates if peer.zone != self._zone]
+        return random.choice(other_zones or candidates) if candidates else None
 
     async def connect(self, peer: PeerEntry, service: str) -> ClientConnection:
         """Return a connection to a peer, on which nothing has been sent yet.
