--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -103,7 +103,7 @@
         :raises SendFailed: there is no answer; it may have run.
         """
         try:
-            connection.send_request(self._as_sent(outgoing, now, last_event_id, metadata))
+            connection.send_request(self._relay_request(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
             if not is_server_answer(head):
                 raise decode_error(head, await self._read_body(connection))
@@ -125,7 +125,7 @@
         own_head = HttpResponse(head.status, strip_relay_headers(head.headers))
         return OpenAnswer(connection, own_head)
 
-    def _as_sent(
+    def _relay_request(
         self, outgoing: Outgoing, now: float, last_event_id: str | None, metadata: RelayMetadata
     ) -> HttpRequest:
         request = outgoing.request
