--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -137,8 +137,8 @@
 
     async def _read_body(self, connection: ClientConnection) -> bytes:
         body = bytearray()
-        while piece := await connection.read_body():
-            body += piece
+        while chunk := await connection.read_body():
+            body += chunk
         return bytes(body)
 
     def _note_declined(self, peer: PeerEntry, service: str) -> None:
