--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -122,8 +122,8 @@
         version = configuration_version_of(head)
         self._newest_configuration = max(self._newest_configuration, version)
         self._on_configuration(peer.address, version)
-        own_head = HttpResponse(head.status, strip_relay_headers(head.headers))
-        return OpenAnswer(connection, own_head)
+        stripped_head = HttpResponse(head.status, strip_relay_headers(head.headers))
+        return OpenAnswer(connection, stripped_head)
 
     def _relay_request(
         self, outgoing: Outgoing, now: float, last_event_id: str | None, metadata: RelayMetadata
