--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -46,10 +46,12 @@
         while True:
             unreachable = self._unreachable_services()
             self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
-            elsewhere = [each for each in unreachable if self._exchange.is_reachable_by_peers(each)]
-            if elsewhere and self._election.leads():
+            served_by_peers = [
+                each for each in unreachable if self._exchange.is_reachable_by_peers(each)
+            ]
+            if served_by_peers and self._election.leads():
                 reason = "model servers are not reached, and are by peers"
-                log_state("election", "steps-down", reason=reason, cut=elsewhere)
+                log_state("election", "steps-down", reason=reason, cut=served_by_peers)
                 await self._step_down()
             await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
