--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -114,10 +114,10 @@
 
         Each change answers the feed of each daemon, and all daemons of a fleet may start at once.
         """
-        rest = POLL_SECONDS_PER_DAEMON * len(self._peers)
+        interval = POLL_SECONDS_PER_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
-            return min(MAX_POLL_SECONDS, rest)
-        return min(MAX_FOLLOWER_POLL_SECONDS, self.scale_interval(rest))
+            return min(MAX_POLL_SECONDS, interval)
+        return min(MAX_FOLLOWER_POLL_SECONDS, self.scale_interval(interval))
 
     def _leads(self) -> bool:
         return self._election.lease.fence is not None
