--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -106,8 +106,8 @@
         """
         if self._own.name in self._ranked[:STANDBY_COUNT]:
             return 0.0
-        question = constants.LEADER_QUESTION_SECONDS
-        return NON_STANDBY_DELAY_SECONDS + self.scale_interval(question) - question
+        interval = constants.LEADER_QUESTION_SECONDS
+        return NON_STANDBY_DELAY_SECONDS + self.scale_interval(interval) - interval
 
     def poll_interval_seconds(self) -> float:
         """Return the pause between two looks at the rows.
