--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -94,7 +94,7 @@
         for row in snapshot.rows:
             if row.key.startswith(PEER_KEY_PREFIX):
                 self._on_peer_row(row)
-        self._ranked = sorted(self._peers, key=_rank)
+        self._ranked = sorted(self._peers, key=_hash_rank)
         self._pool.set_daemons(len(self._peers))
         self._election.daemons = max(1, len(self._peers))
         self._election.longer_seconds = self._extra_wait_seconds()
@@ -154,7 +154,7 @@
         count = len(self._ranked)
         if not count:
             return []
-        place = bisect.bisect_left(self._ranked, _rank(self._own.name), key=_rank)
+        place = bisect.bisect_left(self._ranked, _hash_rank(self._own.name), key=_hash_rank)
         distances = (1 << power for power in range((count - 1).bit_length()))
         names = {self._ranked[(place + distance) % count] for distance in distances}
         return [self._peers[name] for name in names if name != self._own.name]
@@ -195,6 +195,6 @@
         return PEER_KEY_PREFIX + self._own.name
 
 
-def _rank(name: str) -> int:
+def _hash_rank(name: str) -> int:
     """Return a number that orders daemons the same way everywhere, whatever their names."""
     return xxhash.xxh64_intdigest(name.encode())
