--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -143,9 +143,9 @@
 
     def _on_demand(self, message: PoolDemand) -> None:
         self.inbox.put(message)
-        good_for = REPORT_EXPIRY_INTERVALS * message.next_report_in_ms / MS_PER_SECOND
+        valid_seconds = REPORT_EXPIRY_INTERVALS * message.next_report_in_ms / MS_PER_SECOND
         self._unreachable_at_peers[message.sender] = UnreachableServices(
-            message.unreachable_services, self._now() + good_for
+            message.unreachable_services, self._now() + valid_seconds
         )
         confirmations = self._election.confirmations
         if message.store_answers:
