--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from loomwind.handler.breaker import ServerHealth
-from loomwind.handler.errors import SendFailed
-from loomwind.handler.forwarder import OpenAnswer, Outgoing
-from loomwind.handler.peers import PeerEntry
-from loomwind.handler.relay_protocol import RelayMetadata
-from loomwind.handler.server_choice import ServerChoice
-from loomwind.handler.stream_relay import StreamRelay
-from loomwind.handler.views import ServerEntry, ServerState
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
+from loomwind.serving.breaker import ServerHealth
+from loomwind.serving.errors import SendFailed
+from loomwind.serving.forwarder import OpenAnswer, Outgoing
+from loomwind.serving.peers import PeerEntry
+from loomwind.serving.relay_protocol import RelayMetadata
+from loomwind.serving.server_choice import ServerChoice
+from loomwind.serving.stream_relay import StreamRelay
+from loomwind.serving.views import ServerEntry, ServerState
 
 if TYPE_CHECKING:
-    from loomwind.handler.handler import RequestHandler
+    from loomwind.serving.handler import RequestHandler
 
 # Peers that are asked to serve one request; then it is tried from here, as it would be otherwise.
 MAX_PEERS_ASKED = 4
