--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -1,4 +1,4 @@
-"""Messages between daemons that serve one pool: demand, holdings, and newer contents."""
+"""Messages between the daemons of a pool: demand, server holdings and replicated state."""
 
 from msgspec import Struct
 
@@ -10,12 +10,12 @@
 
 
 class PoolDemand(Message, frozen=True, tag=True, array_like=True):
-    """Told to the leader: what callers of a daemon ask for, and what runs for them.
+    """Reports a daemon's queued and running requests to the leader.
 
     :param sender: the daemon's name.
     :param store_answers: whether the daemon reaches the store.
-    :param next_in_ms: the time until the daemon's next report; longer in a large fleet.
-    :param cut_services: the services whose servers it does not reach.
+    :param next_report_in_ms: the time until the daemon's next report; longer in a large fleet.
+    :param unreachable_services: the services whose servers the daemon cannot connect to.
     """
 
     sender: str
@@ -27,15 +27,16 @@
 
 
 class LeaderQuestion(Message, frozen=True, tag=True, array_like=True):
-    """Asked of the daemon that holds the lease: does that life still run?"""
+    """Asks the lease holder whether it is still running."""
 
 
 class LeaderAnswer(Message, frozen=True, tag=True, array_like=True):
-    """Names the life that answers.
+    """Identifies the process that answers a :class:`LeaderQuestion`.
 
-    :param lease_version: the version at which it wrote the lease's row last; 0 when it does not
-        lead.
-    :param store_answers: whether it reaches the store.
+    :param life: the ID of the daemon process.
+    :param lease_version: the version of its last write to the lease row; 0 if it is not the
+        leader.
+    :param store_answers: whether the daemon reaches the store.
     """
 
     life: str
@@ -44,9 +45,9 @@
 
 
 class LeaseNotice(Message, frozen=True, tag=True, array_like=True):
-    """Told by the daemon that wrote the lease's row.
+    """Announces a write to the lease row; sent by the daemon that wrote it.
 
-    :param holder: who holds the lease now; None when it was given up.
+    :param holder: the current lease holder; None if the lease was released.
     :param version: the row's version after the write.
     :param store_answers: whether the daemon reaches the store.
     """
@@ -57,10 +58,10 @@
 
 
 class PoolHoldings(Message, frozen=True, tag=True, array_like=True):
-    """Told by the leader: what servers hold, as it has read it.
+    """Distributes the models held by each server, as last read by the leader.
 
-    :param fence: the leader's fence; a lower one than was heard is ignored.
-    :param paces: what it has learned of the weight store, for the next leader.
+    :param fence: the leader's fencing token; messages with a lower token than seen are ignored.
+    :param paces: learned load rates of the weight store, so that the next leader has them.
     """
 
     fence: int
@@ -69,9 +70,9 @@
 
 
 class PoolExpectations(Message, frozen=True, tag=True, array_like=True):
-    """Told by the leader to a daemon whose requests wait: when their models should be there.
+    """Tells a daemon with waiting requests when the leader expects their models to be loaded.
 
-    :param fence: the leader's fence; a lower one than was heard is ignored.
+    :param fence: the leader's fencing token; messages with a lower token than seen are ignored.
     """
 
     fence: int
@@ -79,11 +80,11 @@
 
 
 class PoolDigest(Message, frozen=True, tag=True, array_like=True):
-    """What a daemon knows, by version, so that a peer that knows more can send it.
+    """Versions of a daemon's state, so that a peer can send what is newer.
 
-    :param sender: ``host:port`` of the daemon for peers.
+    :param sender: the daemon's peer address, ``host:port``.
     :param store_answers: whether the daemon reaches the store.
-    :param prompt_crashes: what it knows of prompts that crash servers, as one number; 0 for none.
+    :param prompt_crashes: a digest of the known prompts that crash servers; 0 for none.
     """
 
     sender: str
@@ -94,9 +95,9 @@
 
 
 class ConfigurationNotice(Message, frozen=True, tag=True, array_like=True):
-    """Told by a daemon that has a version of the configuration in force.
+    """Announces the configuration version that a daemon has applied.
 
-    :param sender: ``host:port`` of the daemon for peers.
+    :param sender: the daemon's peer address, ``host:port``.
     """
 
     sender: str
@@ -104,26 +105,26 @@
 
 
 class ConfigurationQuestion(Message, frozen=True, tag=True, array_like=True):
-    """Asks a peer for its configuration.
+    """Requests a peer's configuration.
 
-    :param version: what the asker has in force.
+    :param version: the version that the requesting daemon has applied.
     """
 
     version: int
 
 
 class ConfigurationCopy(Message, frozen=True, tag=True, array_like=True):
-    """The configuration's document, compressed by zlib."""
+    """The configuration document, compressed with zlib."""
 
     version: int
     document: bytes
 
 
 class ServerListQuestion(Message, frozen=True, tag=True, array_like=True):
-    """Asked of a daemon that follows the store's list of servers.
+    """Requests changes of the server list from a daemon that follows the store (long poll).
 
-    :param version: what the asker knows.
-    :param wait_ms: how long the answer may wait for a change.
+    :param version: the version that the requesting daemon has.
+    :param wait_ms: how long the answer may be delayed until there is a change.
     """
 
     version: int
@@ -131,19 +132,20 @@
 
 
 class ServerDocument(Message, frozen=True, tag=True, array_like=True):
-    """One server's entry as it stands in the store."""
+    """One server's entry as stored."""
 
     name: str
     document: bytes
 
 
 class DirectoryCopy(Message, frozen=True, tag=True, array_like=True):
-    """The servers' entries for a peer: all that are listed, and those that it does not know.
+    """The server list for a peer: the names of all entries, and the entries that it lacks.
 
-    :param version: the store's version that they stand at.
-    :param listed: the names of all entries; one that is missing is gone.
+    :param version: the store version of the list.
+    :param listed: the names of all entries; any other entry has been removed.
     :param servers: the entries that changed since the peer's version.
-    :param store_in_trouble: whether entries may be missing without a cause.
+    :param store_in_trouble: whether the store recently failed, so that entries may be missing
+        although their servers still run.
     """
 
     version: int
@@ -153,11 +155,11 @@
 
 
 class ServerListAnswer(Message, frozen=True, tag=True, array_like=True):
-    """What changed in the list of servers.
+    """Changes of the server list.
 
-    :param held_ms: how long the answer has waited for a change.
-    :param age_ms: how long ago the store last told the daemon that answers.
-    :param copy: the changes; None when there is none.
+    :param held_ms: how long the answer was delayed to wait for a change.
+    :param age_ms: the time since the answering daemon last heard from the store.
+    :param copy: the changes; None if there are none.
     """
 
     held_ms: float
@@ -166,11 +168,11 @@
 
 
 class ServerDeparture(Message, frozen=True, array_like=True):
-    """One life of a server that gets no new work.
+    """A server instance that is leaving and gets no new requests.
 
-    :param instance: names the life.
-    :param version: the store's version at which it was known to leave.
-    :param listed: whether its entry says so; otherwise the entry is gone.
+    :param instance: the ID of the server instance.
+    :param version: the store version at which the departure was observed.
+    :param listed: True if the server's entry marks it as leaving, False if the entry was removed.
     """
 
     name: str
@@ -180,9 +182,9 @@
 
 
 class ServerDepartures(Message, frozen=True, tag=True, array_like=True):
-    """Told by a daemon that has just learned which servers leave.
+    """Announces server departures that a daemon has just learned of.
 
-    :param sender: ``host:port`` of the daemon for peers.
+    :param sender: the daemon's peer address, ``host:port``.
     """
 
     sender: str
@@ -190,12 +192,12 @@
 
 
 class PromptCrash(Struct, frozen=True, array_like=True):
-    """A server ended as it began to answer a request.
+    """A server process that ended when it began to answer a request.
 
-    :param identity: names a part of the request's prompt that others may share.
-    :param position: the part's place in the prompt, from 0.
-    :param instance: names the life of the server.
-    :param age_ms: how long ago it was.
+    :param identity: the ID of a part of the prompt that other prompts may share.
+    :param position: the zero-based position of the part in the prompt.
+    :param instance: the ID of the server instance.
+    :param age_ms: the time since the crash.
     """
 
     identity: str
@@ -205,9 +207,9 @@
 
 
 class PromptCrashes(Message, frozen=True, tag=True, array_like=True):
-    """Told by a daemon that has just learned of crashes, or that knows more than a peer.
+    """Reports crashes that a daemon has just learned of, or that a peer may not know.
 
-    :param sender: ``host:port`` of the daemon for peers.
+    :param sender: the daemon's peer address, ``host:port``.
     """
 
     sender: str
@@ -215,6 +217,6 @@
 
 
 class PromptsAnswered(Message, frozen=True, tag=True, array_like=True):
-    """Names parts of prompts, suspected to crash servers, that were answered whole."""
+    """Clears suspected prompt parts: requests with them were answered completely."""
 
     identities: tuple[str, ...]
