--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -1,7 +1,7 @@
-"""Whether this daemon reaches the servers of a service. Pure; time is passed in, in milliseconds.
+"""Tracks whether this daemon can connect to the servers of a service. No I/O; callers pass the time.
 
-A connect that fails speaks of one server. Where several servers, one after the other, accept no
-connection, and none accepts one in between, the fault is more likely on this daemon's own side.
+One failed connect indicates a fault of that server. If several servers refuse connections and none
+accepts one in between, the fault is more likely on this daemon's side of the network.
 """
 
 import enum
@@ -9,12 +9,12 @@
 
 from loomwind.logs import log_state
 
-# With fewer, a crash of one server would look the same.
+# With a lower limit, the crash of one server would look like a network partition.
 MIN_FAILED_SERVERS = 2
 
 
 class ConnectivityState(enum.Enum):
-    """What is believed of the way to the servers."""
+    """Whether the servers of a service are considered reachable."""
 
     REACHABLE = "reached"
     SUSPECT = "doubted"
@@ -22,7 +22,7 @@
 
 
 class ServiceConnectivity:
-    """What connects say of the way to the servers of a service."""
+    """The connectivity of one service, derived from connection attempts to its servers."""
 
     def __init__(
         self,
@@ -30,10 +30,10 @@
         on_probe_needed: Callable[[], None] = lambda: None,
         on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
-        """Begin with servers that are reached.
+        """Start in the reachable state.
 
-        :param on_doubt: called when a connect should tell whether they are.
-        :param on_regained: called when a cut has ended.
+        :param on_probe_needed: called when a probe should check the connectivity.
+        :param on_recovered: called when unreachable servers become reachable again.
         """
         self._service = service
         self._on_probe_needed = on_probe_needed
@@ -47,7 +47,7 @@
 
     @property
     def state(self) -> ConnectivityState:
-        """Return what is believed now."""
+        """Return the current state."""
         if not self._failed:
             return ConnectivityState.REACHABLE
         needed = min(MIN_FAILED_SERVERS, max(1, self._known_count))
@@ -59,25 +59,25 @@
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether new connections to servers are not worth a try."""
+        """Whether new connections to the servers are expected to fail."""
         return self.state is ConnectivityState.UNREACHABLE
 
     @property
     def needs_probe(self) -> bool:
-        """Whether a connect should tell whether the servers are reached."""
+        """Whether a probe should check the connectivity."""
         return self._probe_requested or bool(self._failed)
 
     @property
     def failing_since_ms(self) -> float:
-        """Return when the first connect failed since one was accepted; not while reached."""
+        """Return when connects began to fail; meaningless in the reachable state."""
         return self._failing_since_ms
 
     def has_failed(self, instance: str) -> bool:
-        """Whether a server has accepted no connection since any server did."""
+        """Whether connecting to an instance failed since the last successful connect to any."""
         return instance in self._failed
 
     def record_connect_failure(self, instance: str, now_ms: float) -> None:
-        """A server accepted no connection."""
+        """Record that a server did not accept a connection."""
         if not self._failed:
             self._failing_since_ms = now_ms
         self._failed.add(instance)
@@ -85,7 +85,7 @@
         self.request_probe()
 
     def record_connected(self, now_ms: float) -> None:
-        """A server accepted a new connection."""
+        """Record that a server accepted a new connection."""
         recovered = self.is_unreachable
         self._failed.clear()
         self._probe_requested = False
@@ -94,28 +94,28 @@
             self._on_recovered()
 
     def record_received(self, now: float) -> None:
-        """Something has come from a server, at a time in seconds."""
+        """Record that data was received from a server, at a time in seconds."""
         self._last_received_at = now
 
     def record_no_answer(self, since: float) -> None:
-        """A server has not answered a request that it was sent at a time, in seconds."""
+        """Request a probe if nothing was received since an unanswered request was sent, in seconds."""
         if self._last_received_at < since:
             self.request_probe()
 
     def request_probe(self) -> None:
-        """Let it be found out whether the servers are reached."""
+        """Request a probe of the connectivity."""
         self._probe_requested = True
         self._on_probe_needed()
 
     def set_servers(self, known: set[str]) -> None:
-        """Take in which servers are listed now; one that has gone says nothing any more."""
+        """Replace the known instances; failures of removed instances no longer count."""
         self._known_count = len(known)
         self._failed &= known
         if not known:
             self._probe_requested = False
 
     def _log_transition(self, now_ms: float) -> None:
-        """Log a change between a cut and what is none."""
+        """Log a transition to or from the unreachable state."""
         state = self.state
         if (state is ConnectivityState.UNREACHABLE) == (
             self._logged_state is ConnectivityState.UNREACHABLE
