--- a/loomwind/serving/connectivity_probe.py
+++ b/loomwind/serving/connectivity_probe.py
@@ -1,7 +1,7 @@
-"""Finds out whether this daemon reaches the servers of a service, while that is in doubt.
+"""Probes the servers of a service while their connectivity is uncertain.
 
-A probe is a new connection to servers that have not failed yet; one that is accepted is kept for
-requests.
+A probe opens new connections, preferably to servers that have not failed yet. A connection that is
+accepted goes to the pool and is used for requests.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 
 class ConnectivityProbe:
-    """Probes while there is a doubt."""
+    """Probes the servers of all services whose connectivity is uncertain."""
 
     def __init__(self, pool: ServerPool, forwarder: Forwarder) -> None:
         self._pool = pool
         self._forwarder = forwarder
 
     async def run(self) -> None:
-        """Probe for ever, whenever there is a doubt."""
+        """Probe whenever the pool asks for it; never returns."""
         while True:
             await self._pool.probe_needed.wait()
             self._pool.probe_needed.clear()
@@ -35,13 +35,13 @@
                 await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def _probe(self, service: str) -> None:
-        """Connect to a few servers at once."""
+        """Connect to a few servers concurrently."""
         async with asyncio.TaskGroup() as group:
             for entry in self._choose(service):
                 group.create_task(self._connect(entry))
 
     def _choose(self, service: str) -> list[ServerEntry]:
-        """Return servers to connect to: those first that have not failed."""
+        """Return the servers to connect to, preferring those that have not failed."""
         entries = self._pool.directory.usable(service, self._pool.now())
         random.shuffle(entries)
         connectivity = self._pool.connectivity_of(service)
