--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -1,6 +1,6 @@
-"""Hands the lease over when the leader does not reach model servers that peers reach.
+"""Makes the leader step down when peers reach model servers that it cannot reach.
 
-Where no daemon reaches them the servers are down, and another leader would do no better.
+If no daemon reaches the servers, they are down and a change of leader would not help.
 """
 
 from collections.abc import Awaitable, Callable
@@ -13,14 +13,14 @@
 from loomwind.serving.pool import ServerPool
 
 CHECK_INTERVAL_MS = 250.0
-# A probe comes each quarter of a second: so many must have failed that no chance explains it.
+# Probes run every 0.25 s, so several in a row must have failed before the leader steps down.
 STEP_DOWN_AFTER_MS = 1000.0
-# A daemon that is cut takes a free lease only when no other has by then.
+# Extra wait before a daemon with unreachable servers takes a free lease, so that others go first.
 UNREACHABLE_DELAY_SECONDS = 3.0
 
 
 class LeaderStepDown:
-    """Looks after the lease by what is known of the way to the servers."""
+    """Steps down, or delays taking the lease, depending on the connectivity to model servers."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         exchange: PeerExchange,
         finish_orders: Callable[[], Awaitable[None]],
     ) -> None:
-        """Make one.
+        """Initialize the check.
 
-        :param finish_orders: waits until no order can arrive any more.
+        :param finish_orders: waits until no outstanding order can arrive any more.
         """
         self._election = election
         self._pool = pool
@@ -42,7 +42,7 @@
         self._clock = Clock()
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check the connectivity periodically; never returns."""
         while True:
             unreachable = self._unreachable_services()
             self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
@@ -56,7 +56,7 @@
             await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def _unreachable_services(self) -> list[str]:
-        """Return the services with models whose servers were not reached for a while."""
+        """Return the model services whose servers have been unreachable for ``STEP_DOWN_AFTER_MS``."""
         configuration = self._beliefs.configuration
         if configuration is None:
             return []
