--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted and timed, around any other store."""
+"""A store wrapper that counts and times all calls."""
 
 import asyncio
 from collections import Counter
@@ -19,17 +19,17 @@
 
 Answer = TypeVar("Answer")
 
-# One line of a daemon each time; a day's calls can be told from the last one.
+# The logged counts are cumulative, so the last line gives the totals of a daemon process.
 LOG_INTERVAL_SECONDS = 5.0
 
 
 class MeteredStore(Store):
-    """Passes each call on, and notes its kind, its table, its result and how long it took."""
+    """Forwards each call and records its kind, table, result and duration."""
 
     def __init__(self, inner: Store, metrics: Metrics, clock: Clock, life: str = "") -> None:
         """Wrap a store.
 
-        :param life: names this life of the daemon in the log.
+        :param life: the ID of this daemon process in the log.
         """
         self.configuration_table = inner.configuration_table
         self.configuration_key = inner.configuration_key
@@ -41,7 +41,7 @@
         self._calls: Counter[str] = Counter()
 
     def move(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store elsewhere; see :meth:`Store.move`."""
+        """Switch to another store address; see :meth:`Store.move`."""
         self._inner.move(address, timeout_seconds)
 
     async def read(self, table: str) -> Snapshot:
@@ -49,7 +49,7 @@
         return await self._measure("read", table, self._inner.read(table))
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what changed; see :meth:`Store.changes`."""
+        """Return the changes of a table; see :meth:`Store.changes`."""
         work = self._inner.changes(table, after, wait_seconds)
         return await self._measure("changes", table, work)
 
@@ -59,7 +59,7 @@
         return await self._measure("write", table, work)
 
     async def log_calls(self) -> None:
-        """Say for ever, now and then, which calls this life has made so far."""
+        """Log the number of calls so far whenever it has changed; never returns."""
         logged_total = 0
         while True:
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
