--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Evens out what daemons know: each tells a random peer its versions, and is sent what is newer."""
+"""Anti-entropy: each daemon sends a digest to a random peer, which replies with newer state."""
 
 import asyncio
 import random
@@ -12,14 +12,14 @@
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.prompt_guard import PromptGuard
 
-# Until any peer is known: a daemon that has just started lacks what the others have learned.
+# A daemon that has just started lacks the others' state, so it checks often until it knows a peer.
 NO_PEERS_POLL_SECONDS = 0.05
 
 
 class AntiEntropy:
-    """One daemon's digests, and its answers to those of others.
+    """Sends this daemon's digests and answers those of its peers.
 
-    :param own_address: ``host:port`` of this daemon for peers.
+    :param own_address: this daemon's peer address, ``host:port``.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._configurations = configurations
 
     async def run(self) -> None:
-        """Let a peer know for ever what this daemon knows."""
+        """Send digests to random peers periodically; never returns."""
         while True:
             others = self._peers.others()
             if not others:
@@ -60,7 +60,7 @@
         )
 
     def on_digest(self, digest: PoolDigest) -> None:
-        """Send a peer what it lacks, and ask it for what is lacked here if no other is known."""
+        """Send a peer the state it lacks; reply with an own digest if no other peer is known."""
         if not self._peers.others():
             self._transport.cast(digest.sender, self._own_digest())
         self._configurations.record_peer_version(digest.sender, digest.configuration_version)
