--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -1,7 +1,7 @@
-"""Spreads the word that a server leaves: each daemon that hears it first tells its fingers.
+"""Gossips server departures: a daemon that learns of one forwards it to its fingers, once.
 
-By gossip nearly all daemons know as soon as any of them does. Where messages are lost, what mirrors
-and the store tell (:mod:`loomwind.serving.server_list`) bounds how late a daemon learns of it.
+Gossip reaches nearly all daemons at once. If messages are lost, the updates from mirrors and the
+store (:mod:`loomwind.serving.server_list`) bound the delay until a daemon learns of a departure.
 """
 
 from loomwind.messages.serving import ServerDeparture, ServerDepartures
@@ -11,9 +11,9 @@
 
 
 class DepartureGossip:
-    """One daemon's part in spreading departures.
+    """Forwards the departures that this daemon learns of.
 
-    :param own_address: ``host:port`` of this daemon for peers.
+    :param own_address: this daemon's peer address, ``host:port``.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         beliefs.on_departures = self.broadcast
 
     def broadcast(self, departures: tuple[ServerDeparture, ...]) -> None:
-        """Pass on what this daemon has just learned."""
+        """Send newly learned departures to this daemon's fingers."""
         notice = ServerDepartures(self._own_address, departures)
         for peer in self._peers.fingers():
             self._transport.cast(peer.address, notice)
