--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -1,8 +1,8 @@
-"""Spreads versions of the configuration: who has a new one tells its fingers, others fetch it.
+"""Gossips configuration versions: daemons announce new ones to their fingers, which fetch them.
 
-Only the version's number is passed on, so that each daemon is sent the document once. Daemons that
-the store does not serve learn a version as soon as the others do. Where messages are lost, digests
-(:mod:`loomwind.serving.anti_entropy`) tell the same later.
+Announcements carry only the version number, so that each daemon receives the document once. Daemons
+that cannot reach the store learn of a version as soon as the others. If messages are lost, digests
+(:mod:`loomwind.serving.anti_entropy`) carry the version later.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from loomwind.serving.beliefs import Beliefs
 from loomwind.serving.peers import PeerTable
 
-# Versions that come within this time are told as one.
+# Versions that arrive within this time share one announcement.
 NOTICE_BATCH_SECONDS = 0.05
 FETCH_TIMEOUT_SECONDS = 0.5
 
 
 class ConfigurationGossip:
-    """One daemon's part in spreading versions.
+    """Announces this daemon's configuration version and fetches newer ones.
 
-    :param own_address: ``host:port`` of this daemon for peers.
+    :param own_address: this daemon's peer address, ``host:port``.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         beliefs.configuration_listeners.append(self._changed.set)
 
     async def run(self) -> None:
-        """Tell and fetch for ever."""
+        """Announce and fetch versions; never returns."""
         async with asyncio.TaskGroup() as work:
             work.create_task(self._announce_changes())
             work.create_task(self._fetch_newer())
 
-    # What this daemon says.
+    # Outgoing announcements and answers.
 
     async def _announce_changes(self) -> None:
         while True:
@@ -63,13 +63,13 @@
         self._transport.cast(address, ConfigurationNotice(self._own_address, version))
 
     def answer(self, question: ConfigurationQuestion) -> ConfigurationCopy:
-        """Return the configuration in force, for a peer that has heard of it."""
+        """Return the applied configuration to a peer that requests it."""
         return self._beliefs.configuration_copy()
 
-    # What this daemon hears.
+    # Versions of peers.
 
     def record_peer_version(self, address: str, version: int) -> None:
-        """Take in which version a peer has in force; one that has an older one is told."""
+        """Record the version that a peer has applied, and notify the peer if it is outdated."""
         own = self._beliefs.configuration_version
         if version < own:
             self._send_notice(address)
