--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -58,12 +58,12 @@
     ) -> None:
         """Make a forwarder.
 
-        :param reach_of: returns what is told of each new connection to a service, made or failed.
+        :param connectivity_of: returns what is told of each new connection to a service, made or failed.
         :param gets_work: whether a server may still get work, asked once it is connected.
         """
         self._client = client
         self._dialect = dialect
-        self._reach_of = connectivity_of
+        self._connectivity_of = connectivity_of
         self._gets_work = gets_work
         self._clock = Clock()
 
@@ -112,7 +112,7 @@
 
         :raises SendFailed: the server accepts none.
         """
-        reach = self._reach_of(entry.service)
+        reach = self._connectivity_of(entry.service)
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -26,7 +26,7 @@
 class ServerPool:
     """What requests need to know about servers.
 
-    :ivar reach_doubted: set when it should be found out whether the servers of a service are
+    :ivar probe_needed: set when it should be found out whether the servers of a service are
         reached.
     """
 
