--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -112,13 +112,13 @@
 
         :raises SendFailed: the server accepts none.
         """
-        reach = self._connectivity_of(entry.service)
+        connectivity = self._connectivity_of(entry.service)
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            reach.record_connect_failure(entry.instance, self._clock.now_ms())
+            connectivity.record_connect_failure(entry.instance, self._clock.now_ms())
             raise SendFailed(f"{entry.instance}: {error}", ran=False, unreachable=True) from error
-        reach.record_connected(self._clock.now_ms())
+        connectivity.record_connected(self._clock.now_ms())
         return connection
 
     def _as_sent(
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -74,9 +74,9 @@
         """Return whether this daemon reaches the servers of a service."""
         if service not in self._connectivities:
             forget = partial(self._forget_unreachable, service)
-            reach = ServiceConnectivity(service, self.probe_needed.set, forget)
-            reach.set_servers(self._instances_by_service()[service])
-            self._connectivities[service] = reach
+            connectivity = ServiceConnectivity(service, self.probe_needed.set, forget)
+            connectivity.set_servers(self._instances_by_service()[service])
+            self._connectivities[service] = connectivity
         return self._connectivities[service]
 
     def _instances_by_service(self) -> defaultdict[str, set[str]]:
@@ -87,12 +87,18 @@
 
     def services_to_probe(self) -> list[str]:
         """Return the services of which it should be found out whether they are reached."""
-        return [service for service, reach in self._connectivities.items() if reach.needs_probe]
+        return [
+            service
+            for service, connectivity in self._connectivities.items()
+            if connectivity.needs_probe
+        ]
 
     def unreachable_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connection of this daemon."""
         return tuple(
-            service for service, reach in self._connectivities.items() if reach.is_unreachable
+            service
+            for service, connectivity in self._connectivities.items()
+            if connectivity.is_unreachable
         )
 
     def budget(self, service: str) -> RetryBudget:
@@ -172,8 +178,8 @@
         known = {entry.instance for entry in self.directory.entries()}
         self.residency.forget(known)
         by_service = self._instances_by_service()
-        for service, reach in self._connectivities.items():
-            reach.set_servers(by_service[service])
+        for service, connectivity in self._connectivities.items():
+            connectivity.set_servers(by_service[service])
         self._health = {name: health for name, health in self._health.items() if name in known}
         self.demand.wake()
 
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -359,9 +359,9 @@
     @contextlib.contextmanager
     def _doubt_when_silent(self) -> Iterator[None]:
         """Let the way to the servers be probed when an answer does not begin for a while."""
-        reach = self._pool.connectivity_of(self._service)
+        connectivity = self._pool.connectivity_of(self._service)
         timer = asyncio.get_running_loop().call_later(
-            SUSPECT_SILENCE_SECONDS, reach.record_no_answer, self._serving.now()
+            SUSPECT_SILENCE_SECONDS, connectivity.record_no_answer, self._serving.now()
         )
         try:
             yield
