--- a/loomwind/serving/server_choice.py
+++ b/loomwind/serving/server_choice.py
@@ -23,7 +23,7 @@
         :param zone: this daemon's own zone.
         """
         self._pool = pool
-        self._reach = pool.connectivity_of(service)
+        self._connectivity = pool.connectivity_of(service)
         self._forwarder = forwarder
         self._zone = zone
         self._service = service
@@ -40,7 +40,7 @@
         return chosen.entry if chosen else None
 
     def _able(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_unreachable and (proven := self._proven(now)):
+        if self._connectivity.is_unreachable and (proven := self._proven(now)):
             return proven
         return self._pool.able(self._service, self._caller.target, now)
 
@@ -57,13 +57,13 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Whether servers accept no connection, and none of those that are open can be used."""
-        return self._reach.is_unreachable and not self._proven(now)
+        return self._connectivity.is_unreachable and not self._proven(now)
 
     def _proven(self, now: float) -> list[ServerEntry]:
         """Return the servers from which something has come, on connections that are idle now, since
         new ones have failed.
         """
-        since = self._reach.failing_since_ms / MS_PER_SECOND
+        since = self._connectivity.failing_since_ms / MS_PER_SECOND
         return [
             entry
             for entry in self._pool.holders(self._service, self._caller.target, now)
