--- a/loomwind/serving/connectivity.py
+++ b/loomwind/serving/connectivity.py
@@ -1,4 +1,4 @@
-"""Tracks whether this daemon can connect to the servers of a service. No I/O; callers pass the time.
+"""Tracks whether this daemon can connect to the servers of a service. Does no I/O.
 
 One failed connect indicates a fault of that server. If several servers refuse connections and none
 accepts one in between, the fault is more likely on this daemon's side of the network.
@@ -98,7 +98,10 @@
         self._last_received_at = now
 
     def record_no_answer(self, since: float) -> None:
-        """Request a probe if nothing was received since an unanswered request was sent, in seconds."""
+        """Request a probe if no server has sent data since an unanswered request.
+
+        :param since: when the request was sent, in seconds.
+        """
         if self._last_received_at < since:
             self.request_probe()
 
