--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -58,7 +58,8 @@
     ) -> None:
         """Make a forwarder.
 
-        :param connectivity_of: returns what is told of each new connection to a service, made or failed.
+        :param connectivity_of: returns what is told of each new connection to a service, made or
+            failed.
         :param gets_work: whether a server may still get work, asked once it is connected.
         """
         self._client = client
