--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -13,7 +13,7 @@
 from loomwind.serving.pool import ServerPool
 
 CHECK_INTERVAL_MS = 250.0
-# Probes run every 0.25 s, so several in a row must have failed before the leader steps down.
+# Probes run every 0.25 s; after this time too many have failed for it to be chance.
 STEP_DOWN_AFTER_MS = 1000.0
 # Extra wait before a daemon with unreachable servers takes a free lease, so that others go first.
 UNREACHABLE_DELAY_SECONDS = 3.0
@@ -56,7 +56,7 @@
             await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def _unreachable_services(self) -> list[str]:
-        """Return the model services whose servers have been unreachable for ``STEP_DOWN_AFTER_MS``."""
+        """Return the model services whose servers have been unreachable for some time."""
         configuration = self._beliefs.configuration
         if configuration is None:
             return []
