--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -1,4 +1,4 @@
-"""The daemons that share a pool: each writes a row of its own, and finds the others by theirs."""
+"""Membership of the daemons in a pool, based on one row per daemon in the store."""
 
 import asyncio
 import bisect
@@ -24,15 +24,16 @@
 PEER_KEY_PREFIX = "daemon/"
 REGISTER_RETRY_SECONDS = 0.5
 STANDBY_COUNT = 5
-# So that a standby, which hears of each renewal, takes a lease before any other daemon tries.
+# Lets standbys, which are notified of each renewal, take an expired lease before other daemons.
 NON_STANDBY_DELAY_SECONDS = 0.7
 POLL_SECONDS_PER_DAEMON = 0.01
-# The leader has to tell new daemons what it decides; standbys may lead next.
+# Limit for the leader, which must send its decisions to new daemons, and for standbys, which may
+# become leader.
 MAX_POLL_SECONDS = 0.5
-# The others need the list to find peers alone, some of which may be outdated.
+# Other daemons only use the list to find peers, and tolerate outdated entries.
 MAX_FOLLOWER_POLL_SECONDS = 5.0
 RETRY_SECONDS = 0.6
-# Under the time after which a daemon counts as in touch again, 3 s, by the deployments' sheets.
+# Must be below the 3 s within which the deployments require a daemon to be in touch again.
 MAX_RETRY_SECONDS = 2.0
 MIN_MIRRORS = 3
 DAEMONS_PER_MIRROR = 25
@@ -41,8 +42,9 @@
 class PeerEntry(Struct, frozen=True):
     """A daemon's row in the store.
 
-    :param address: ``host:port`` for peers.
-    :param relay: ``host:port`` for requests that other daemons cannot serve; empty for none.
+    :param address: the peer address, ``host:port``.
+    :param life: the ID of the daemon process.
+    :param relay: the address that accepts relayed requests, ``host:port``; empty for none.
     """
 
     address: str
@@ -52,7 +54,7 @@
 
 
 class PeerTable:
-    """The rows of all daemons, and the parts that some of them have."""
+    """The rows of all daemons, and the roles (standby, mirror) derived from them."""
 
     def __init__(
         self,
@@ -76,19 +78,19 @@
         self._election.longer_seconds = self._extra_wait_seconds()
 
     def others(self) -> list[PeerEntry]:
-        """Return the other daemons."""
+        """Return all daemons except this one."""
         return [peer for name, peer in self._peers.items() if name != self._own.name]
 
     def get(self, name: str) -> PeerEntry | None:
-        """Return the daemon of that name; None when it has no row."""
+        """Return the daemon with this name, or None if it has no row."""
         return self._peers.get(name)
 
     def scale_interval(self, seconds: float) -> float:
-        """Return an interval, longer in a large fleet so that the leader's work stays bounded."""
+        """Return an interval scaled with the fleet size, to bound the load on the leader."""
         return seconds * max(1.0, len(self._peers) / constants.SMALL_FLEET_DAEMONS)
 
     def on_rows(self, snapshot: Snapshot, whole: bool) -> None:
-        """Take in rows of the daemons' table."""
+        """Apply changed rows of the daemon table, or all rows if ``whole``."""
         if whole:
             self._peers.clear()
         for row in snapshot.rows:
@@ -102,7 +104,7 @@
     def _extra_wait_seconds(self) -> float:
         """Return how much longer than a standby this daemon waits for a renewal of the lease.
 
-        It hears of one only when it asks the leader: more rarely the larger the fleet is.
+        It learns of renewals only by asking the leader, which happens less often in a large fleet.
         """
         if self._own.name in self._ranked[:STANDBY_COUNT]:
             return 0.0
@@ -110,9 +112,9 @@
         return NON_STANDBY_DELAY_SECONDS + self.scale_interval(interval) - interval
 
     def poll_interval_seconds(self) -> float:
-        """Return the pause between two looks at the rows.
+        """Return the pause between two reads of the rows.
 
-        Each change answers the feed of each daemon, and all daemons of a fleet may start at once.
+        Each change wakes the long poll of every daemon, and all daemons may start at the same time.
         """
         interval = POLL_SECONDS_PER_DAEMON * len(self._peers)
         if self._own.name in self._ranked[:STANDBY_COUNT] or self._leads():
@@ -125,31 +127,31 @@
     def max_retry_seconds(self) -> float:
         """Return the longest pause between two calls while the store does not answer.
 
-        The daemons that read for others keep the pace of a small fleet.
+        Mirrors, which read for other daemons, retry as often as in a small fleet.
         """
         if self.is_mirror():
             return RETRY_SECONDS
         return min(MAX_RETRY_SECONDS, self.scale_interval(RETRY_SECONDS))
 
     def standbys(self) -> list[PeerEntry]:
-        """Return the daemons that take the lease first; told of each renewal."""
+        """Return the daemons that may take the lease first and are notified of each renewal."""
         names = [name for name in self._ranked[:STANDBY_COUNT] if name != self._own.name]
         return [self._peers[name] for name in names]
 
     def mirrors(self) -> list[PeerEntry]:
-        """Return the daemons that follow the store for the others too."""
+        """Return the daemons that follow the store on behalf of the others."""
         count = max(MIN_MIRRORS, len(self._peers) // DAEMONS_PER_MIRROR)
         return [self._peers[name] for name in self._ranked[:count]]
 
     def is_mirror(self) -> bool:
-        """Whether this daemon follows the store for others; all do until they know any daemon."""
+        """Whether this daemon follows the store for others; True until any daemon is known."""
         mirrors = self.mirrors()
         return not mirrors or any(mirror.life == self._own.life for mirror in mirrors)
 
     def fingers(self) -> list[PeerEntry]:
-        """Return the daemons at distances of 1, 2, 4 and so on in the order of all.
+        """Return the daemons at distances 1, 2, 4, ... on the hash ring, as in a Chord finger table.
 
-        What each daemon passes on to these, once, reaches all by several ways.
+        A message that each daemon forwards once to its fingers reaches all daemons over several paths.
         """
         count = len(self._ranked)
         if not count:
@@ -170,7 +172,7 @@
             log_state("peer", "unreadable", peer=name, error=str(error))
 
     async def register(self) -> None:
-        """Write this daemon's own row, so that peers find it."""
+        """Write this daemon's row, retrying until the store accepts it."""
         value = msgspec.json.encode(self._own_entry())
         while True:
             try:
@@ -184,7 +186,7 @@
         return PeerEntry(self._own.address, self._zone, self._own.life, self._relay_address)
 
     async def unregister(self) -> None:
-        """Remove this daemon's own row."""
+        """Remove this daemon's row."""
         try:
             await self._store.write(self._table, Write(self._own_key, None))
         except (StoreUnavailable, WriteConflict) as error:
@@ -196,5 +198,5 @@
 
 
 def _hash_rank(name: str) -> int:
-    """Return a number that orders daemons the same way everywhere, whatever their names."""
+    """Return a hash of a name, which orders the daemons identically on every daemon."""
     return xxhash.xxh64_intdigest(name.encode())
