--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other: demand, holdings, and newer contents for those that lack them."""
+"""Dispatches messages between the daemons of a pool, and sends demand reports and holdings."""
 
 import asyncio
 from collections import deque
@@ -39,15 +39,15 @@
 
 BROADCAST_DELAY_SECONDS = 0.02
 MAX_BUFFERED_REPORTS = 4096
-# A peer whose reports are missing for so many intervals says nothing any more.
+# A peer's report expires after this many report intervals.
 REPORT_EXPIRY_INTERVALS = 4
 
 
 @frozen
 class UnreachableServices:
-    """The services whose servers a peer does not reach.
+    """The services whose servers a peer reports as unreachable.
 
-    :ivar good_until: loop time until which its report counts.
+    :ivar expires_at: the loop time at which the report expires.
     """
 
     services: tuple[str, ...]
@@ -55,27 +55,27 @@
 
 
 class DemandInbox:
-    """Reports of demand that the leader has not looked at yet."""
+    """Demand reports that the leader has not processed yet; a full buffer drops the oldest."""
 
     def __init__(self) -> None:
         self._reports: deque[PoolDemand] = deque(maxlen=MAX_BUFFERED_REPORTS)
         self.arrived = asyncio.Event()
 
     def put(self, report: PoolDemand) -> None:
-        """Take in a report; it wakes the leader when a request waits."""
+        """Add a report, and wake the leader if it contains waiting requests."""
         self._reports.append(report)
         if any(demand.waiting for demand in report.demand):
             self.arrived.set()
 
     def drain(self) -> list[PoolDemand]:
-        """Return the reports, oldest first, and forget them."""
+        """Return and remove all reports, oldest first."""
         reports = list(self._reports)
         self._reports.clear()
         return reports
 
 
 class PeerExchange:
-    """One daemon's side of the internal protocol."""
+    """This daemon's endpoint of the protocol between the daemons of a pool."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self._unreachable_at_peers: dict[str, UnreachableServices] = {}
 
     async def on_message(self, message: AnyMessage) -> AnyMessage | None:
-        """Act on a peer's message; returns the answer of one that wants one."""
+        """Handle a peer's message; returns the answer if the message expects one."""
         match message:
             case PoolDemand():
                 self._on_demand(message)
@@ -154,25 +154,25 @@
             confirmations.note(message.sender, self._now())
 
     def is_reachable_by_peers(self, service: str) -> bool:
-        """Whether a peer that reports its demand here reaches the servers of a service."""
+        """Whether any peer with an unexpired demand report reaches the servers of a service."""
         now = self._now()
         fresh = (each for each in self._unreachable_at_peers.values() if now < each.expires_at)
         return any(service not in each.services for each in fresh)
 
     def _on_holdings(self, message: PoolHoldings) -> None:
-        """Take in what servers hold; that of an earlier leader is ignored."""
+        """Apply the servers' holdings; messages of an earlier leader are ignored."""
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
             self._pool.residency.paces.update({pace.service: pace for pace in message.paces})
             self._pool.tell(message.holdings)
 
     def _on_expectations(self, message: PoolExpectations) -> None:
-        """Take in when models should be there; the word of an earlier leader is ignored."""
+        """Apply the expected load times; messages of an earlier leader are ignored."""
         if message.fence >= self._holdings_fence:
             self._pool.expect(message.expected)
 
     def send_expectations(self, daemon: str, message: PoolExpectations) -> None:
-        """Tell one daemon when what its requests wait for should be there."""
+        """Tell one daemon when the models that its requests wait for are expected."""
         if daemon == self._own.name:
             self._on_expectations(message)
             return
@@ -181,7 +181,7 @@
             self._transport.cast(peer.address, message)
 
     def broadcast_holdings(self, message: PoolHoldings) -> None:
-        """Tell all daemons what servers hold; in a large fleet several changes at once."""
+        """Send the servers' holdings to all daemons; a large fleet gets changes in batches."""
         self._on_holdings(message)
         for holding in message.holdings:
             self._pending_holdings[holding.instance] = holding
@@ -199,11 +199,11 @@
             self._transport.cast(peer.address, message)
 
     def scale_interval(self, seconds: float) -> float:
-        """Return an interval, longer in a large fleet; see :meth:`PeerTable.scale_interval`."""
+        """Return an interval scaled with the fleet size; see :meth:`PeerTable.scale_interval`."""
         return self._peers.scale_interval(seconds)
 
     async def send_demand(self) -> None:
-        """Tell the leader what callers want: at once when a request begins to wait."""
+        """Send demand reports to the leader, immediately when a request starts to wait."""
         told_life = ""
         while True:
             await self._next_report()
@@ -218,7 +218,7 @@
                 self._transport.cast(holder.address, report)
 
     async def _next_report(self) -> None:
-        """Wait until a request begins to wait, or the interval is over."""
+        """Wait for new demand, at most for the report interval."""
         new_demand = self._pool.demand.new_demand
         try:
             async with asyncio.timeout(self._report_interval_seconds()):
