--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -1,8 +1,8 @@
-"""How daemons know of the lease without following its row: the leader tells them, or is asked.
+"""Tracks the lease without following its row: the leader announces renewals, or is asked.
 
-The leader's word is as good as the row that it names: it carries the version that the leader wrote,
-so whoever has heard it waits out the lease from then on. Only when the leader is silent, does not
-lead any more or cannot reach the store itself is the row read.
+A leader's message is equivalent to reading the row: it carries the version that the leader wrote, and
+the receiver waits for the lease to expire from then on. The row itself is read only if the leader
+does not answer, no longer leads or cannot reach the store.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 
 QUESTION_TIMEOUT_SECONDS = 0.4
 ROW_READ_PAUSE_SECONDS = 0.4
-# Daemons that start together would all ask the leader at the same moment for ever.
+# Without jitter, daemons that start together would always ask the leader at the same time.
 QUESTION_JITTER = 0.2
 
 
 class LeaderWatch:
-    """One daemon's eye on the leader, and the leader's word to the others."""
+    """Monitors the leader, and announces lease changes while this daemon leads."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
         self._announced_fence: int | None = None
         self._announced_store_answers = True
 
-    # What this daemon says.
+    # Outgoing notices and answers.
 
     def answer(self) -> LeaderAnswer:
-        """Return what this daemon says when it is asked whether it leads."""
+        """Return the answer to a :class:`LeaderQuestion`."""
         version = self._election.lease.expected_version if self._election.leads() else 0
         return LeaderAnswer(self._own.life, version, self._store_answers())
 
@@ -58,7 +58,10 @@
         return self._health.answering_since is not None
 
     async def announce(self) -> None:
-        """Tell standbys of each renewal for ever, and all daemons of each change of the leader."""
+        """Notify standbys of each renewal, and all daemons of changes; never returns.
+
+        Changes are a new fencing token and a change of the leader's access to the store.
+        """
         while True:
             await self._election.wrote.wait()
             self._election.wrote.clear()
@@ -75,10 +78,10 @@
             for peer in self._peers.others() if changed else self._peers.standbys():
                 self._transport.cast(peer.address, notice)
 
-    # What this daemon hears.
+    # Monitoring the leader.
 
     def on_notice(self, notice: LeaseNotice) -> None:
-        """Take in the word of the daemon that wrote the lease's row."""
+        """Apply a notice of the daemon that wrote the lease row."""
         known = self._election.lease.holder
         self._election.note_heard(notice.version, notice.holder)
         if notice.holder is not None and notice.holder != known:
@@ -87,7 +90,7 @@
             self._check_requested.set()
 
     async def watch(self) -> None:
-        """See for ever who leads."""
+        """Check periodically who leads; never returns."""
         while True:
             try:
                 await self._check_leader()
@@ -100,12 +103,12 @@
                 pass
 
     def _check_interval_seconds(self) -> float:
-        """Return the time until the leader is asked again."""
+        """Return the time until the next check, with jitter."""
         jitter = random.uniform(1 - QUESTION_JITTER, 1 + QUESTION_JITTER)
         return jitter * self._peers.scale_interval(constants.LEADER_QUESTION_SECONDS)
 
     async def _check_leader(self) -> None:
-        """Ask the holder, and read the row when that does not settle who leads."""
+        """Ask the holder whether it leads, and read the lease row if it does not confirm."""
         holder = self._election.lease.holder
         if holder is not None and holder.life == self._own.life:
             self._check_requested.clear()
@@ -121,7 +124,7 @@
         await asyncio.sleep(ROW_READ_PAUSE_SECONDS)
 
     async def _confirms_leadership(self, holder: LeaseHolder) -> bool:
-        """Whether the holder says that it leads and reaches the store."""
+        """Whether the holder confirms that it leads and reaches the store."""
         try:
             answer = await self._transport.call(
                 holder.address, LeaderQuestion(), QUESTION_TIMEOUT_SECONDS
