--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -1,7 +1,7 @@
-"""What daemons add to a request that one of them serves for another, and to its answer.
+"""HTTP headers that daemons add to relayed requests and their responses.
 
-The request goes on as HTTP to the peer's own listener for such requests, with the caller's headers
-and the time that is left; these fields are set between daemons alone and reach nobody else.
+A request is relayed over HTTP to the peer's relay listener, with the caller's headers and the
+remaining time. The headers defined here are used only between daemons and are removed elsewhere.
 """
 
 import enum
@@ -19,10 +19,10 @@
 
 
 class RelayOutcome(enum.Enum):
-    """How a peer ends a request without a server's answer.
+    """How a peer ends a relayed request without a server's response.
 
-    ``declined``: it has done nothing, and another peer may be asked. ``refused``: what it answers
-    is final.
+    ``declined``: the peer did nothing, and another one may be asked. ``refused``: the peer's
+    response is final.
     """
 
     DECLINED = "declined"
@@ -31,10 +31,10 @@
 
 @frozen
 class RelayMetadata:
-    """What a peer has to know of a request that it serves for another daemon.
+    """What a peer needs to know about a request relayed to it.
 
-    :ivar runs: at how many servers it may have run already.
-    :ivar configuration_version: it is not served by an older configuration.
+    :ivar runs: the number of servers that may have run the request already.
+    :ivar configuration_version: the oldest configuration that may serve the request.
     """
 
     runs: int
@@ -42,7 +42,7 @@
 
     @property
     def headers(self) -> Headers:
-        """Return the fields that say so."""
+        """Return the headers that carry the metadata."""
         return (
             (RUNS_HEADER, str(self.runs)),
             (CONFIGURATION_HEADER, str(self.configuration_version)),
@@ -50,9 +50,9 @@
 
 
 def read_metadata(request: HttpRequest) -> RelayMetadata:
-    """Return the terms of a request from a peer.
+    """Return the metadata of a relayed request.
 
-    :raises ValueError: it carries none.
+    :raises ValueError: a header is missing or not a number.
     """
     return RelayMetadata(
         int(request.header(RUNS_HEADER) or ""),
@@ -61,12 +61,12 @@
 
 
 def strip_relay_headers(headers: Headers) -> Headers:
-    """Return headers as they are outside of the exchange between daemons."""
+    """Return the headers without those used only between daemons."""
     return tuple((name, value) for name, value in headers if name not in RELAY_HEADERS)
 
 
 def outcome_headers(outcome: RelayOutcome, retry_after_seconds: float | None = None) -> Headers:
-    """Return the fields of an answer that no server gave."""
+    """Return the headers of a response that does not come from a server."""
     headers: Headers = ((OUTCOME_HEADER, outcome.value),)
     if retry_after_seconds is not None:
         headers += ((RETRY_AFTER_HEADER, f"{retry_after_seconds:.3f}"),)
@@ -74,23 +74,23 @@
 
 
 def configuration_headers(version: int) -> Headers:
-    """Return the field that names the configuration that a request was served by."""
+    """Return the header with the configuration version that served a request."""
     return ((CONFIGURATION_HEADER, str(version)),)
 
 
 def configuration_version_of(head: HttpResponse) -> int:
-    """Return the version of the configuration that a request was served by; 0 if not said."""
+    """Return the configuration version that served a request; 0 if not given."""
     text = head.header(CONFIGURATION_HEADER) or ""
     return int(text) if text.isdigit() else 0
 
 
 def is_server_answer(head: HttpResponse) -> bool:
-    """Whether a server has given the answer, and the peer passes it on."""
+    """Whether the peer forwarded a server's response."""
     return head.header(OUTCOME_HEADER) is None
 
 
 def decode_error(head: HttpResponse, body: bytes) -> Refused | RelayDeclined:
-    """Return what an answer says that no server has given."""
+    """Return the error in a response that does not come from a server."""
     reason = body.decode(errors="replace")
     if head.header(OUTCOME_HEADER) == RelayOutcome.DECLINED.value:
         return RelayDeclined(reason)
