--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -1,4 +1,4 @@
-"""Serves requests of peers that reach no server themselves, or declines them."""
+"""Serves requests relayed by peers that cannot reach a server, or declines them."""
 
 import asyncio
 
@@ -20,14 +20,14 @@
 
 
 class RelayService:
-    """Gives every request of a peer one answer: a server's, a refusal, or that it is declined."""
+    """Answers each relayed request with a server's response, a refusal or a decline."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
         self._open_count = 0
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer one relayed request."""
         exchange.extra_headers = configuration_headers(self._handler.configuration_version())
         try:
             metadata, request = self._accept(exchange)
@@ -43,9 +43,9 @@
             self._open_count -= 1
 
     def _accept(self, exchange: Exchange) -> tuple[RelayMetadata, HttpRequest]:
-        """Return a peer's request as its caller sent it, with what the peer says of it.
+        """Return the metadata of a relayed request, and the request without relay headers.
 
-        :raises RelayDeclined: this daemon takes no such request now.
+        :raises RelayDeclined: this daemon cannot serve it now.
         """
         request = exchange.request
         if request is None:
