--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -1,7 +1,7 @@
-"""Lets peers serve requests while this daemon reaches no server itself.
+"""Relays requests to peers while this daemon cannot reach any server.
 
-A peer serves a request of another daemon or declines it, and never passes it on again. Peers of
-other zones are asked first, since a fault may cut a whole zone.
+A peer serves a relayed request or declines it, and never relays it again. Peers in other zones are
+preferred, since a network fault may affect a whole zone.
 """
 
 import random
@@ -25,14 +25,14 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-# How long a peer that has declined, or cannot be reached, is not asked again for a service.
+# How long a peer that declined or was unreachable is skipped for a service.
 DECLINE_BACKOFF_MS = 1000.0
-# A peer's refusal, which says whether the request has run, should come before the time is over.
+# Lets a peer's refusal, which tells whether the request has run, arrive before the deadline.
 ANSWER_MARGIN_SECONDS = 0.05
 
 
 class PeerRelay:
-    """This daemon's requests that peers serve."""
+    """Selects peers and relays requests to them."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         metrics: Metrics,
         on_configuration: Callable[[str, int], None],
     ) -> None:
-        """Make a relay.
+        """Initialize the relay.
 
-        :param zone: this daemon's own zone.
-        :param on_configuration: called with a peer's ``host:port`` and the version of the
-            configuration by which it has served a request.
+        :param zone: this daemon's zone.
+        :param on_configuration: called with a peer's ``host:port`` and the configuration version
+            with which it served a request.
         """
         self._zone = zone
         self._peers = peers
@@ -60,9 +60,9 @@
         self._newest_configuration = 0
 
     def pick(self, service: str, asked: set[str]) -> PeerEntry | None:
-        """Return a peer that may reach a service's servers; None when there is none to ask.
+        """Return a peer that may reach a service's servers, or None if there is none to ask.
 
-        :param asked: the lives of peers that were asked for this request.
+        :param asked: IDs of the peer processes already asked to serve this request.
         """
         now_ms = self._clock.now_ms()
         candidates = [
@@ -78,7 +78,7 @@
     async def connect(self, peer: PeerEntry, service: str) -> ClientConnection:
         """Return a connection to a peer, on which nothing has been sent yet.
 
-        :raises RelayDeclined: there is none.
+        :raises RelayDeclined: the peer cannot be reached.
         """
         try:
             return await self._client.acquire(peer.relay, CONNECT_TIMEOUT_SECONDS)
@@ -96,11 +96,11 @@
         last_event_id: str | None,
         metadata: RelayMetadata,
     ) -> OpenAnswer:
-        """Send a request to a peer and return the head of the server's answer.
+        """Send a request to a peer and return the head of the server's response.
 
-        :raises RelayDeclined: the peer has not taken it, and nothing has run.
-        :raises Refused: the peer's final answer.
-        :raises SendFailed: there is no answer; it may have run.
+        :raises RelayDeclined: the peer declined the request; nothing has run.
+        :raises Refused: the peer refused the request, which is final.
+        :raises SendFailed: no response was received; the request may have run.
         """
         try:
             connection.send_request(self._relay_request(outgoing, now, last_event_id, metadata))
