--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -1,4 +1,4 @@
-"""A request's attempts to be served by a peer, while no server can be reached from here."""
+"""Attempts to relay a request to peers while this daemon cannot reach any server."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from loomwind.serving.handler import RequestHandler
 
-# Peers that are asked to serve one request; then it is tried from here, as it would be otherwise.
+# After this many peers were asked, the request is sent to servers directly, as without a relay.
 MAX_PEERS_ASKED = 4
 
 
 class PeerAttempts:
-    """The attempts of one request."""
+    """The relay attempts of one request."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         stream: StreamRelay,
         allowed: bool,
     ) -> None:
-        """Make the attempts.
+        """Initialize the attempts.
 
-        :param allowed: False for a request that a peer could not serve itself: it goes one hop.
+        :param allowed: False for a request that was relayed here; a request is relayed only once.
         """
         self._handler = handler
         self._exchange = exchange
@@ -49,15 +49,15 @@
 
     @property
     def asked(self) -> int:
-        """Return how many peers were asked."""
+        """Return the number of peers asked."""
         return len(self._asked)
 
     def should_relay(self) -> bool:
-        """Whether a peer may serve the request better: no server can be reached from here."""
+        """Whether to relay the request, because no server can be reached from here."""
         return self._allowed and self._choice.is_cut_off(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
-        """Return a peer to ask; None when there is none, and then no more are asked."""
+        """Return the next peer to ask; None, which ends the attempts, if there is none left."""
         peer = None
         if len(self._asked) < MAX_PEERS_ASKED:
             peer = self._handler.relay.pick(self._service, self._asked)
@@ -68,13 +68,13 @@
         return peer
 
     async def relay_to(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
-        """Let a peer serve the request, and pass its server's answer on.
+        """Relay the request to a peer and forward the response.
 
-        :param runs: at how many servers it may have run already.
-        :param on_sent: called once it is handed over, and may run from then on.
-        :raises RelayDeclined: the peer has not taken it, and nothing has run.
-        :raises Refused: the peer's final answer.
-        :raises SendFailed: there is no whole answer; it may have run.
+        :param runs: the number of servers that may have run the request already.
+        :param on_sent: called when the request is about to be sent and may run from then on.
+        :raises RelayDeclined: the peer declined the request; nothing has run.
+        :raises Refused: the peer refused the request, which is final.
+        :raises SendFailed: the response is missing or incomplete; the request may have run.
         """
         relay = self._handler.relay
         connection = await relay.connect(peer, self._service)
@@ -107,7 +107,7 @@
         await self._exchange.respond(status, headers, body)
 
     def log(self, decision: str, peer: PeerEntry, reason: str) -> None:
-        """Say what has become of an attempt."""
+        """Log the result of an attempt."""
         log_decision(
             decision,
             self._outgoing.caller.request_id,
