--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -1,8 +1,8 @@
 """Tracks the lease without following its row: the leader announces renewals, or is asked.
 
-A leader's message is equivalent to reading the row: it carries the version that the leader wrote, and
-the receiver waits for the lease to expire from then on. The row itself is read only if the leader
-does not answer, no longer leads or cannot reach the store.
+A leader's message is equivalent to reading the row: it carries the version that the leader wrote,
+and the receiver waits for the lease to expire from then on. The row itself is read only if the
+leader does not answer, no longer leads or cannot reach the store.
 """
 
 import asyncio
