--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -149,9 +149,9 @@
         return not mirrors or any(mirror.life == self._own.life for mirror in mirrors)
 
     def fingers(self) -> list[PeerEntry]:
-        """Return the daemons at distances 1, 2, 4, ... on the hash ring, as in a Chord finger table.
+        """Return the daemons at distances 1, 2, 4, ... on the hash ring, as in Chord.
 
-        A message that each daemon forwards once to its fingers reaches all daemons over several paths.
+        A message that each daemon forwards once to its fingers reaches all over several paths.
         """
         count = len(self._ranked)
         if not count:
