--- a/features/departures.feature
+++ b/features/departures.feature
@@ -52,10 +52,10 @@
     When a request is sent to s1, which says that it leaves before the connection is made
     Then nothing was sent, the connection is kept, and the request may go to another server
 
-  Scenario Outline: what each daemon passes on once to its fingers reaches all
+  Scenario Outline: a message that each daemon forwards once to its fingers reaches all daemons
     Given the rows of <daemons> daemons
-    When one of them passes a word on, and each that hears it first does the same
-    Then all <daemons> have heard it, in at most <hops> hops
+    When one of them sends a message, and each daemon forwards it once to its fingers
+    Then all <daemons> have received it, in at most <hops> hops
 
     Examples:
       | daemons | hops |
--- a/features/steps/finger_steps.py
+++ b/features/steps/finger_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the fingers by which daemons pass word on."""
+"""Steps about the fingers to which daemons forward gossip messages."""
 
 from typing import Any, cast
 
@@ -13,21 +13,21 @@
 from loomwind.settings import BoundSettings
 
 
-class NoElection:
-    """An election that only takes what a table of daemons tells it."""
+class ElectionStub:
+    """An election stub that stores the attributes set by a peer table."""
 
     daemons = 1
     longer_seconds = 0.0
 
 
 def peer_table(name: str, rows: Snapshot) -> PeerTable:
-    """Return what a daemon knows by the rows of all."""
+    """Return a daemon's peer table built from all rows."""
     table = PeerTable(
         cast(Store, None),
         "daemons",
         LeaseHolder(name, f"life-{name}", name),
         "z",
-        cast(Election, NoElection()),
+        cast(Election, ElectionStub()),
         ServerPool(BoundSettings()),
     )
     table.on_rows(rows, whole=True)
@@ -46,22 +46,24 @@
     context.rows = rows
 
 
-@when("one of them passes a word on, and each that hears it first does the same")
-def step_passes_on(context: Any) -> None:
+@when("one of them sends a message, and each daemon forwards it once to its fingers")
+def step_forwards(context: Any) -> None:
     tables: dict[str, PeerTable] = context.tables
-    alone = peer_table(context.first, Snapshot(context.rows, 1))
-    context.heard = {context.first: 0} if tables else {}
-    telling = [context.first] if tables else []
-    assert tables or alone.fingers() == []
-    while telling:
-        teller = telling.pop(0)
-        for peer in tables[teller].fingers():
-            if peer.address not in context.heard:
-                context.heard[peer.address] = context.heard[teller] + 1
-                telling.append(peer.address)
+    table = peer_table(context.first, Snapshot(context.rows, 1))
+    context.hops_by_address = {context.first: 0} if tables else {}
+    pending = [context.first] if tables else []
+    assert tables or table.fingers() == []
+    while pending:
+        sender = pending.pop(0)
+        for peer in tables[sender].fingers():
+            if peer.address not in context.hops_by_address:
+                context.hops_by_address[peer.address] = context.hops_by_address[sender] + 1
+                pending.append(peer.address)
 
 
-@then("all {count:d} have heard it, in at most {hops:d} hops")
-def step_all_heard(context: Any, count: int, hops: int) -> None:
-    assert len(context.heard) == count, len(context.heard)
-    assert max(context.heard.values(), default=0) <= hops, max(context.heard.values())
+@then("all {count:d} have received it, in at most {hops:d} hops")
+def step_all_received(context: Any, count: int, hops: int) -> None:
+    assert len(context.hops_by_address) == count, len(context.hops_by_address)
+    assert max(context.hops_by_address.values(), default=0) <= hops, max(
+        context.hops_by_address.values()
+    )
