--- a/features/server_list.feature
+++ b/features/server_list.feature
@@ -82,6 +82,6 @@
     And its next call of a feed does not wait, so that an answer is known at once
 
   Scenario: a leader that stops hands its lease over only when its orders are answered
-    Given a leader with an order under way that is answered late
-    When it stops, and a renewal is answered after that
+    Given a leader with an outstanding order that is answered late
+    When it stops, and a pending lease renewal is answered after that
     Then it does not lead, and removes its row after the order was answered
--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -1,4 +1,8 @@
-"""Steps about a leader that stops: made parts, in one process."""
+"""Steps about a leader that stops, with stubs for the store and its peers; no processes.
+
+The lease row must be removed only after all outstanding orders were answered. Otherwise the next
+leader could start while an order of the old one is still being carried out.
+"""
 
 import asyncio
 from typing import Any, cast
@@ -16,41 +20,41 @@
 from loomwind.serving.ports import EngineControl, Store, Write
 from loomwind.settings import BoundSettings
 
-ANSWER_TURNS = 20
+ANSWER_DELAY_TURNS = 20
 
 
-class RowStore(CountingStore):
-    """A store with the lease's row alone, which notes in what order things happened."""
+class LeaseRowStore(CountingStore):
+    """A store stub that records writes and removals of the lease row."""
 
     def __init__(self, events: list[str]) -> None:
         super().__init__()
         self._events = events
 
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
-        """Write, or remove, the row."""
+        """Record a write or a removal of the row."""
         self._events.append("removed" if write.value is None else "written")
         return 7
 
 
-class MadeExchange:
-    """An exchange to which nobody has said anything."""
+class PeerExchangeStub:
+    """A peer exchange stub with an empty inbox."""
 
     def __init__(self) -> None:
         self.inbox = DemandInbox()
 
 
-@given("a leader with an order under way that is answered late")
+@given("a leader with an outstanding order that is answered late")
 def step_leader_with_order(context: Any) -> None:
     context.events = []
 
 
-@when("it stops, and a renewal is answered after that")
+@when("it stops, and a pending lease renewal is answered after that")
 def step_stops(context: Any) -> None:
     asyncio.run(_stop_leader(context))
 
 
 async def _stop_leader(context: Any) -> None:
-    store = cast(Store, RowStore(context.events))
+    store = cast(Store, LeaseRowStore(context.events))
     lease = Lease(OWN, 1.8, 0.45, 0.3)
     election = Election(store, "lease", OWN, lease, StoreHealth())
     now = asyncio.get_running_loop().time()
@@ -63,7 +67,7 @@
         pool,
         beliefs(),
         cast(EngineControl, None),
-        cast(PeerExchange, MadeExchange()),
+        cast(PeerExchange, PeerExchangeStub()),
         BoundSettings(),
         Metrics(),
     )
@@ -78,7 +82,7 @@
 
 async def _answer_late(events: list[str]) -> None:
     loop = asyncio.get_running_loop()
-    for _ in range(ANSWER_TURNS):
+    for _ in range(ANSWER_DELAY_TURNS):
         turn = asyncio.Event()
         loop.call_soon(turn.set)
         await turn.wait()
