--- a/features/steps/relay_version_steps.py
+++ b/features/steps/relay_version_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the version of the configuration by which a peer serves a request."""
+"""Steps about the configuration version with which a peer serves a relayed request."""
 
 import asyncio
 from typing import Any, cast
@@ -18,28 +18,28 @@
 PEER = PeerEntry("peer:1", "zone-b", "life-2", "peer:2")
 
 
-class ServedConnection:
-    """A connection to a peer that has served a request by a version of its own."""
+class PeerConnectionStub:
+    """A connection stub to a peer that served a request with a given configuration version."""
 
     def __init__(self, version: int) -> None:
         self._version = version
 
     def send_request(self, request: HttpRequest) -> None:
-        """Take a request."""
+        """Accept a request."""
 
     async def read_head(self) -> HttpResponse:
-        """Return the head of a server's answer."""
+        """Return the head of a server's response."""
         return HttpResponse(200, configuration_headers(self._version))
 
 
-@given("a daemon that has version {version:d} in force")
+@given("a daemon with configuration version {version:d}")
 def step_version(context: Any, version: int) -> None:
     context.version = version
 
 
-@when("a peer has served a request of it by version {version:d}")
+@when("a peer serves a relayed request with configuration version {version:d}")
 def step_served(context: Any, version: int) -> None:
-    context.heard = []
+    context.peer_versions = []
     asyncio.run(_serve_by_peer(context, version))
 
 
@@ -50,19 +50,19 @@
         HttpClient(Connector()),
         PlatformDialect(),
         Metrics(),
-        lambda address, newer: context.heard.append((address, newer)),
+        lambda address, newer: context.peer_versions.append((address, newer)),
     )
     request = HttpRequest("POST", "/r/", ())
     caller = PlatformDialect().read_request(request)
     parts = (WeightedService("web", 1.0),)
     route = RouteRule("r", "h", "/r/", RequestKind.IDEMPOTENT, parts, 1.0, 1.0, 1)
-    connection = cast(ClientConnection, ServedConnection(version))
+    connection = cast(ClientConnection, PeerConnectionStub(version))
     outgoing = Outgoing(request, caller, route, 1.0)
     await relay.send(
         connection, PEER, "web", outgoing, 0.0, None, RelayMetadata(0, context.version)
     )
 
 
-@then("it knows that the peer has version {version:d}")
+@then("the daemon knows that the peer has version {version:d}")
 def step_knows(context: Any, version: int) -> None:
-    assert context.heard == [(PEER.address, version)], context.heard
+    assert context.peer_versions == [(PEER.address, version)], context.peer_versions
