--- a/features/lease_standbys.feature
+++ b/features/lease_standbys.feature
@@ -1,8 +1,8 @@
-Feature: A large fleet leaves the lease, and the store, to a few daemons
+Feature: Only a few daemons of a large fleet take the lease first and read the store often
 
-  Scenario Outline: daemons that ask the leader rarely do not try to take a lease that is renewed
+  Scenario Outline: daemons that rarely ask the leader do not try to take a renewed lease
     Given a fleet of <daemons> daemons
-    When the leader renews its lease, and each other daemon hears of it as rarely as it asks
+    When the leader renews its lease, and each other daemon learns of it only by asking the leader
     Then only standbys may try to take the lease
 
     Examples:
@@ -11,24 +11,24 @@
       | 195     |
       | 320     |
 
-  Scenario: another daemon takes the lease when the leader and all standbys are gone
+  Scenario: another daemon takes the lease if the leader and all standbys are gone
     Given a fleet of 195 daemons
     When neither the leader nor a standby renews the lease any more
-    Then each other daemon may take it once it would have heard of a renewal
+    Then each daemon may take it after the time in which it would have learned of a renewal
 
-  Scenario: a daemon that does not know the others leaves a vacant lease to those that do
-    Given a daemon that has read no list of daemons
+  Scenario: a daemon that does not know its peers lets others take a vacant lease first
+    Given a daemon that has not read the list of daemons
     When the lease is vacant
-    Then it waits a moment before it takes it
+    Then it waits before it takes the lease
 
-  Scenario Outline: daemons of a large fleet look at the list of daemons, and at a store that is away, rarely
+  Scenario Outline: daemons of a large fleet limit reads of the daemon list and retries to an unavailable store
     Given a fleet of <daemons> daemons
-    Then the store is asked for the list at most <looks> times a second while daemons come and go
-    And the store is asked at most <retries> times a second by each kind of reader while it is away
-    And standbys look at the list every 0.5 s at the latest
+    Then the daemons read the list at most <reads> times per second in total while the fleet changes
+    And each kind of reader retries at most <retries> times per second in total while the store is unavailable
+    And standbys read the list at least every 0.5 s
 
     Examples:
-      | daemons | looks | retries |
+      | daemons | reads | retries |
       | 6       | 120   | 10      |
       | 195     | 50    | 120     |
       | 320     | 75    | 190     |
--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -1,4 +1,4 @@
-"""Steps about which daemons of a fleet try to take the lease; times are passed in."""
+"""Steps about which daemons of a fleet try to take the lease; no real time passes."""
 
 from typing import Any, cast
 
@@ -27,9 +27,9 @@
     """One daemon's view of the fleet and of the lease."""
 
     def __init__(self, name: str, rows: tuple[StoredRow, ...] | None) -> None:
-        """Make a daemon.
+        """Initialize a daemon.
 
-        :param rows: the rows of all daemons; None when it has not read them.
+        :param rows: the rows of all daemons; None if it has not read them.
         """
         own = LeaseHolder(name, f"life-{name}", "a:1")
         self.lease = Lease(own, LEASE_SECONDS, RENEW_SECONDS, MARGIN_SECONDS)
@@ -42,17 +42,17 @@
 
     @property
     def is_standby(self) -> bool:
-        """Whether the leader tells this daemon of each renewal."""
+        """Whether the leader notifies this daemon of each renewal."""
         return self.election.longer_seconds == 0.0
 
     @property
-    def hears_every_seconds(self) -> float:
-        """Return the longest time between two words of a leader that answers."""
+    def max_contact_interval_seconds(self) -> float:
+        """Return the longest time between two messages from a leader that answers."""
         pause = self.peers.scale_interval(constants.LEADER_QUESTION_SECONDS) * (1 + QUESTION_JITTER)
         return pause + QUESTION_TIMEOUT_SECONDS
 
     def action_after(self, seconds: float) -> LeaseAction:
-        """Return what the daemon does about the lease so long after the scenario's start."""
+        """Return the daemon's lease action at a time after the start of the scenario."""
         now = START_SECONDS + seconds
         return self.lease.action(now, STORE_ANSWERS_SECONDS, self.election.longer_seconds)
 
@@ -68,12 +68,12 @@
     context.fleet = [FleetDaemon(name, rows) for name in names]
 
 
-@given("a daemon that has read no list of daemons")
+@given("a daemon that has not read the list of daemons")
 def step_alone(context: Any) -> None:
     context.fleet = [FleetDaemon("front-0", None)]
 
 
-@when("the leader renews its lease, and each other daemon hears of it as rarely as it asks")
+@when("the leader renews its lease, and each other daemon learns of it only by asking the leader")
 @when("neither the leader nor a standby renews the lease any more")
 def step_heard(context: Any) -> None:
     for daemon in context.fleet:
@@ -89,37 +89,47 @@
 def step_only_standbys(context: Any) -> None:
     others = [d for d in context.fleet if not d.is_standby]
     assert others
-    takers = [d for d in others if d.action_after(d.hears_every_seconds) is not LeaseAction.WAIT]
-    assert not takers, f"{len(takers)} of {len(others)} try to take a lease that is renewed"
+    takers = [
+        d for d in others if d.action_after(d.max_contact_interval_seconds) is not LeaseAction.WAIT
+    ]
+    assert not takers, f"{len(takers)} of {len(others)} try to take a renewed lease"
 
 
-@then("each other daemon may take it once it would have heard of a renewal")
+@then("each daemon may take it after the time in which it would have learned of a renewal")
 def step_takes(context: Any) -> None:
     for daemon in context.fleet:
-        late = daemon.hears_every_seconds + LEASE_SECONDS
+        late = daemon.max_contact_interval_seconds + LEASE_SECONDS
         assert daemon.action_after(late) is LeaseAction.TAKE
 
 
-@then("the store is asked for the list at most {most:d} times a second while daemons come and go")
-def step_looks(context: Any, most: int) -> None:
-    looks = sum(1 / daemon.peers.poll_interval_seconds() for daemon in context.fleet)
-    assert looks <= most, looks
+@then(
+    "the daemons read the list at most {most:d} times per second in total while the fleet changes"
+)
+def step_reads(context: Any, most: int) -> None:
+    reads = sum(1 / daemon.peers.poll_interval_seconds() for daemon in context.fleet)
+    assert reads <= most, reads
 
 
-@then("the store is asked at most {most:d} times a second by each kind of reader while it is away")
+@then(
+    "each kind of reader retries at most {most:d} times per second in total while the store is unavailable"
+)
 def step_retries(context: Any, most: int) -> None:
     retries = sum(1 / daemon.peers.max_retry_seconds() for daemon in context.fleet)
     assert retries <= most, retries
 
 
-@then("standbys look at the list every 0.5 s at the latest")
-def step_standbys_look(context: Any) -> None:
-    rests = [daemon.peers.poll_interval_seconds() for daemon in context.fleet if daemon.is_standby]
-    assert rests and max(rests) <= 0.5, rests
+@then("standbys read the list at least every 0.5 s")
+def step_standby_reads(context: Any) -> None:
+    intervals = [
+        daemon.peers.poll_interval_seconds() for daemon in context.fleet if daemon.is_standby
+    ]
+    assert intervals and max(intervals) <= 0.5, intervals
 
 
-@then("it waits a moment before it takes it")
+@then("it waits before it takes the lease")
 def step_waits(context: Any) -> None:
     daemon = context.fleet[0]
     assert daemon.action_after(0.0) is LeaseAction.WAIT
-    assert daemon.action_after(daemon.hears_every_seconds + LEASE_SECONDS) is LeaseAction.TAKE
+    assert (
+        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS) is LeaseAction.TAKE
+    )
