--- a/features/reach.feature
+++ b/features/reach.feature
@@ -1,17 +1,17 @@
-Feature: What connects say of a daemon's way to the servers
+Feature: Connectivity of a service, derived from connection attempts to its servers
 
-  Scenario: a daemon is known to be cut when no server accepts a connection, one after the other
-    Given 4 servers that are listed
-    When server 1 accepts no connection
-    Then the daemon is doubted
-    When server 1 accepts no connection
-    Then the daemon is doubted
-    When server 2 accepts no connection
-    Then the daemon is cut
-    When server 3 accepts a connection
-    Then the daemon is reached
+  Scenario: a service is unreachable once connecting to two servers failed, with no success in between
+    Given 4 listed servers
+    When connecting to server 1 fails
+    Then the connectivity state is doubted
+    When connecting to server 1 fails
+    Then the connectivity state is doubted
+    When connecting to server 2 fails
+    Then the connectivity state is cut
+    When connecting to server 3 succeeds
+    Then the connectivity state is reached
 
-  Scenario: the one server that is listed decides alone
-    Given 1 servers that are listed
-    When server 1 accepts no connection
-    Then the daemon is cut
+  Scenario: the only listed server decides alone
+    Given 1 listed servers
+    When connecting to server 1 fails
+    Then the connectivity state is cut
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what connects say of a daemon's way to the servers; no process."""
+"""Steps about the connectivity of a service, without processes."""
 
 from typing import Any
 
@@ -9,22 +9,22 @@
 NOW_MS = 1000.0
 
 
-@given("{count:d} servers that are listed")
+@given("{count:d} listed servers")
 def step_listed(context: Any, count: int) -> None:
-    context.reach = ServiceConnectivity()
-    context.reach.set_servers({str(number) for number in range(1, count + 1)})
+    context.connectivity = ServiceConnectivity()
+    context.connectivity.set_servers({str(number) for number in range(1, count + 1)})
 
 
-@when("server {number} accepts no connection")
+@when("connecting to server {number} fails")
 def step_failed(context: Any, number: str) -> None:
-    context.reach.record_connect_failure(number, NOW_MS)
+    context.connectivity.record_connect_failure(number, NOW_MS)
 
 
-@when("server {number} accepts a connection")
+@when("connecting to server {number} succeeds")
 def step_connected(context: Any, number: str) -> None:
-    context.reach.record_connected(NOW_MS)
+    context.connectivity.record_connected(NOW_MS)
 
 
-@then("the daemon is {state:w}")
+@then("the connectivity state is {state:w}")
 def step_state(context: Any, state: str) -> None:
-    assert context.reach.state.value == state, context.reach.state
+    assert context.connectivity.state.value == state, context.connectivity.state
