--- a/features/cut_from_servers.feature
+++ b/features/cut_from_servers.feature
@@ -1,4 +1,4 @@
-Feature: A daemon that is cut from all servers, while callers, peers and the store reach it
+Feature: A daemon partitioned from all servers, but not from callers, peers and the store
 
   Background:
     Given a model server one that holds m1+m2
@@ -7,7 +7,7 @@
     And a plain server depot
     And links between daemon-1 and all servers
 
-  Scenario Outline: first attempts at a cut daemon are served about as often as at the others, <state>
+  Scenario Outline: a partitioned daemon serves about as many first attempts as the others, <state>
     Given 3 pool daemons
     When callers keep every daemon busy for 1.0 s
     And the links to the servers become <state>
@@ -15,13 +15,13 @@
     And first attempts come to every daemon for 3.0 s
     Then daemon-1 serves at least 0.67 as many of its first attempts as the others of theirs
 
-    Examples: ways of a cut
+    Examples: kinds of network faults
       | state      |
       | partition  |
       | reset      |
       | refuse_new |
 
-  Scenario: a daemon that reaches the servers of one service only
+  Scenario: a daemon that can reach the servers of only one service
     Given 3 pool daemons
     When callers keep every daemon busy for 1.0 s
     And the links to the servers of tutor become partition
@@ -29,7 +29,7 @@
     And first attempts come to every daemon for 3.0 s
     Then daemon-1 serves at least 0.67 as many of its first attempts as the others of theirs
 
-  Scenario: a leader that reaches no model server hands over, and a cold model is loaded
+  Scenario: a leader that cannot reach any model server steps down, and a cold model is loaded
     Given 1 pool daemons
     And the daemon daemon-1 leads
     And 2 further pool daemons
@@ -40,7 +40,7 @@
     Then the last reply is whole with 3 events in order
     And the fences of the orders at each server never fall
 
-  Scenario: a request whose time ends while it connects has not run, and its caller is told so
+  Scenario: a request whose deadline passes while connecting has not run, and its caller gets status 503
     Given 1 pool daemons
     When the links to the servers become partition
     And a plain request on book begins with 0.6 s to its deadline
--- a/features/steps/cut_from_servers_steps.py
+++ b/features/steps/cut_from_servers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a daemon whose links to all servers are cut."""
+"""Steps about a daemon that is partitioned from its servers."""
 
 import itertools
 import time
@@ -13,8 +13,8 @@
 from features.support.pool_site import MODEL_SERVICE, PoolDaemonProcess, PoolSite
 
 ROUND_SECONDS = 0.2
-# Route, model, and how long the caller waits, in seconds.
-ATTEMPTS = (("book", "", 1.5), ("drill", "m1", 4.0), ("look", "", 1.5), ("draft", "m2", 4.0))
+# Route, model, and the caller's timeout in seconds.
+REQUEST_KINDS = (("book", "", 1.5), ("drill", "m1", 4.0), ("look", "", 1.5), ("draft", "m2", 4.0))
 
 
 @given("links between {daemon} and all servers")
@@ -23,7 +23,7 @@
 
 
 @given("{count:d} further pool daemons")
-def step_further(context: Any, count: int) -> None:
+def step_add_daemons(context: Any, count: int) -> None:
     site = pool(context)
     for _ in range(count):
         site.add_daemon(f"daemon-{len(site.daemons) + 1}")
@@ -45,8 +45,8 @@
             server.process.kill()
 
 
-@then("daemon-1 leads still, under the same fence")
-def step_leads_still(context: Any) -> None:
+@then("daemon-1 still leads with the same fencing token")
+def step_still_leads(context: Any) -> None:
     leader = context.old_leader
     assert leader.leading
     fence = leader.metric("loomwind_lease_fence")
@@ -76,7 +76,7 @@
 
 @when("callers keep every daemon busy for {seconds:f} s")
 def step_busy(context: Any, seconds: float) -> None:
-    """Send requests whose ends do not count, and do not wait for them."""
+    """Send requests without waiting for them; their results are ignored."""
     _send_rounds(pool(context), seconds)
 
 
@@ -87,10 +87,10 @@
 
 
 def _send_rounds(site: PoolSite, seconds: float) -> list[tuple[str, Future[Reply]]]:
-    """Send one request to each daemon in each round; returns the replies by daemon."""
+    """Send one request per round to each daemon; returns daemon names and pending replies."""
     sent: list[tuple[str, Future[Reply]]] = []
     ends = time.monotonic() + seconds
-    kinds = itertools.cycle(ATTEMPTS)
+    kinds = itertools.cycle(REQUEST_KINDS)
     while time.monotonic() < ends:
         route, target, timeout = next(kinds)
         for daemon in site.daemons.values():
