--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -1,7 +1,7 @@
 """Steps about a leader that stops, with stubs for the store and its peers; no processes.
 
-The lease row must be removed only after all outstanding orders were answered. Otherwise the next
-leader could start while an order of the old one is still being carried out.
+Guards against a leader that removes its lease row while an order is still unanswered, or that
+leads again because a renewal is answered after it stopped.
 """
 
 import asyncio
