--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -43,7 +43,7 @@
         self._election = election
         self._health = health
         self._demand = demand
-        self._check_requested = asyncio.Event()
+        self._row_read_requested = asyncio.Event()
         self._announced_fence: int | None = None
         self._announced_store_answers = True
 
@@ -87,7 +87,7 @@
         if notice.holder is not None and notice.holder != known:
             self._demand.new_demand.set()
         if not notice.store_answers:
-            self._check_requested.set()
+            self._row_read_requested.set()
 
     async def watch(self) -> None:
         """Check periodically who leads; never returns."""
@@ -98,7 +98,7 @@
                 log_state("election", "watch-failed", error=repr(error))
             try:
                 async with asyncio.timeout(self._check_interval_seconds()):
-                    await self._check_requested.wait()
+                    await self._row_read_requested.wait()
             except TimeoutError:
                 pass
 
@@ -111,10 +111,10 @@
         """Ask the holder whether it leads, and read the lease row if it does not confirm."""
         holder = self._election.lease.holder
         if holder is not None and holder.life == self._own.life:
-            self._check_requested.clear()
+            self._row_read_requested.clear()
             return
-        doubted = self._check_requested.is_set()
-        self._check_requested.clear()
+        doubted = self._row_read_requested.is_set()
+        self._row_read_requested.clear()
         if not doubted and holder is not None and await self._confirms_leadership(holder):
             return
         before = self._election.lease.holder
