--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -113,9 +113,9 @@
         if holder is not None and holder.life == self._own.life:
             self._row_read_requested.clear()
             return
-        doubted = self._row_read_requested.is_set()
+        read_requested = self._row_read_requested.is_set()
         self._row_read_requested.clear()
-        if not doubted and holder is not None and await self._confirms_leadership(holder):
+        if not read_requested and holder is not None and await self._confirms_leadership(holder):
             return
         before = self._election.lease.holder
         await self._election.read_row()
