--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -32,7 +32,7 @@
 MAX_POLL_SECONDS = 0.5
 # Other daemons only use the list to find peers, and tolerate outdated entries.
 MAX_FOLLOWER_POLL_SECONDS = 5.0
-RETRY_SECONDS = 0.6
+BASE_RETRY_SECONDS = 0.6
 # Must be below the 3 s within which the deployments require a daemon to be in touch again.
 MAX_RETRY_SECONDS = 2.0
 MIN_MIRRORS = 3
@@ -130,8 +130,8 @@
         Mirrors, which read for other daemons, retry as often as in a small fleet.
         """
         if self.is_mirror():
-            return RETRY_SECONDS
-        return min(MAX_RETRY_SECONDS, self.scale_interval(RETRY_SECONDS))
+            return BASE_RETRY_SECONDS
+        return min(MAX_RETRY_SECONDS, self.scale_interval(BASE_RETRY_SECONDS))
 
     def standbys(self) -> list[PeerEntry]:
         """Return the daemons that may take the lease first and are notified of each renewal."""
