--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -61,8 +61,8 @@
         if configuration is None:
             return []
         failing_before_ms = self._clock.now_ms() - STEP_DOWN_AFTER_MS
-        with_models = [each.name for each in configuration.services if each.engine is not None]
-        connectivities = {name: self._pool.connectivity_of(name) for name in with_models}
+        model_services = [each.name for each in configuration.services if each.engine is not None]
+        connectivities = {name: self._pool.connectivity_of(name) for name in model_services}
         return [
             name
             for name, connectivity in connectivities.items()
