--- a/features/steps/relay_version_steps.py
+++ b/features/steps/relay_version_steps.py
@@ -50,7 +50,7 @@
         HttpClient(Connector()),
         PlatformDialect(),
         Metrics(),
-        lambda address, newer: context.peer_versions.append((address, newer)),
+        lambda address, version: context.peer_versions.append((address, version)),
     )
     request = HttpRequest("POST", "/r/", ())
     caller = PlatformDialect().read_request(request)
