--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -48,7 +48,7 @@
         self._asked: set[str] = set()
 
     @property
-    def asked(self) -> int:
+    def asked_count(self) -> int:
         """Return the number of peers asked."""
         return len(self._asked)
 
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -147,7 +147,7 @@
             may_have_run=self._may_have_run or self._handed_over,
             server=self._server,
             passed_over=self._choice.passed_over(self._server),
-            peers_asked=self._peers.asked,
+            peers_asked=self._peers.asked_count,
             events=self._stream.events,
             configuration=self._serving.configuration_version(),
             servers=self._pool.directory.version,
