--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -88,7 +88,7 @@
             self._stream.last_event_id,
             RelayMetadata(runs, self._handler.configuration_version()),
         )
-        self.log("relayed", peer, "")
+        self.log_result("relayed", peer, "")
         await self._forward_answer(peer, answer)
 
     async def _forward_answer(self, peer: PeerEntry, answer: OpenAnswer) -> None:
@@ -106,7 +106,7 @@
         headers = self._handler.dialect.answer_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
-    def log(self, decision: str, peer: PeerEntry, reason: str) -> None:
+    def log_result(self, decision: str, peer: PeerEntry, reason: str) -> None:
         """Log the result of an attempt."""
         log_decision(
             decision,
--- a/loomwind/serving/request_run.py
+++ b/loomwind/serving/request_run.py
@@ -402,19 +402,19 @@
             await self._peers.relay_to(peer, self._runs, self._note_handed_over)
         except RelayDeclined as declined:
             self._handed_over = False
-            self._peers.log("relay-declined", peer, str(declined))
+            self._peers.log_result("relay-declined", peer, str(declined))
             return False
         except SendFailed as failure:
             self._handed_over = False
             self._runs += 1
             self._may_have_run = True
-            self._peers.log("relay-failed", peer, str(failure))
+            self._peers.log_result("relay-failed", peer, str(failure))
             if not self._may_retry(failure):
                 raise self._give_up(str(failure)) from failure
             return False
         except Refused as refusal:
             self._handed_over = False
-            self._peers.log("relay-refused", peer, str(refusal))
+            self._peers.log_result("relay-refused", peer, str(refusal))
             raise self._final(refusal) from refusal
         return True
 
