--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -54,7 +54,7 @@
 
     def should_relay(self) -> bool:
         """Whether to relay the request, because no server can be reached from here."""
-        return self._allowed and self._choice.is_cut_off(self._handler.now())
+        return self._allowed and self._choice.is_service_unreachable(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
         """Return the next peer to ask; None, which ends the attempts, if there is none left."""
