--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from features.steps.planner_steps import FENCE, SERVICE, hold, profile, report
-from features.support.made_pool import MadePool
+from features.support.simulated_pool import MadePool
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress, StoreConcurrencyLimit
