--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from features.steps.planner_steps import FENCE, SERVICE, hold, profile, report
-from features.support.simulated_pool import MadePool
+from features.support.simulated_pool import SimulatedPool
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.ledger import ServerLedger
 from loomwind.placement.store_concurrency import FinishedLoad, LoadInProgress, StoreConcurrencyLimit
@@ -35,16 +35,18 @@
 class Event:
     """What happens in a play, and for how many steps the pool then works on."""
 
-    act: Callable[[MadePool], None]
+    act: Callable[[SimulatedPool], None]
     steps: int
 
 
-def _asks(model: int, count: int, waits: bool) -> Callable[[MadePool], None]:
+def _asks(model: int, count: int, waits: bool) -> Callable[[SimulatedPool], None]:
     return lambda pool: pool.ask(model, count, waits)
 
 
 ASKS = st.builds(_asks, st.integers(0, 11), st.integers(1, 12), st.booleans())
-CHANGES = st.sampled_from([MadePool.remove_server, MadePool.add_server, MadePool.change_leader])
+CHANGES = st.sampled_from(
+    [SimulatedPool.remove_server, SimulatedPool.add_server, SimulatedPool.change_leader]
+)
 EVENTS = st.builds(
     Event, st.one_of(ASKS, ASKS, ASKS, ASKS, CHANGES), st.integers(1, STEPS_AN_EVENT)
 )
@@ -71,7 +73,7 @@
     )
     @hypothesis_given(st.lists(EVENTS, min_size=20, max_size=LONGEST_PLAY), st.integers(0, 99))
     def play(events: list[Event], seed: int) -> None:
-        pool = MadePool(context.servers, context.models, seed)
+        pool = SimulatedPool(context.servers, context.models, seed)
         for event in events:
             event.act(pool)
             for _ in range(event.steps):
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -101,7 +101,7 @@
     without: tuple[str, ...]
 
 
-class MadePool:
+class SimulatedPool:
     """Servers and leader. :meth:`step` is what happens in a tenth of a second."""
 
     def __init__(self, servers: int, models: int, seed: int) -> None:
