--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -41,7 +41,7 @@
 
 
 @define
-class MadeServer:
+class SimulatedServer:
     """A model server.
 
     :ivar loading: what it loads; empty for nothing.
@@ -112,7 +112,7 @@
             for name in self._names
         )
         self._profile = EngineProfile(2 * MODEL_MB + 1, 8, LOADS_PER_SECOND, profiles)
-        self._servers: dict[str, MadeServer] = {}
+        self._servers: dict[str, SimulatedServer] = {}
         self._count = 0
         for _ in range(servers):
             self.add_server()
@@ -127,7 +127,7 @@
         """Let an empty server come."""
         name = f"s{self._count}"
         self._count += 1
-        self._servers[name] = MadeServer(name)
+        self._servers[name] = SimulatedServer(name)
 
     def remove_server(self) -> None:
         """Let a server go, whatever it does."""
