--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define
-class MadeLoad:
+class SimulatedLoad:
     """A load that the made store carries out."""
 
     began_ms: float
@@ -27,12 +27,12 @@
 @when("a leader keeps as many under way as it may on {servers:d} servers, for {seconds:d} s")
 def step_keep(context: Any, servers: int, seconds: int) -> None:
     pace = StoreConcurrencyLimit()
-    loads: list[MadeLoad] = []
+    loads: list[SimulatedLoad] = []
     context.under_way, context.done, context.seconds = [], 0, seconds
     for step in range(int(seconds * MS / STEP_MS)):
         now_ms = step * STEP_MS
         while len(loads) < min(pace.limit, servers):
-            loads.append(MadeLoad(now_ms, context.load_ms))
+            loads.append(SimulatedLoad(now_ms, context.load_ms))
         pace.observe(len(loads), now_ms)
         speed = min(1.0, context.served / len(loads))
         for load in loads:
