--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -85,7 +85,7 @@
 
 
 @frozen
-class StoreTurn:
+class StoreAdmissionRecord:
     """A load from the weight store that was ordered, or that another model made way for.
 
     :ivar under_way: the loads under way and the rooms made, before this step.
@@ -117,7 +117,7 @@
         for _ in range(servers):
             self.add_server()
         self.now = 10.0
-        self.turns: list[StoreTurn] = []
+        self.turns: list[StoreAdmissionRecord] = []
         self._pace = StoreConcurrencyLimit()
         self.change_leader()
 
@@ -216,7 +216,7 @@
         with_turn = {self._servers[server].loading for server in self._servers}
         with_turn |= {self._room(server) for server in others}
         with_turn |= {held for server in self._servers.values() for held in server.held}
-        turn = StoreTurn(
+        turn = StoreAdmissionRecord(
             name,
             self._under_way(),
             self._pace.limit,
