--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -117,7 +117,7 @@
         for _ in range(servers):
             self.add_server()
         self.now = 10.0
-        self.turns: list[StoreAdmissionRecord] = []
+        self.admissions: list[StoreAdmissionRecord] = []
         self._pace = StoreConcurrencyLimit()
         self.change_leader()
 
@@ -223,7 +223,7 @@
             name in with_turn,
             tuple(sorted(wanted - with_turn - {name})),
         )
-        self.turns.append(turn)
+        self.admissions.append(turn)
 
     def _under_way(self) -> int:
         """Return how many servers load from the weight store, or have made room for such a load."""
