--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -78,8 +78,12 @@
             event.act(pool)
             for _ in range(event.steps):
                 pool.step()
-        context.beyond += [turn for turn in pool.admissions if turn.under_way >= turn.limit]
-        context.second += [turn for turn in pool.admissions if turn.again and turn.without]
+        context.beyond += [
+            admission for admission in pool.admissions if admission.under_way >= admission.limit
+        ]
+        context.second += [
+            admission for admission in pool.admissions if admission.again and admission.without
+        ]
 
     play()
 
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -216,14 +216,14 @@
         with_turn = {self._servers[server].loading for server in self._servers}
         with_turn |= {self._room(server) for server in others}
         with_turn |= {held for server in self._servers.values() for held in server.held}
-        turn = StoreAdmissionRecord(
+        admission = StoreAdmissionRecord(
             name,
             self._under_way(),
             self._pace.limit,
             name in with_turn,
             tuple(sorted(wanted - with_turn - {name})),
         )
-        self.admissions.append(turn)
+        self.admissions.append(admission)
 
     def _under_way(self) -> int:
         """Return how many servers load from the weight store, or have made room for such a load."""
