--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -79,7 +79,7 @@
             for _ in range(event.steps):
                 pool.step()
         context.beyond += [
-            admission for admission in pool.admissions if admission.under_way >= admission.limit
+            admission for admission in pool.admissions if admission.in_progress >= admission.limit
         ]
         context.second += [
             admission for admission in pool.admissions if admission.again and admission.without
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -95,7 +95,7 @@
     """
 
     model: str
-    under_way: int
+    in_progress: int
     limit: int
     again: bool
     without: tuple[str, ...]
@@ -185,8 +185,8 @@
 
     def _plan(self) -> None:
         servers = list(self._ledgers.values())
-        under_way = sum(server.uses_store(self.now) for server in servers)
-        self._pace.observe(under_way, self.now * MS_PER_SECOND)
+        in_progress = sum(server.uses_store(self.now) for server in servers)
+        self._pace.observe(in_progress, self.now * MS_PER_SECOND)
         given = PlanInput(
             SERVICE,
             servers,
@@ -195,7 +195,7 @@
             self.now,
             self._window.allows(self.now),
             False,
-            max(0, self._pace.limit - under_way),
+            max(0, self._pace.limit - in_progress),
         )
         wanted = {want.key.target.model for want in self._demand.wants(self.now)}
         for order in Planner(given).plan():
