--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -218,14 +218,14 @@
         with_turn |= {held for server in self._servers.values() for held in server.held}
         admission = StoreAdmissionRecord(
             name,
-            self._under_way(),
+            self._in_progress(),
             self._pace.limit,
             name in with_turn,
             tuple(sorted(wanted - with_turn - {name})),
         )
         self.admissions.append(admission)
 
-    def _under_way(self) -> int:
+    def _in_progress(self) -> int:
         """Return how many servers load from the weight store, or have made room for such a load."""
         return sum(self._uses_store(name) for name in self._servers)
 
