--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -82,7 +82,9 @@
             admission for admission in pool.admissions if admission.in_progress >= admission.limit
         ]
         context.second += [
-            admission for admission in pool.admissions if admission.again and admission.without
+            admission
+            for admission in pool.admissions
+            if admission.already_admitted and admission.without
         ]
 
     play()
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -97,7 +97,7 @@
     model: str
     in_progress: int
     limit: int
-    again: bool
+    already_admitted: bool
     without: tuple[str, ...]
 
 
