--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -84,7 +84,7 @@
         context.second += [
             admission
             for admission in pool.admissions
-            if admission.already_admitted and admission.without
+            if admission.already_admitted and admission.not_admitted
         ]
 
     play()
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -98,7 +98,7 @@
     in_progress: int
     limit: int
     already_admitted: bool
-    without: tuple[str, ...]
+    not_admitted: tuple[str, ...]
 
 
 class SimulatedPool:
