--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -213,15 +213,15 @@
         if not loads or not from_store or self._room(order.instance) == name:
             return
         others = [server for server in self._servers if server != order.instance]
-        with_turn = {self._servers[server].loading for server in self._servers}
-        with_turn |= {self._room(server) for server in others}
-        with_turn |= {held for server in self._servers.values() for held in server.held}
+        admitted = {self._servers[server].loading for server in self._servers}
+        admitted |= {self._room(server) for server in others}
+        admitted |= {held for server in self._servers.values() for held in server.held}
         admission = StoreAdmissionRecord(
             name,
             self._in_progress(),
             self._pace.limit,
-            name in with_turn,
-            tuple(sorted(wanted - with_turn - {name})),
+            name in admitted,
+            tuple(sorted(wanted - admitted - {name})),
         )
         self.admissions.append(admission)
 
