--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -199,13 +199,13 @@
         )
         wanted = {want.key.target.model for want in self._demand.wants(self.now)}
         for order in Planner(given).plan():
-            self._note_turn(order, wanted)
+            self._record_admission(order, wanted)
             if order.from_store:
                 self._window.record(self.now)
             self._give(order)
         self._demand.note_available(SERVICE, given.index.holders)
 
-    def _note_turn(self, order: PlannedOrder, wanted: set[str]) -> None:
+    def _record_admission(self, order: PlannedOrder, wanted: set[str]) -> None:
         """Note a load from the weight store, as it begins or as another model makes way for it."""
         name = order.evicts_for or order.target.model
         loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
