--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -37,7 +37,7 @@
 MODEL_MB = 48_000.0
 LOADS_PER_SECOND = 34.0
 WINDOW_SECONDS = 5.0
-SERVED_AT_ONCE = 2
+STORE_CONCURRENCY = 2
 
 
 @define
@@ -165,7 +165,7 @@
         self.now += STEP_SECONDS
         loading = sum(1 for s in self._servers.values() if s.loading and s.from_store)
         for server in self._servers.values():
-            server.work(min(1.0, SERVED_AT_ONCE / max(1, loading)))
+            server.work(min(1.0, STORE_CONCURRENCY / max(1, loading)))
         self._read()
         if plans:
             self._plan()
