--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -53,7 +53,7 @@
     on_disk: set[str] = field(factory=set)
     loading: str = ""
     from_store: bool = False
-    left_seconds: float = 0.0
+    remaining_seconds: float = 0.0
     revision: int = 0
 
     def report(self) -> ServerReport:
@@ -71,14 +71,14 @@
             return
         self.loading = order.target.model
         self.from_store = self.loading not in self.on_disk
-        self.left_seconds = STORE_LOAD_SECONDS if self.from_store else DISK_LOAD_SECONDS
+        self.remaining_seconds = STORE_LOAD_SECONDS if self.from_store else DISK_LOAD_SECONDS
 
     def work(self, store_speed: float) -> None:
         """Load on for one step."""
         if not self.loading:
             return
-        self.left_seconds -= STEP_SECONDS * (store_speed if self.from_store else 1.0)
-        if self.left_seconds <= 0:
+        self.remaining_seconds -= STEP_SECONDS * (store_speed if self.from_store else 1.0)
+        if self.remaining_seconds <= 0:
             self.held.append(self.loading)
             self.on_disk.add(self.loading)
             self.loading = ""
