--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -63,7 +63,7 @@
             self.revision, bool(self.loading), held, on_disk=frozenset(self.on_disk)
         )
 
-    def take(self, order: PlannedOrder) -> None:
+    def execute(self, order: PlannedOrder) -> None:
         """Carry an order out."""
         self.revision += 1
         if order.kind is OrderKind.UNLOAD:
@@ -250,5 +250,5 @@
         if server.loading or server.revision != report.revision:
             ledger.note_answer(given, OrderAnswer.CONFLICT, self.now)
             return
-        server.take(order)
+        server.execute(order)
         ledger.note_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
