--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -73,7 +73,7 @@
         self.from_store = self.loading not in self.on_disk
         self.remaining_seconds = STORE_LOAD_SECONDS if self.from_store else DISK_LOAD_SECONDS
 
-    def work(self, store_speed: float) -> None:
+    def advance(self, store_speed: float) -> None:
         """Load on for one step."""
         if not self.loading:
             return
@@ -165,7 +165,7 @@
         self.now += STEP_SECONDS
         loading = sum(1 for s in self._servers.values() if s.loading and s.from_store)
         for server in self._servers.values():
-            server.work(min(1.0, STORE_CONCURRENCY / max(1, loading)))
+            server.advance(min(1.0, STORE_CONCURRENCY / max(1, loading)))
         self._read()
         if plans:
             self._plan()
