--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -138,7 +138,7 @@
 
     def change_leader(self) -> None:
         """Let another daemon lead: it knows what the one before has told."""
-        told = {
+        announced = {
             name: LoadUnderWay(server.loading, self.now)
             for name, server in self._servers.items()
             if server.loading
@@ -148,7 +148,7 @@
         self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
-        self._heard = told
+        self._heard = announced
 
     def ask(self, model: int, count: int, waits: bool) -> None:
         """Let requests for a model come; some of them wait for it."""
