--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -148,7 +148,7 @@
         self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._ledgers: dict[str, ServerLedger] = {}
-        self._heard = announced
+        self._announced_loads = announced
 
     def ask(self, model: int, count: int, waits: bool) -> None:
         """Let requests for a model come; some of them wait for it."""
@@ -175,7 +175,7 @@
             ledger = self._ledgers.get(name)
             if ledger is None:
                 entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-                ledger = ServerLedger(entry, self._profile, self._heard.get(name))
+                ledger = ServerLedger(entry, self._profile, self._announced_loads.get(name))
                 self._ledgers[name] = ledger
             elif self._draw.random() < 0.5:
                 ledger.note_report(server.report(), self.now)
