--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -40,7 +40,7 @@
 
 
 def _asks(model: int, count: int, waits: bool) -> Callable[[SimulatedPool], None]:
-    return lambda pool: pool.ask(model, count, waits)
+    return lambda pool: pool.add_requests(model, count, waits)
 
 
 ASKS = st.builds(_asks, st.integers(0, 11), st.integers(1, 12), st.booleans())
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -150,7 +150,7 @@
         self._ledgers: dict[str, ServerLedger] = {}
         self._announced_loads = announced
 
-    def ask(self, model: int, count: int, waits: bool) -> None:
+    def add_requests(self, model: int, count: int, waits: bool) -> None:
         """Let requests for a model come; some of them wait for it."""
         wanted = TargetDemand(
             SERVICE, ModelKey(self._names[model % len(self._names)]), int(waits), count, 0.6, 0.6
