--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -202,7 +202,7 @@
             self._record_admission(order, wanted)
             if order.from_store:
                 self._window.record(self.now)
-            self._give(order)
+            self._send_order(order)
         self._demand.note_available(SERVICE, given.index.holders)
 
     def _record_admission(self, order: PlannedOrder, wanted: set[str]) -> None:
@@ -239,7 +239,7 @@
         """Return the model that another one has made way for at a server; empty for none."""
         return self._ledgers[server].room_reserved_for(self.now) or ""
 
-    def _give(self, order: PlannedOrder) -> None:
+    def _send_order(self, order: PlannedOrder) -> None:
         ledger = self._ledgers[order.instance]
         report = ledger.report
         assert report is not None
