--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -210,11 +210,11 @@
         name = order.evicts_for or order.target.model
         loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
         from_store = name not in self._servers[order.instance].on_disk
-        if not loads or not from_store or self._room(order.instance) == name:
+        if not loads or not from_store or self._reserved_model(order.instance) == name:
             return
         others = [server for server in self._servers if server != order.instance]
         admitted = {self._servers[server].loading for server in self._servers}
-        admitted |= {self._room(server) for server in others}
+        admitted |= {self._reserved_model(server) for server in others}
         admitted |= {held for server in self._servers.values() for held in server.held}
         admission = StoreAdmissionRecord(
             name,
@@ -230,12 +230,12 @@
         return sum(self._uses_store(name) for name in self._servers)
 
     def _uses_store(self, name: str) -> bool:
-        server, room = self._servers[name], self._room(name)
+        server, room = self._servers[name], self._reserved_model(name)
         if server.loading:
             return server.from_store
         return bool(room) and room not in server.on_disk
 
-    def _room(self, server: str) -> str:
+    def _reserved_model(self, server: str) -> str:
         """Return the model that another one has made way for at a server; empty for none."""
         return self._ledgers[server].room_reserved_for(self.now) or ""
 
