--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -230,10 +230,10 @@
         return sum(self._uses_store(name) for name in self._servers)
 
     def _uses_store(self, name: str) -> bool:
-        server, room = self._servers[name], self._reserved_model(name)
+        server, reserved_model = self._servers[name], self._reserved_model(name)
         if server.loading:
             return server.from_store
-        return bool(room) and room not in server.on_disk
+        return bool(reserved_model) and reserved_model not in server.on_disk
 
     def _reserved_model(self, server: str) -> str:
         """Return the model that another one has made way for at a server; empty for none."""
