--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -166,11 +166,11 @@
         loading = sum(1 for s in self._servers.values() if s.loading and s.from_store)
         for server in self._servers.values():
             server.advance(min(1.0, STORE_CONCURRENCY / max(1, loading)))
-        self._read()
+        self._read_servers()
         if plans:
             self._plan()
 
-    def _read(self) -> None:
+    def _read_servers(self) -> None:
         for name, server in self._servers.items():
             ledger = self._ledgers.get(name)
             if ledger is None:
