--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -132,9 +132,9 @@
     def remove_server(self) -> None:
         """Let a server go, whatever it does."""
         if len(self._servers) > 1:
-            gone = self._draw.choice(sorted(self._servers))
-            del self._servers[gone]
-            self._ledgers.pop(gone, None)
+            removed = self._draw.choice(sorted(self._servers))
+            del self._servers[removed]
+            self._ledgers.pop(removed, None)
 
     def change_leader(self) -> None:
         """Let another daemon lead: it knows what the one before has told."""
