--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -105,7 +105,7 @@
     """Servers and leader. :meth:`step` is what happens in a tenth of a second."""
 
     def __init__(self, servers: int, models: int, seed: int) -> None:
-        self._draw = random.Random(seed)
+        self._random = random.Random(seed)
         self._names = [f"m{number}" for number in range(models)]
         profiles = tuple(
             ModelProfile(name, MODEL_MB, STORE_LOAD_SECONDS, DISK_LOAD_SECONDS, DISK_LOAD_SECONDS)
@@ -132,7 +132,7 @@
     def remove_server(self) -> None:
         """Let a server go, whatever it does."""
         if len(self._servers) > 1:
-            removed = self._draw.choice(sorted(self._servers))
+            removed = self._random.choice(sorted(self._servers))
             del self._servers[removed]
             self._ledgers.pop(removed, None)
 
@@ -155,7 +155,7 @@
         wanted = TargetDemand(
             SERVICE, ModelKey(self._names[model % len(self._names)]), int(waits), count, 0.6, 0.6
         )
-        sender = f"daemon-{self._draw.randrange(4)}"
+        sender = f"daemon-{self._random.randrange(4)}"
         self._demand.note(PoolDemand(sender, (wanted,), ()), self.now)
 
     # One step.
@@ -177,7 +177,7 @@
                 entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
                 ledger = ServerLedger(entry, self._profile, self._announced_loads.get(name))
                 self._ledgers[name] = ledger
-            elif self._draw.random() < 0.5:
+            elif self._random.random() < 0.5:
                 ledger.note_report(server.report(), self.now)
             finished = ledger.take_finished()
             if finished is not None:
