--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -113,7 +113,7 @@
         )
         self._profile = EngineProfile(2 * MODEL_MB + 1, 8, LOADS_PER_SECOND, profiles)
         self._servers: dict[str, SimulatedServer] = {}
-        self._count = 0
+        self._servers_added = 0
         for _ in range(servers):
             self.add_server()
         self.now = 10.0
@@ -125,8 +125,8 @@
 
     def add_server(self) -> None:
         """Let an empty server come."""
-        name = f"s{self._count}"
-        self._count += 1
+        name = f"s{self._servers_added}"
+        self._servers_added += 1
         self._servers[name] = SimulatedServer(name)
 
     def remove_server(self) -> None:
