--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -106,10 +106,10 @@
 
     def __init__(self, servers: int, models: int, seed: int) -> None:
         self._random = random.Random(seed)
-        self._names = [f"m{number}" for number in range(models)]
+        self._models = [f"m{number}" for number in range(models)]
         profiles = tuple(
             ModelProfile(name, MODEL_MB, STORE_LOAD_SECONDS, DISK_LOAD_SECONDS, DISK_LOAD_SECONDS)
-            for name in self._names
+            for name in self._models
         )
         self._profile = EngineProfile(2 * MODEL_MB + 1, 8, LOADS_PER_SECOND, profiles)
         self._servers: dict[str, SimulatedServer] = {}
@@ -153,7 +153,7 @@
     def add_requests(self, model: int, count: int, waits: bool) -> None:
         """Let requests for a model come; some of them wait for it."""
         wanted = TargetDemand(
-            SERVICE, ModelKey(self._names[model % len(self._names)]), int(waits), count, 0.6, 0.6
+            SERVICE, ModelKey(self._models[model % len(self._models)]), int(waits), count, 0.6, 0.6
         )
         sender = f"daemon-{self._random.randrange(4)}"
         self._demand.note(PoolDemand(sender, (wanted,), ()), self.now)
