--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -187,7 +187,7 @@
         servers = list(self._ledgers.values())
         in_progress = sum(server.uses_store(self.now) for server in servers)
         self._pace.observe(in_progress, self.now * MS_PER_SECOND)
-        given = PlanInput(
+        inputs = PlanInput(
             SERVICE,
             servers,
             self._demand,
@@ -198,12 +198,12 @@
             max(0, self._pace.limit - in_progress),
         )
         wanted = {want.key.target.model for want in self._demand.wants(self.now)}
-        for order in Planner(given).plan():
+        for order in Planner(inputs).plan():
             self._record_admission(order, wanted)
             if order.from_store:
                 self._window.record(self.now)
             self._send_order(order)
-        self._demand.note_available(SERVICE, given.index.holders)
+        self._demand.note_available(SERVICE, inputs.index.holders)
 
     def _record_admission(self, order: PlannedOrder, wanted: set[str]) -> None:
         """Note a load from the weight store, as it begins or as another model makes way for it."""
@@ -245,10 +245,10 @@
         assert report is not None
         if order.evicts_for:
             ledger.reserve_room(order.evicts_for, self.now)
-        given = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
+        inputs = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
-            ledger.note_answer(given, OrderAnswer.CONFLICT, self.now)
+            ledger.note_answer(inputs, OrderAnswer.CONFLICT, self.now)
             return
         server.execute(order)
-        ledger.note_answer(given, OrderAnswer.ACCEPTED, self.now, in_use=False)
+        ledger.note_answer(inputs, OrderAnswer.ACCEPTED, self.now, in_use=False)
