--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -150,10 +150,15 @@
         self._ledgers: dict[str, ServerLedger] = {}
         self._announced_loads = announced
 
-    def add_requests(self, model: int, count: int, waits: bool) -> None:
+    def add_requests(self, model: int, count: int, waiting: bool) -> None:
         """Let requests for a model come; some of them wait for it."""
         wanted = TargetDemand(
-            SERVICE, ModelKey(self._models[model % len(self._models)]), int(waits), count, 0.6, 0.6
+            SERVICE,
+            ModelKey(self._models[model % len(self._models)]),
+            int(waiting),
+            count,
+            0.6,
+            0.6,
         )
         sender = f"daemon-{self._random.randrange(4)}"
         self._demand.note(PoolDemand(sender, (wanted,), ()), self.now)
