--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -35,7 +35,7 @@
 class Event:
     """What happens in a play, and for how many steps the pool then works on."""
 
-    act: Callable[[SimulatedPool], None]
+    action: Callable[[SimulatedPool], None]
     steps: int
 
 
@@ -75,7 +75,7 @@
     def play(events: list[Event], seed: int) -> None:
         pool = SimulatedPool(context.servers, context.models, seed)
         for event in events:
-            event.act(pool)
+            event.action(pool)
             for _ in range(event.steps):
                 pool.step()
         context.beyond += [
