--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -27,7 +27,7 @@
 )
 
 MS = 1000.0
-LONGEST_PLAY = 60
+MAX_EVENTS = 60
 STEPS_AN_EVENT = 5
 
 
@@ -71,7 +71,7 @@
         phases=[Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
-    @hypothesis_given(st.lists(EVENTS, min_size=20, max_size=LONGEST_PLAY), st.integers(0, 99))
+    @hypothesis_given(st.lists(EVENTS, min_size=20, max_size=MAX_EVENTS), st.integers(0, 99))
     def play(events: list[Event], seed: int) -> None:
         pool = SimulatedPool(context.servers, context.models, seed)
         for event in events:
