--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -28,7 +28,7 @@
 
 MS = 1000.0
 MAX_EVENTS = 60
-STEPS_AN_EVENT = 5
+MAX_STEPS_PER_EVENT = 5
 
 
 @frozen
@@ -48,7 +48,7 @@
     [SimulatedPool.remove_server, SimulatedPool.add_server, SimulatedPool.change_leader]
 )
 EVENTS = st.builds(
-    Event, st.one_of(ASKS, ASKS, ASKS, ASKS, CHANGES), st.integers(1, STEPS_AN_EVENT)
+    Event, st.one_of(ASKS, ASKS, ASKS, ASKS, CHANGES), st.integers(1, MAX_STEPS_PER_EVENT)
 )
 
 
