--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -72,7 +72,7 @@
         suppress_health_check=list(HealthCheck),
     )
     @hypothesis_given(st.lists(EVENTS, min_size=20, max_size=MAX_EVENTS), st.integers(0, 99))
-    def play(events: list[Event], seed: int) -> None:
+    def run(events: list[Event], seed: int) -> None:
         pool = SimulatedPool(context.servers, context.models, seed)
         for event in events:
             event.action(pool)
@@ -87,7 +87,7 @@
             if admission.already_admitted and admission.not_admitted
         ]
 
-    play()
+    run()
 
 
 @then("no load from the weight store began beyond the limit")
