--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -39,11 +39,11 @@
     steps: int
 
 
-def _asks(model: int, count: int, waits: bool) -> Callable[[SimulatedPool], None]:
+def _add_requests(model: int, count: int, waits: bool) -> Callable[[SimulatedPool], None]:
     return lambda pool: pool.add_requests(model, count, waits)
 
 
-ASKS = st.builds(_asks, st.integers(0, 11), st.integers(1, 12), st.booleans())
+ASKS = st.builds(_add_requests, st.integers(0, 11), st.integers(1, 12), st.booleans())
 CHANGES = st.sampled_from(
     [SimulatedPool.remove_server, SimulatedPool.add_server, SimulatedPool.change_leader]
 )
