--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -43,12 +43,14 @@
     return lambda pool: pool.add_requests(model, count, waits)
 
 
-ASKS = st.builds(_add_requests, st.integers(0, 11), st.integers(1, 12), st.booleans())
+REQUESTS = st.builds(_add_requests, st.integers(0, 11), st.integers(1, 12), st.booleans())
 CHANGES = st.sampled_from(
     [SimulatedPool.remove_server, SimulatedPool.add_server, SimulatedPool.change_leader]
 )
 EVENTS = st.builds(
-    Event, st.one_of(ASKS, ASKS, ASKS, ASKS, CHANGES), st.integers(1, MAX_STEPS_PER_EVENT)
+    Event,
+    st.one_of(REQUESTS, REQUESTS, REQUESTS, REQUESTS, CHANGES),
+    st.integers(1, MAX_STEPS_PER_EVENT),
 )
 
 
