--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -63,7 +63,7 @@
     "requests, reports, departures and changes of the leader come in any order, in {count:d} plays"
 )
 def step_plays(context: Any, count: int) -> None:
-    context.beyond, context.second = [], []
+    context.over_limit, context.second = [], []
 
     @settings(
         max_examples=count,
@@ -80,7 +80,7 @@
             event.action(pool)
             for _ in range(event.steps):
                 pool.step()
-        context.beyond += [
+        context.over_limit += [
             admission for admission in pool.admissions if admission.in_progress >= admission.limit
         ]
         context.second += [
@@ -94,7 +94,7 @@
 
 @then("no load from the weight store began beyond the limit")
 def step_within_limit(context: Any) -> None:
-    assert not context.beyond, (len(context.beyond), context.beyond[:3])
+    assert not context.over_limit, (len(context.over_limit), context.over_limit[:3])
 
 
 @then("no model got a second turn while another one was asked for and had none")
