--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -63,7 +63,7 @@
     "requests, reports, departures and changes of the leader come in any order, in {count:d} plays"
 )
 def step_plays(context: Any, count: int) -> None:
-    context.over_limit, context.second = [], []
+    context.over_limit, context.admitted_again = [], []
 
     @settings(
         max_examples=count,
@@ -83,7 +83,7 @@
         context.over_limit += [
             admission for admission in pool.admissions if admission.in_progress >= admission.limit
         ]
-        context.second += [
+        context.admitted_again += [
             admission
             for admission in pool.admissions
             if admission.already_admitted and admission.not_admitted
@@ -99,7 +99,7 @@
 
 @then("no model got a second turn while another one was asked for and had none")
 def step_no_second_turn(context: Any) -> None:
-    assert not context.second, (len(context.second), context.second[:3])
+    assert not context.admitted_again, (len(context.admitted_again), context.admitted_again[:3])
 
 
 @when(
@@ -109,9 +109,9 @@
 def step_overdue(context: Any, limit: int, count: int, seconds: int) -> None:
     context.pace = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
     loads = [LoadInProgress(0.0, context.load_ms)] * count
-    for second in range(seconds + 1):
-        context.pace.observe(count, second * MS)
-        context.pace.check_overdue(loads, second * MS)
+    for admitted_again in range(seconds + 1):
+        context.pace.observe(count, admitted_again * MS)
+        context.pace.check_overdue(loads, admitted_again * MS)
 
 
 @when(
