--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -16,7 +16,7 @@
     """A load that the made store carries out."""
 
     began_ms: float
-    left_ms: float
+    remaining_ms: float
 
 
 @given("a weight store that serves {served:d} loads at once at full speed, {seconds:d} s each")
@@ -36,8 +36,8 @@
         pace.observe(len(loads), now_ms)
         speed = min(1.0, context.served / len(loads))
         for load in loads:
-            load.left_ms -= STEP_MS * speed
-        for load in [load for load in loads if load.left_ms <= 0]:
+            load.remaining_ms -= STEP_MS * speed
+        for load in [load for load in loads if load.remaining_ms <= 0]:
             loads.remove(load)
             context.done += 1
             done_ms = now_ms + STEP_MS
