--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -28,7 +28,7 @@
 def step_keep(context: Any, servers: int, seconds: int) -> None:
     pace = StoreConcurrencyLimit()
     loads: list[SimulatedLoad] = []
-    context.under_way, context.done, context.seconds = [], 0, seconds
+    context.in_progress, context.done, context.seconds = [], 0, seconds
     for step in range(int(seconds * MS / STEP_MS)):
         now_ms = step * STEP_MS
         while len(loads) < min(pace.limit, servers):
@@ -42,14 +42,14 @@
             context.done += 1
             done_ms = now_ms + STEP_MS
             pace.record_finished(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
-        context.under_way.append((now_ms, min(pace.limit, servers)))
+        context.in_progress.append((now_ms, min(pace.limit, servers)))
     context.servers = servers
 
 
 @then("it has {least:d} to {most:d} under way in the last {seconds:d} s")
 def step_under_way(context: Any, least: int, most: int, seconds: int) -> None:
     after_ms = (context.seconds - seconds) * MS
-    counts = {count for now_ms, count in context.under_way if now_ms >= after_ms}
+    counts = {count for now_ms, count in context.in_progress if now_ms >= after_ms}
     assert least <= min(counts) and max(counts) <= most, counts
 
 
