--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -20,8 +20,8 @@
 
 
 @given("a weight store that serves {served:d} loads at once at full speed, {seconds:d} s each")
-def step_store(context: Any, served: int, seconds: int) -> None:
-    context.served, context.load_ms = served, seconds * MS
+def step_store(context: Any, store_concurrency: int, seconds: int) -> None:
+    context.store_concurrency, context.load_ms = store_concurrency, seconds * MS
 
 
 @when("a leader keeps as many under way as it may on {servers:d} servers, for {seconds:d} s")
@@ -34,7 +34,7 @@
         while len(loads) < min(pace.limit, servers):
             loads.append(SimulatedLoad(now_ms, context.load_ms))
         pace.observe(len(loads), now_ms)
-        speed = min(1.0, context.served / len(loads))
+        speed = min(1.0, context.store_concurrency / len(loads))
         for load in loads:
             load.remaining_ms -= STEP_MS * speed
         for load in [load for load in loads if load.remaining_ms <= 0]:
@@ -55,7 +55,7 @@
 
 @then("as many were done as the weight store can do, but for one in {part:d}")
 def step_done(context: Any, part: int) -> None:
-    at_once = min(context.served, context.servers)
+    at_once = min(context.store_concurrency, context.servers)
     possible = at_once * context.seconds * MS / context.load_ms
     assert context.done >= possible * (1 - 1 / part), (context.done, possible)
 
