--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -28,7 +28,7 @@
 def step_keep(context: Any, servers: int, seconds: int) -> None:
     pace = StoreConcurrencyLimit()
     loads: list[SimulatedLoad] = []
-    context.in_progress, context.done, context.seconds = [], 0, seconds
+    context.in_progress, context.finished_count, context.seconds = [], 0, seconds
     for step in range(int(seconds * MS / STEP_MS)):
         now_ms = step * STEP_MS
         while len(loads) < min(pace.limit, servers):
@@ -39,7 +39,7 @@
             load.remaining_ms -= STEP_MS * speed
         for load in [load for load in loads if load.remaining_ms <= 0]:
             loads.remove(load)
-            context.done += 1
+            context.finished_count += 1
             done_ms = now_ms + STEP_MS
             pace.record_finished(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
         context.in_progress.append((now_ms, min(pace.limit, servers)))
@@ -57,7 +57,7 @@
 def step_done(context: Any, part: int) -> None:
     at_once = min(context.store_concurrency, context.servers)
     possible = at_once * context.seconds * MS / context.load_ms
-    assert context.done >= possible * (1 - 1 / part), (context.done, possible)
+    assert context.finished_count >= possible * (1 - 1 / part), (context.finished_count, possible)
 
 
 @when("every third load takes twice as long for another reason")
