--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -55,8 +55,8 @@
 
 @then("as many were done as the weight store can do, but for one in {part:d}")
 def step_done(context: Any, part: int) -> None:
-    at_once = min(context.store_concurrency, context.servers)
-    possible = at_once * context.seconds * MS / context.load_ms
+    concurrency = min(context.store_concurrency, context.servers)
+    possible = concurrency * context.seconds * MS / context.load_ms
     assert context.finished_count >= possible * (1 - 1 / part), (context.finished_count, possible)
 
 
