--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -26,14 +26,14 @@
 
 @when("a leader keeps as many under way as it may on {servers:d} servers, for {seconds:d} s")
 def step_keep(context: Any, servers: int, seconds: int) -> None:
-    pace = StoreConcurrencyLimit()
+    limit = StoreConcurrencyLimit()
     loads: list[SimulatedLoad] = []
     context.in_progress, context.finished_count, context.seconds = [], 0, seconds
     for step in range(int(seconds * MS / STEP_MS)):
         now_ms = step * STEP_MS
-        while len(loads) < min(pace.limit, servers):
+        while len(loads) < min(limit.limit, servers):
             loads.append(SimulatedLoad(now_ms, context.load_ms))
-        pace.observe(len(loads), now_ms)
+        limit.observe(len(loads), now_ms)
         speed = min(1.0, context.store_concurrency / len(loads))
         for load in loads:
             load.remaining_ms -= STEP_MS * speed
@@ -41,8 +41,8 @@
             loads.remove(load)
             context.finished_count += 1
             done_ms = now_ms + STEP_MS
-            pace.record_finished(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
-        context.in_progress.append((now_ms, min(pace.limit, servers)))
+            limit.record_finished(FinishedLoad(load.began_ms, done_ms, context.load_ms), done_ms)
+        context.in_progress.append((now_ms, min(limit.limit, servers)))
     context.servers = servers
 
 
@@ -62,15 +62,15 @@
 
 @when("every third load takes twice as long for another reason")
 def step_every_third(context: Any) -> None:
-    context.pace = StoreConcurrencyLimit()
+    context.limit = StoreConcurrencyLimit()
     for number in range(24):
         began_ms = number * context.load_ms
         factor = 2.0 if number % 3 == 0 else 1.0
-        context.pace.observe(context.pace.limit, began_ms)
+        context.limit.observe(context.limit.limit, began_ms)
         done_ms = began_ms + factor * context.load_ms
-        context.pace.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
+        context.limit.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
 
 
 @then("the leader may have {count:d} or more under way")
 def step_may_have(context: Any, count: int) -> None:
-    assert context.pace.limit >= count, context.pace.limit
+    assert context.limit.limit >= count, context.limit.limit
