--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -19,7 +19,9 @@
     remaining_ms: float
 
 
-@given("a weight store that serves {store_concurrency:d} loads at once at full speed, {seconds:d} s each")
+@given(
+    "a weight store that serves {store_concurrency:d} loads at once at full speed, {seconds:d} s each"
+)
 def step_store(context: Any, store_concurrency: int, seconds: int) -> None:
     context.store_concurrency, context.load_ms = store_concurrency, seconds * MS
 
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -6,7 +6,7 @@
 import msgspec
 from attrs import frozen
 from behave import given, then, when
-from hypothesis import HealthCheck, Phase, settings
+from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis import given as hypothesis_given
 from hypothesis import strategies as st
 
@@ -29,6 +29,12 @@
 MS = 1000.0
 MAX_EVENTS = 60
 MAX_STEPS_PER_EVENT = 5
+# Fixes the examples. Without it, derandomize derives the seed from the source text of the test.
+EXAMPLES_SEED = int(
+    "228d0ef6d3cc2cb74e099024968e473927eb9409238d9bd8"
+    "06cf5946427de5bc8af34b7b34b0e1b4f6589ae3b7afe429",
+    16,
+)
 
 
 @frozen
@@ -65,6 +71,7 @@
 def step_plays(context: Any, count: int) -> None:
     context.over_limit, context.admitted_again = [], []
 
+    @seed(EXAMPLES_SEED)
     @settings(
         max_examples=count,
         derandomize=True,
@@ -74,8 +81,8 @@
         suppress_health_check=list(HealthCheck),
     )
     @hypothesis_given(st.lists(EVENTS, min_size=20, max_size=MAX_EVENTS), st.integers(0, 99))
-    def run(events: list[Event], seed: int) -> None:
-        pool = SimulatedPool(context.servers, context.models, seed)
+    def run(events: list[Event], pool_seed: int) -> None:
+        pool = SimulatedPool(context.servers, context.models, pool_seed)
         for event in events:
             event.action(pool)
             for _ in range(event.steps):
