--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -1,6 +1,7 @@
-"""A pool of model servers, its weight store and its leader, step by step; no process, no clock.
+"""Simulates a pool of model servers, its weight store and its leader without processes or a clock.
 
-The leader's side is the real planner, ledgers, pace and window, wired as the controller wires them.
+The leader uses the real planner, server state, concurrency limit and rate limiter, connected as in
+the controller.
 """
 
 import random
@@ -42,10 +43,10 @@
 
 @define
 class SimulatedServer:
-    """A model server.
+    """A simulated model server.
 
-    :ivar loading: what it loads; empty for nothing.
-    :ivar left_seconds: how long that takes yet, at full speed.
+    :ivar loading: the model being loaded, or empty.
+    :ivar remaining_seconds: remaining load time at full speed.
     """
 
     name: str
@@ -57,14 +58,14 @@
     revision: int = 0
 
     def report(self) -> ServerReport:
-        """Return what it says of itself."""
+        """Return the server's report."""
         held = tuple(HeldModel(name) for name in self.held)
         return ServerReport(
             self.revision, bool(self.loading), held, on_disk=frozenset(self.on_disk)
         )
 
     def execute(self, order: PlannedOrder) -> None:
-        """Carry an order out."""
+        """Execute an order."""
         self.revision += 1
         if order.kind is OrderKind.UNLOAD:
             self.held.remove(order.target.model)
@@ -74,7 +75,7 @@
         self.remaining_seconds = STORE_LOAD_SECONDS if self.from_store else DISK_LOAD_SECONDS
 
     def advance(self, store_speed: float) -> None:
-        """Load on for one step."""
+        """Advance the current load by one step."""
         if not self.loading:
             return
         self.remaining_seconds -= STEP_SECONDS * (store_speed if self.from_store else 1.0)
@@ -86,12 +87,12 @@
 
 @frozen
 class StoreAdmissionRecord:
-    """A load from the weight store that was ordered, or that another model made way for.
+    """An ordered load from the weight store, or an eviction for one.
 
-    :ivar under_way: the loads under way and the rooms made, before this step.
-    :ivar limit: how many there may be.
-    :ivar again: whether the model was held or had a turn already.
-    :ivar without: other models that were asked for and had no turn.
+    :ivar in_progress: loads in progress and memory reservations for loads before this order.
+    :ivar limit: the concurrency limit at that time.
+    :ivar already_admitted: whether the model was held, loading or admitted elsewhere.
+    :ivar not_admitted: other requested models that were not admitted.
     """
 
     model: str
@@ -102,7 +103,7 @@
 
 
 class SimulatedPool:
-    """Servers and leader. :meth:`step` is what happens in a tenth of a second."""
+    """Servers and their leader. :meth:`step` simulates STEP_SECONDS."""
 
     def __init__(self, servers: int, models: int, seed: int) -> None:
         self._random = random.Random(seed)
@@ -121,23 +122,23 @@
         self._pace = StoreConcurrencyLimit()
         self.change_leader()
 
-    # What may happen.
+    # Events.
 
     def add_server(self) -> None:
-        """Let an empty server come."""
+        """Add an empty server."""
         name = f"s{self._servers_added}"
         self._servers_added += 1
         self._servers[name] = SimulatedServer(name)
 
     def remove_server(self) -> None:
-        """Let a server go, whatever it does."""
+        """Remove a random server, even while it is loading."""
         if len(self._servers) > 1:
             removed = self._random.choice(sorted(self._servers))
             del self._servers[removed]
             self._ledgers.pop(removed, None)
 
     def change_leader(self) -> None:
-        """Let another daemon lead: it knows what the one before has told."""
+        """Replace the leader by one that knows only what the previous one announced."""
         announced = {
             name: LoadUnderWay(server.loading, self.now)
             for name, server in self._servers.items()
@@ -151,7 +152,7 @@
         self._announced_loads = announced
 
     def add_requests(self, model: int, count: int, waiting: bool) -> None:
-        """Let requests for a model come; some of them wait for it."""
+        """Add requests for a model, optionally with one that waits for it."""
         wanted = TargetDemand(
             SERVICE,
             ModelKey(self._models[model % len(self._models)]),
@@ -163,10 +164,10 @@
         sender = f"daemon-{self._random.randrange(4)}"
         self._demand.note(PoolDemand(sender, (wanted,), ()), self.now)
 
-    # One step.
+    # Simulation step.
 
     def step(self, plans: bool = True) -> None:
-        """Let the servers load on, and the leader read them and plan."""
+        """Advance the loads, then let the leader read the servers and plan."""
         self.now += STEP_SECONDS
         loading = sum(1 for s in self._servers.values() if s.loading and s.from_store)
         for server in self._servers.values():
@@ -211,7 +212,7 @@
         self._demand.note_available(SERVICE, inputs.index.holders)
 
     def _record_admission(self, order: PlannedOrder, wanted: set[str]) -> None:
-        """Note a load from the weight store, as it begins or as another model makes way for it."""
+        """Record a load from the weight store when it or an eviction for it is ordered."""
         name = order.evicts_for or order.target.model
         loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
         from_store = name not in self._servers[order.instance].on_disk
@@ -231,7 +232,7 @@
         self.admissions.append(admission)
 
     def _in_progress(self) -> int:
-        """Return how many servers load from the weight store, or have made room for such a load."""
+        """Return the number of servers that load from the store or have memory reserved for it."""
         return sum(self._uses_store(name) for name in self._servers)
 
     def _uses_store(self, name: str) -> bool:
@@ -241,7 +242,7 @@
         return bool(reserved_model) and reserved_model not in server.on_disk
 
     def _reserved_model(self, server: str) -> str:
-        """Return the model that another one has made way for at a server; empty for none."""
+        """Return the model for which memory is reserved at a server, or empty."""
         return self._ledgers[server].room_reserved_for(self.now) or ""
 
     def _send_order(self, order: PlannedOrder) -> None:
