--- a/features/planner.feature
+++ b/features/planner.feature
@@ -1,6 +1,6 @@
-Feature: Where and when models are loaded, decided from views with the time as an argument
+Feature: The planner decides which models are loaded where and when; the time is an argument
 
-  Scenario: what a model has made way for is loaded there, and nowhere else
+  Scenario: a model is loaded on the server where another one was evicted for it
     Given model servers one and two of 100 GB
     And one holds a and b, two holds a and d
     When a request waits for c at 10.0 s
@@ -8,7 +8,7 @@
     When that order is accepted and done at 10.2 s
     Then the plan is one order: load c at the same server
 
-  Scenario: a load is taken as done when its time is over, and taken back by a later report
+  Scenario: a load counts as done after its expected duration, until a later report shows otherwise
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one begins to load c from the weight store at 10.0 s
@@ -18,31 +18,31 @@
     When a report of one at 14.8 s still shows the load
     Then one does not hold c
 
-  Scenario: an order that a server takes shows that the load before it is done
+  Scenario: an accepted order shows that the previous load is done
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one begins to load c from the weight store at 10.0 s
     Then one does not hold c at 14.0 s, and holds it at 14.1 s
     When one is sent an order to unload a, and an older report comes at 14.6 s that still shows the load
-    And one takes that order at 14.7 s
+    And one accepts that order at 14.7 s
     Then one holds c
     And one has room for 1 model
 
-  Scenario: a load takes longer beside many runs
+  Scenario: a load takes longer next to many running requests
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one begins to load c from the weight store at 10.0 s
-    Then with 20 runs one does not hold c at 14.3 s, and holds it at 14.4 s
+    Then with 20 running requests one does not hold c at 14.3 s, and holds it at 14.4 s
 
-  Scenario: an order follows an unload that nobody uses after a moment, and any other by a report
+  Scenario: the next order follows the unload of an idle model shortly after, any other after a report
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one is ordered to unload a at 10.0 s, and nobody uses it
-    Then one takes no order at 10.05 s, and one at 10.1 s
+    Then one accepts no order at 10.05 s, and accepts one at 10.1 s
     When two is ordered to unload b at 10.0 s, and somebody uses it
-    Then two takes no order at 12.0 s
+    Then two accepts no order at 12.0 s
 
-  Scenario: an adapter is taken as loaded a moment after its order, and taken back by a later report
+  Scenario: an adapter counts as loaded shortly after its order, until a later report shows otherwise
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one is ordered to load the adapter a/x at 10.0 s
@@ -52,38 +52,38 @@
     When a report of one at 10.6 s still lists a/x as pending
     Then one does not have a/x
 
-  Scenario: nothing else makes way for a model while one does
+  Scenario: no second model is evicted for a model
     Given model servers one and two of 100 GB
     And one holds a and b, two holds a and d
     When a request waits for c at 10.0 s
     And the first order of the plan is accepted at 10.05 s
     Then the plan is empty
 
-  Scenario: a server that is busy for a moment and has a copy is waited for
+  Scenario: the plan waits for a server with a cached copy that is busy briefly
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     And one has a copy of c on its disk and loads d until 11.0 s
     When a request waits for c at 10.0 s
     Then the plan is empty
 
-  Scenario: a server that is busy for long is not waited for
+  Scenario: the plan does not wait for a server that is busy for long
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     And one has a copy of c on its disk and loads d until 16.0 s
     When a request waits for c at 10.0 s
     Then the plan is one order: load c at two
 
-  Scenario: the work of a plan grows with servers and waiting requests, not with their product
+  Scenario: the cost of planning grows with servers plus waiting requests, not with their product
     Given 40 model servers and 400 models, three at each server
-    When requests wait for 100 models that no server has, and no load may begin
+    When requests wait for 100 models that no server has, and no load may start
     Then the plan is empty
     And what a server holds was looked up at most 5 times for each server
 
-  Scenario Outline: the loads at once that help are learned from how long loads take
-    Given a weight store that serves <served> loads at once at full speed, 6 s each
-    When a leader keeps as many under way as it may on <servers> servers, for 60 s
-    Then it has <least> to <most> under way in the last 20 s
-    And as many were done as the weight store can do, but for one in 3
+  Scenario Outline: the concurrency limit of the weight store is learned from load durations
+    Given a weight store that serves <served> concurrent loads at full speed, 6 s each
+    When a leader runs as many loads as its limit allows on <servers> servers, for 60 s
+    Then it runs <least> to <most> loads in the last 20 s
+    And at most one in 3 of the possible loads was not done
 
     Examples:
       | served | servers | least | most |
@@ -92,63 +92,63 @@
       | 30     | 140     | 24    | 33   |
       | 30     | 9       | 9     | 9    |
 
-  Scenario: a further copy is ordered at one server only
+  Scenario: a further copy is ordered on one server only
     Given model servers one, two and three of 100 GB
     And one holds a, two holds nothing
     And three holds nothing
-    When a is asked for 2 times a second at 10.0 s
+    When a is requested 2 times per second at 10.0 s
     Then the plan loads a at 1 server, as further-copy
 
-  Scenario: further copies leave the weight store to models that no server holds
+  Scenario: models that no server holds take precedence over further copies at the weight store
     Given model servers one, two and three of 100 GB
     And one holds a, two holds nothing
     And three holds nothing
-    When a is asked for 2 times a second at 10.0 s
+    When a is requested 2 times per second at 10.0 s
     And a request waits for c at 10.0 s
     And 1 load from the weight store may begin
     Then the plan loads c at 1 server, as wanted
     And the plan loads nothing else from the weight store
 
-  Scenario: a model that was asked for in vain goes before further copies, also when nobody waits
+  Scenario: a model with unserved requests takes precedence over further copies, even if no request waits
     Given model servers one, two and three of 100 GB
     And one holds a, two holds nothing
     And three holds nothing
-    When a is asked for 2 times a second at 10.0 s
-    And c was asked for 4 times in vain at 10.0 s
+    When a is requested 2 times per second at 10.0 s
+    And c has 4 unserved requests at 10.0 s
     And no load from the weight store may begin
     Then the plan loads nothing else from the weight store
 
-  Scenario: a plan that looks for a model that no server holds does not count it as held
+  Scenario: looking up a model that no server holds does not mark it as held
     Given model servers one and two of 100 GB
     And one holds a, two holds b
-    When c was asked for 4 times in vain at 10.0 s
+    When c has 4 unserved requests at 10.0 s
     And a request waits for c at 10.0 s
     And no load from the weight store may begin
-    Then after a step of the leader c has been asked for 5 times in vain
+    Then after a step of the leader c has 5 unserved requests
 
-  Scenario: a further copy comes from the weight store when nothing else needs it
+  Scenario: a further copy is loaded from the weight store when no other model needs it
     Given model servers one, two and three of 100 GB
     And one holds a, two holds nothing
     And three holds nothing
-    When a is asked for 2 times a second at 10.0 s
+    When a is requested 2 times per second at 10.0 s
     And 1 load from the weight store may begin
     Then the plan loads a at 1 server, as further-copy
 
-  Scenario: no more loads from the weight store are planned than may be under way
+  Scenario: the plan stays within the number of loads that may start
     Given 40 model servers and 400 models, three at each server
-    When requests wait for 100 models that no server has, and 3 loads may begin
-    Then the plan brings 3 models
+    When requests wait for 100 models that no server has, and 3 loads may start
+    Then the plan loads 3 models or evicts for them
 
-  Scenario: a load that takes longer than its profile says goes on until a report shows its end
+  Scenario: a load that exceeds its profiled duration continues until a report shows its end
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one begins to load c from the weight store at 10.0 s
     Then one does not hold c at 14.0 s, and holds it at 14.1 s
     When reports of one show the load each 0.3 s until 22.0 s, its end at 22.2 s
     Then one did not hold c from 14.6 s to 22.0 s, and was loading it
-    And the load was seen to take 3.0 times as long
+    And the measured slowdown of the load is 3.0
 
-  Scenario: one load that is slow for its server's requests does not slow the others down
-    Given a weight store that serves 8 loads at once at full speed, 6 s each
+  Scenario: loads slowed by the requests of their servers do not lower the limit
+    Given a weight store that serves 8 concurrent loads at full speed, 6 s each
     When every third load takes twice as long for another reason
-    Then the leader may have 8 or more under way
+    Then the limit is 8 or more
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the planner: pure views, no process; times are in seconds of no clock."""
+"""Steps for the planner, without processes or a clock; times are in seconds."""
 
 from typing import Any
 
@@ -33,7 +33,7 @@
 
 
 def profile(memory_gb: int) -> EngineProfile:
-    """Return what each server can hold: models a to h, two at once in 100 GB."""
+    """Return a server profile with models a to h, of which two fit in 100 GB."""
     models = tuple(
         ModelProfile(name, MODEL_MB, STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S) for name in "abcdefgh"
     )
@@ -41,7 +41,7 @@
 
 
 def report(held: list[str], on_disk: set[str], revision: int = 0) -> ServerReport:
-    """Return what an idle server says."""
+    """Return the report of an idle server."""
     models = tuple(HeldModel(name) for name in held)
     return ServerReport(revision, False, models, on_disk=frozenset(on_disk))
 
@@ -67,7 +67,7 @@
 
 
 def hold(context: Any, name: str, held: str) -> None:
-    """Let a server say what it holds, with a copy of each model on its disk."""
+    """Record a report that a server holds models, each with a copy on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
     context.ledgers[name].note_report(report(models, set(models)), 9.0)
 
@@ -116,7 +116,7 @@
 
 
 def plan(context: Any) -> list[PlannedOrder]:
-    """Return the plan of this moment."""
+    """Return the plan for the current state."""
     servers = list(context.ledgers.values())
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", UNLIMITED_STORE_LOADS)
@@ -178,7 +178,7 @@
 
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
-    """Let a server's loads settle, and return whether it holds what it was loading."""
+    """Complete due loads of a server and return whether it holds the model it was loading."""
     ledger: ServerLedger = context.ledgers[name]
     ledger.settle(now, running)
     return ledger.holds(ModelKey(context.loading))
@@ -190,10 +190,12 @@
     assert holds_after(context, name, late, 0)
 
 
-@then("with {runs:d} runs {name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles_later(context: Any, runs: int, name: str, early: float, late: float) -> None:
-    assert not holds_after(context, name, early, runs)
-    assert holds_after(context, name, late, runs)
+@then(
+    "with {running:d} running requests {name:w} does not hold c at {early:f} s, and holds it at {late:f} s"
+)
+def step_settles_later(context: Any, running: int, name: str, early: float, late: float) -> None:
+    assert not holds_after(context, name, early, running)
+    assert holds_after(context, name, late, running)
 
 
 @when("a report of {name:w} at {now:f} s still shows the load")
@@ -214,7 +216,7 @@
     step_old_report(context, name, now)
 
 
-@when("{name:w} takes that order at {now:f} s")
+@when("{name:w} accepts that order at {now:f} s")
 def step_takes_order(context: Any, name: str, now: float) -> None:
     ledger: ServerLedger = context.ledgers[name]
     ledger.note_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
@@ -238,17 +240,17 @@
 
 
 def takes_order(context: Any, name: str, now: float) -> bool:
-    """Whether a server can take an order at a time."""
+    """Return whether a server can accept an order at a given time."""
     ledger: ServerLedger = context.ledgers[name]
     return ledger.idle and ledger.quiet_until <= now
 
 
-@then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
+@then("{name:w} accepts no order at {early:f} s, and accepts one at {late:f} s")
 def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
     assert not takes_order(context, name, early) and takes_order(context, name, late)
 
 
-@then("{name:w} takes no order at {now:f} s")
+@then("{name:w} accepts no order at {now:f} s")
 def step_takes_none(context: Any, name: str, now: float) -> None:
     assert not takes_order(context, name, now)
 
@@ -292,12 +294,12 @@
 
 
 class CountingLedger(ServerLedger):
-    """A server whose look-ups of what it holds are counted."""
+    """A server that counts the lookups of what it holds."""
 
     look_ups = 0
 
     def holds(self, target: ModelKey) -> bool:
-        """Count the look-up, and do it."""
+        """Count and perform the lookup."""
         CountingLedger.look_ups += 1
         return super().holds(target)
 
@@ -318,19 +320,19 @@
         context.ledgers[entry.instance] = ledger
 
 
-@when("requests wait for {count:d} models that no server has, and no load may begin")
+@when("requests wait for {count:d} models that no server has, and no load may start")
 def step_wait_for_many(context: Any, count: int) -> None:
     context.store_load_allowed = False
     _wait_for_many(context, count)
 
 
-@when("requests wait for {count:d} models that no server has, and {left:d} loads may begin")
+@when("requests wait for {count:d} models that no server has, and {left:d} loads may start")
 def step_wait_for_loads(context: Any, count: int, left: int) -> None:
     context.store_loads_left = left
     _wait_for_many(context, count)
 
 
-@then("the plan brings {count:d} models")
+@then("the plan loads {count:d} models or evicts for them")
 def step_brings(context: Any, count: int) -> None:
     brought = {order.evicts_for or order.target.model for order in plan(context)}
     assert len(brought) == count, brought
@@ -372,12 +374,12 @@
     assert context.ledgers[name].holds(ModelKey("c"))
 
 
-@then("the load was seen to take {times:f} times as long")
+@then("the measured slowdown of the load is {times:f}")
 def step_slowness(context: Any, times: float) -> None:
     assert abs(context.finished.slowdown - times) < 0.05, context.finished
 
 
-@then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
+@then("after a step of the leader {model:w} has {count:d} unserved requests")
 def step_still_in_vain(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.ledgers.values()), context.demand
     given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
--- a/features/steps/store_concurrency_steps.py
+++ b/features/steps/store_concurrency_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the weight store's pace: a made store, no process; times are in milliseconds."""
+"""Steps for the concurrency limit of a simulated weight store; times are in milliseconds."""
 
 from typing import Any
 
@@ -13,21 +13,19 @@
 
 @attrs.define
 class SimulatedLoad:
-    """A load that the made store carries out."""
+    """A load that the simulated store serves."""
 
     began_ms: float
     remaining_ms: float
 
 
-@given(
-    "a weight store that serves {store_concurrency:d} loads at once at full speed, {seconds:d} s each"
-)
-def step_store(context: Any, store_concurrency: int, seconds: int) -> None:
-    context.store_concurrency, context.load_ms = store_concurrency, seconds * MS
+@given("a weight store that serves {served:d} concurrent loads at full speed, {seconds:d} s each")
+def step_store(context: Any, served: int, seconds: int) -> None:
+    context.store_concurrency, context.load_ms = served, seconds * MS
 
 
-@when("a leader keeps as many under way as it may on {servers:d} servers, for {seconds:d} s")
-def step_keep(context: Any, servers: int, seconds: int) -> None:
+@when("a leader runs as many loads as its limit allows on {servers:d} servers, for {seconds:d} s")
+def step_run_loads(context: Any, servers: int, seconds: int) -> None:
     limit = StoreConcurrencyLimit()
     loads: list[SimulatedLoad] = []
     context.in_progress, context.finished_count, context.seconds = [], 0, seconds
@@ -48,14 +46,14 @@
     context.servers = servers
 
 
-@then("it has {least:d} to {most:d} under way in the last {seconds:d} s")
-def step_under_way(context: Any, least: int, most: int, seconds: int) -> None:
+@then("it runs {least:d} to {most:d} loads in the last {seconds:d} s")
+def step_concurrency(context: Any, least: int, most: int, seconds: int) -> None:
     after_ms = (context.seconds - seconds) * MS
     counts = {count for now_ms, count in context.in_progress if now_ms >= after_ms}
     assert least <= min(counts) and max(counts) <= most, counts
 
 
-@then("as many were done as the weight store can do, but for one in {part:d}")
+@then("at most one in {part:d} of the possible loads was not done")
 def step_done(context: Any, part: int) -> None:
     concurrency = min(context.store_concurrency, context.servers)
     possible = concurrency * context.seconds * MS / context.load_ms
@@ -73,6 +71,6 @@
         context.limit.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
 
 
-@then("the leader may have {count:d} or more under way")
-def step_may_have(context: Any, count: int) -> None:
+@then("the limit is {count:d} or more")
+def step_limit_at_least(context: Any, count: int) -> None:
     assert context.limit.limit >= count, context.limit.limit
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps about which loads from the weight store may begin: plays of a made pool, single cases."""
+"""Steps for admission control of loads from the weight store: random runs and single cases."""
 
 from collections.abc import Callable
 from typing import Any
@@ -39,7 +39,7 @@
 
 @frozen
 class Event:
-    """What happens in a play, and for how many steps the pool then works on."""
+    """An action in a run, and the number of pool steps that follow it."""
 
     action: Callable[[SimulatedPool], None]
     steps: int
@@ -65,10 +65,8 @@
     context.servers, context.models = servers, models
 
 
-@when(
-    "requests, reports, departures and changes of the leader come in any order, in {count:d} plays"
-)
-def step_plays(context: Any, count: int) -> None:
+@when("requests, reports, departures and leader changes happen in any order, in {count:d} runs")
+def step_runs(context: Any, count: int) -> None:
     context.over_limit, context.admitted_again = [], []
 
     @seed(EXAMPLES_SEED)
@@ -99,53 +97,51 @@
     run()
 
 
-@then("no load from the weight store began beyond the limit")
+@then("no load from the weight store started beyond the limit")
 def step_within_limit(context: Any) -> None:
     assert not context.over_limit, (len(context.over_limit), context.over_limit[:3])
 
 
-@then("no model got a second turn while another one was asked for and had none")
+@then("no model was admitted again while another requested model had not been admitted")
 def step_no_second_turn(context: Any) -> None:
     assert not context.admitted_again, (len(context.admitted_again), context.admitted_again[:3])
 
 
 @when(
-    "a leader with a limit of {limit:d} has {count:d} loads under way from the start, "
+    "a leader with a limit of {limit:d} has {count:d} loads in progress from the start, "
     "and none has ended by {seconds:d} s"
 )
 def step_overdue(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
+    context.limit = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
     loads = [LoadInProgress(0.0, context.load_ms)] * count
     for admitted_again in range(seconds + 1):
-        context.pace.observe(count, admitted_again * MS)
-        context.pace.check_overdue(loads, admitted_again * MS)
+        context.limit.observe(count, admitted_again * MS)
+        context.limit.check_overdue(loads, admitted_again * MS)
 
 
-@when(
-    "a leader with a limit of {limit:d} has {count:d} loads under way at a time for {seconds:d} s"
-)
+@when("a leader with a limit of {limit:d} runs {count:d} loads at a time for {seconds:d} s")
 def step_unused(context: Any, limit: int, count: int, seconds: int) -> None:
-    context.pace = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
+    context.limit = StoreConcurrencyLimit(LearnedPace(SERVICE, limit, False))
     for began_ms in range(0, seconds * 1000, int(context.load_ms)):
-        context.pace.observe(count, began_ms)
+        context.limit.observe(count, began_ms)
         done_ms = began_ms + context.load_ms
-        context.pace.observe(count, done_ms)
+        context.limit.observe(count, done_ms)
         for _ in range(count):
-            context.pace.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
+            context.limit.record_finished(FinishedLoad(began_ms, done_ms, context.load_ms), done_ms)
 
 
-@then("the leader may have {count:d} or fewer under way")
-def step_may_have_at_most(context: Any, count: int) -> None:
-    assert context.pace.limit <= count, context.pace.limit
+@then("the limit is {count:d} or less")
+def step_limit_at_most(context: Any, count: int) -> None:
+    assert context.limit.limit <= count, context.limit.limit
 
 
-@when("an earlier leader has told at {told:f} s that {name} loads {model}")
-def step_heard(context: Any, told: float, name: str, model: str) -> None:
+@when("an earlier leader announced at {announced:f} s that {name} loads {model}")
+def step_announced(context: Any, announced: float, name: str, model: str) -> None:
     entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-    context.ledgers[name] = ServerLedger(entry, profile(100), LoadUnderWay(model, told))
+    context.ledgers[name] = ServerLedger(entry, profile(100), LoadUnderWay(model, announced))
 
 
-@then("at {now:f} s {count} load from the weight store is known to be under way")
+@then("at {now:f} s {count} load from the weight store is known to be in progress")
 def step_known(context: Any, now: float, count: str) -> None:
     used = sum(ledger.uses_store(now) for ledger in context.ledgers.values())
     assert used == (0 if count == "no" else 1), used
@@ -158,13 +154,13 @@
     context.demand.note(PoolDemand("daemon-4", (wanted,), ()), now)
 
 
-@when("{count:d} requests for {model} run at {server:w}, which has {places:d} places")
-def step_run(context: Any, count: int, model: str, server: str, places: int) -> None:
-    assert context.ledgers[server].profile.slots == places
+@when("{count:d} requests for {model} run at {server:w}, which has {slots:d} slots")
+def step_run(context: Any, count: int, model: str, server: str, slots: int) -> None:
+    assert context.ledgers[server].profile.slots == slots
     context.running = {(server, ModelKey(model)): count}
 
 
-@when("two has unloaded for it at {now:f} s")
+@when("two has finished that unload at {now:f} s")
 def step_unloaded(context: Any, now: float) -> None:
     ledger: ServerLedger = context.ledgers["two"]
     assert ledger.report is not None
--- a/features/steps/weight_store_share_steps.py
+++ b/features/steps/weight_store_share_steps.py
@@ -1,4 +1,4 @@
-"""Steps about who may load from the weight store: first and further copies. Pure."""
+"""Steps for the priority of first and further copies at the weight store. Pure."""
 
 from typing import Any
 
@@ -10,23 +10,23 @@
 from loomwind.serving.views import ModelKey
 
 
-@when("{model} is asked for {rate:d} times a second at {now:f} s")
-def step_asked_often(context: Any, model: str, rate: int, now: float) -> None:
+@when("{model} is requested {rate:d} times per second at {now:f} s")
+def step_requested_often(context: Any, model: str, rate: int, now: float) -> None:
     context.now = now
     arrivals = rate / DECAY_PER_SECOND
-    asked = TargetDemand(SERVICE, ModelKey(model), 0, arrivals)
-    context.demand.note(PoolDemand("daemon-2", (asked,), ()), now)
+    requested = TargetDemand(SERVICE, ModelKey(model), 0, arrivals)
+    context.demand.note(PoolDemand("daemon-2", (requested,), ()), now)
     context.demand.note_available(SERVICE, held_models(context))
 
 
-@when("{model} was asked for {count:d} times in vain at {now:f} s")
-def step_asked_in_vain(context: Any, model: str, count: int, now: float) -> None:
-    asked = TargetDemand(SERVICE, ModelKey(model), 0, count)
-    context.demand.note(PoolDemand("daemon-3", (asked,), ()), now)
+@when("{model} has {count:d} unserved requests at {now:f} s")
+def step_unserved(context: Any, model: str, count: int, now: float) -> None:
+    requested = TargetDemand(SERVICE, ModelKey(model), 0, count)
+    context.demand.note(PoolDemand("daemon-3", (requested,), ()), now)
 
 
 def held_models(context: Any) -> list[str]:
-    """Return the models that some server holds."""
+    """Return the models that any server holds."""
     reports = [ledger.report for ledger in context.ledgers.values() if ledger.report]
     return [held.name for known in reports for held in known.held]
 
