--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -27,7 +27,7 @@
         cost_model: CostModel,
     ) -> None:
         self._inputs = inputs
-        self._wants = pending_demand
+        self._pending_demand = pending_demand
         self._draft = draft
         self._cost_model = cost_model
         self._missing_adapter_rates: dict[str, float] = {}
@@ -71,7 +71,7 @@
     def _victim(self, server: ServerTracker) -> ModelKey | None:
         """Return the least recently used adapter without running or waiting requests."""
         inputs = self._inputs
-        pending = {want.key.target for want in self._wants}
+        pending = {want.key.target for want in self._pending_demand}
         report = server.report
         assert report is not None
         loaded = [ModelKey(held.name, a) for held in report.held for a in held.adapters]
@@ -88,7 +88,7 @@
         """Return whether a request waits for an adapter, which prefetching would delay."""
         return any(
             want.key.target.adapter and self._draft.is_available(ModelKey(want.key.target.model))
-            for want in self._wants
+            for want in self._pending_demand
         )
 
     def prefetch_all(self) -> None:
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -28,7 +28,7 @@
             w for w in inputs.demand.pending_demand(inputs.now) if w.key.service == inputs.service
         ]
         self._inputs = inputs
-        self._wants = pending_demand
+        self._pending_demand = pending_demand
         self._overloaded = excess_callers(inputs, inputs.index.running_models())
         callers = inputs.demand.callers_by_model(pending_demand, inputs.now)
         self._draft = DraftPlan(inputs, callers, self._overloaded)
@@ -40,12 +40,12 @@
         """Return the orders, at most one per server."""
         self._models.load_into_reserved_memory()
         self._models.plan_overload_copies(self._overloaded)
-        for want in self._wants:
+        for want in self._pending_demand:
             if self._is_urgent(want):
                 self._plan_want(want)
         if len(self._draft.free_servers()) >= MIN_FREE_SERVERS_FOR_COPIES:
             self._models.plan_second_copies()
-        deferrable = [want for want in self._wants if not self._is_urgent(want)]
+        deferrable = [want for want in self._pending_demand if not self._is_urgent(want)]
         for want in sorted(deferrable, key=self._deferrable_sort_key):
             self._plan_want(want)
         self._models.retry_queued()
@@ -63,7 +63,7 @@
         """Return when the targets of waiting requests should be ready under this plan."""
         readiness = ReadinessEstimator(self._inputs, self._draft, self._models.queue())
         expected = []
-        for want in self._wants:
+        for want in self._pending_demand:
             ready_in = readiness.ready_in(want.key.target) if want.waiting else None
             if ready_in is not None:
                 expected.append(ExpectedTarget(want.key, ready_in * MS_PER_SECOND))
