--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -42,12 +42,12 @@
         self._models.plan_overload_copies(self._overloaded)
         for pending in self._pending_demand:
             if self._is_urgent(pending):
-                self._plan_want(pending)
+                self._plan_pending(pending)
         if len(self._draft.free_servers()) >= MIN_FREE_SERVERS_FOR_COPIES:
             self._models.plan_second_copies()
         deferrable = [pending for pending in self._pending_demand if not self._is_urgent(pending)]
         for pending in sorted(deferrable, key=self._deferrable_sort_key):
-            self._plan_want(pending)
+            self._plan_pending(pending)
         self._models.retry_queued()
         self._models.plan_second_copies()
         self._adapters.prefetch_all()
@@ -69,7 +69,7 @@
                 expected.append(ExpectedTarget(pending.key, ready_in * MS_PER_SECOND))
         return tuple(expected)
 
-    def _plan_want(self, pending: PendingDemand) -> None:
+    def _plan_pending(self, pending: PendingDemand) -> None:
         target = pending.key.target
         if not self._draft.is_available(ModelKey(target.model)):
             self._models.plan_load(target.model, self._can_wait(pending))
