--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -294,14 +294,14 @@
     assert not context.trackers[name].holds(ADAPTER)
 
 
-class CountingLedger(ServerTracker):
+class CountingTracker(ServerTracker):
     """A server that counts the lookups of what it holds."""
 
     look_ups = 0
 
     def holds(self, target: ModelKey) -> bool:
         """Count and perform the lookup."""
-        CountingLedger.look_ups += 1
+        CountingTracker.look_ups += 1
         return super().holds(target)
 
 
@@ -316,7 +316,7 @@
     context.trackers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        tracker = CountingLedger(entry, many)
+        tracker = CountingTracker(entry, many)
         tracker.record_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
         context.trackers[entry.instance] = tracker
 
@@ -345,12 +345,12 @@
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
     context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
-    CountingLedger.look_ups = 0
+    CountingTracker.look_ups = 0
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
 def step_look_ups(context: Any, most: int) -> None:
-    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
+    assert CountingTracker.look_ups <= most * len(context.trackers), CountingTracker.look_ups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
