--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -297,11 +297,11 @@
 class CountingTracker(ServerTracker):
     """A server that counts the lookups of what it holds."""
 
-    look_ups = 0
+    lookups = 0
 
     def holds(self, target: ModelKey) -> bool:
         """Count and perform the lookup."""
-        CountingTracker.look_ups += 1
+        CountingTracker.lookups += 1
         return super().holds(target)
 
 
@@ -345,12 +345,12 @@
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
     context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
-    CountingTracker.look_ups = 0
+    CountingTracker.lookups = 0
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
 def step_look_ups(context: Any, most: int) -> None:
-    assert CountingTracker.look_ups <= most * len(context.trackers), CountingTracker.look_ups
+    assert CountingTracker.lookups <= most * len(context.trackers), CountingTracker.lookups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
