--- a/loomwind/placement/adapter_planner.py
+++ b/loomwind/placement/adapter_planner.py
@@ -71,14 +71,14 @@
     def _victim(self, server: ServerTracker) -> ModelKey | None:
         """Return the least recently used adapter without running or waiting requests."""
         inputs = self._inputs
-        pending = {pending.key.target for pending in self._pending_demand}
+        pending_targets = {pending.key.target for pending in self._pending_demand}
         report = server.report
         assert report is not None
         loaded = [ModelKey(held.name, a) for held in report.held for a in held.adapters]
         idle = [
             key
             for key in loaded
-            if key not in pending and not inputs.running.get((server.entry.instance, key))
+            if key not in pending_targets and not inputs.running.get((server.entry.instance, key))
         ]
         return min(idle, key=lambda k: inputs.demand.last_used(inputs.service, k), default=None)
 
--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -25,7 +25,9 @@
 
     def __init__(self, inputs: PlanInput) -> None:
         pending_demand = [
-            w for w in inputs.demand.pending_demand(inputs.now) if w.key.service == inputs.service
+            pending
+            for pending in inputs.demand.pending_demand(inputs.now)
+            if pending.key.service == inputs.service
         ]
         self._inputs = inputs
         self._pending_demand = pending_demand
