--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -45,8 +45,8 @@
     steps: int
 
 
-def _add_requests(model: int, count: int, waits: bool) -> Callable[[SimulatedPool], None]:
-    return lambda pool: pool.add_requests(model, count, waits)
+def _add_requests(model: int, count: int, waiting: bool) -> Callable[[SimulatedPool], None]:
+    return lambda pool: pool.add_requests(model, count, waiting)
 
 
 REQUESTS = st.builds(_add_requests, st.integers(0, 11), st.integers(1, 12), st.booleans())
@@ -103,7 +103,7 @@
 
 
 @then("no model was admitted again while another requested model had not been admitted")
-def step_no_second_turn(context: Any) -> None:
+def step_no_readmission(context: Any) -> None:
     assert not context.admitted_again, (len(context.admitted_again), context.admitted_again[:3])
 
 
@@ -114,9 +114,9 @@
 def step_overdue(context: Any, limit: int, count: int, seconds: int) -> None:
     context.limit = StoreConcurrencyLimit(LearnedConcurrencyLimit(SERVICE, limit, False))
     loads = [LoadInProgress(0.0, context.load_ms)] * count
-    for admitted_again in range(seconds + 1):
-        context.limit.observe(count, admitted_again * MS)
-        context.limit.check_overdue(loads, admitted_again * MS)
+    for second in range(seconds + 1):
+        context.limit.observe(count, second * MS)
+        context.limit.check_overdue(loads, second * MS)
 
 
 @when("a leader with a limit of {limit:d} runs {count:d} loads at a time for {seconds:d} s")
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -119,7 +119,7 @@
             self.add_server()
         self.now = 10.0
         self.admissions: list[StoreAdmissionRecord] = []
-        self._pace = StoreConcurrencyLimit()
+        self._concurrency_limit = StoreConcurrencyLimit()
         self.change_leader()
 
     # Events.
@@ -144,9 +144,9 @@
             for name, server in self._servers.items()
             if server.loading
         }
-        learned: LearnedConcurrencyLimit = self._pace.snapshot(SERVICE)
-        self._pace = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
-        self._window = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
+        learned: LearnedConcurrencyLimit = self._concurrency_limit.snapshot(SERVICE)
+        self._concurrency_limit = StoreConcurrencyLimit(learned, self.now * MS_PER_SECOND)
+        self._rate_limiter = LoadRateLimiter(LOADS_PER_SECOND, WINDOW_SECONDS, self.now)
         self._demand = DemandView()
         self._trackers: dict[str, ServerTracker] = {}
         self._announced_loads = announced
@@ -187,27 +187,27 @@
                 tracker.record_report(server.report(), self.now)
             finished = tracker.pop_finished_load()
             if finished is not None:
-                self._pace.record_finished(finished, self.now * MS_PER_SECOND)
+                self._concurrency_limit.record_finished(finished, self.now * MS_PER_SECOND)
 
     def _plan(self) -> None:
         servers = list(self._trackers.values())
         in_progress = sum(server.uses_store(self.now) for server in servers)
-        self._pace.observe(in_progress, self.now * MS_PER_SECOND)
+        self._concurrency_limit.observe(in_progress, self.now * MS_PER_SECOND)
         inputs = PlanInput(
             SERVICE,
             servers,
             self._demand,
             {},
             self.now,
-            self._window.allows(self.now),
+            self._rate_limiter.allows(self.now),
             False,
-            max(0, self._pace.limit - in_progress),
+            max(0, self._concurrency_limit.limit - in_progress),
         )
         wanted = {pending.key.target.model for pending in self._demand.pending_demand(self.now)}
         for order in Planner(inputs).plan():
             self._record_admission(order, wanted)
             if order.from_store:
-                self._window.record(self.now)
+                self._rate_limiter.record(self.now)
             self._send_order(order)
         self._demand.reset_unserved(SERVICE, inputs.index.holders)
 
@@ -225,7 +225,7 @@
         admission = StoreAdmissionRecord(
             name,
             self._in_progress(),
-            self._pace.limit,
+            self._concurrency_limit.limit,
             name in admitted,
             tuple(sorted(wanted - admitted - {name})),
         )
@@ -251,10 +251,10 @@
         assert report is not None
         if order.evicts_for:
             tracker.reserve_memory(order.evicts_for, self.now)
-        inputs = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
+        sent = Order(order.kind, order.target, order.instance, "daemon", 7, report.revision)
         server = self._servers[order.instance]
         if server.loading or server.revision != report.revision:
-            tracker.record_answer(inputs, OrderAnswer.CONFLICT, self.now)
+            tracker.record_answer(sent, OrderAnswer.CONFLICT, self.now)
             return
         server.execute(order)
-        tracker.record_answer(inputs, OrderAnswer.ACCEPTED, self.now, in_use=False)
+        tracker.record_answer(sent, OrderAnswer.ACCEPTED, self.now, in_use=False)
