--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -29,7 +29,7 @@
 STORE_LOAD_S = 4.0
 DISK_LOAD_S = 1.5
 FENCE = 7
-PLACES = 8
+SLOTS = 8
 
 
 def profile(memory_gb: int) -> EngineProfile:
@@ -37,7 +37,7 @@
     models = tuple(
         ModelProfile(name, MODEL_MB, STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S) for name in "abcdefgh"
     )
-    return EngineProfile(memory_gb * 1000.0, 8, 4.0, models, PLACES)
+    return EngineProfile(memory_gb * 1000.0, 8, 4.0, models, SLOTS)
 
 
 def report(held: list[str], on_disk: set[str], revision: int = 0) -> ServerReport:
