--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -58,15 +58,15 @@
 @given("{first:w} holds {held_first}, {second:w} holds {held_second}")
 def step_hold(context: Any, first: str, held_first: str, second: str, held_second: str) -> None:
     for name, held in ((first, held_first), (second, held_second)):
-        hold(context, name, held)
+        report_held_models(context, name, held)
 
 
 @given("{name:w} holds nothing")
 def step_hold_nothing(context: Any, name: str) -> None:
-    hold(context, name, "nothing")
+    report_held_models(context, name, "nothing")
 
 
-def hold(context: Any, name: str, held: str) -> None:
+def report_held_models(context: Any, name: str, held: str) -> None:
     """Record a report that a server holds models, each with a copy on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
     context.trackers[name].record_report(report(models, set(models)), 9.0)
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import given as hypothesis_given
 from hypothesis import strategies as st
 
-from features.steps.planner_steps import FENCE, SERVICE, hold, profile, report
+from features.steps.planner_steps import FENCE, SERVICE, profile, report, report_held_models
 from features.support.simulated_pool import SimulatedPool
 from loomwind.messages.serving import PoolDemand
 from loomwind.placement.server_tracker import ServerTracker
@@ -171,8 +171,8 @@
 
 @given("one holds a, two is loading b")
 def step_two_loads(context: Any) -> None:
-    hold(context, "one", "a")
-    hold(context, "two", "nothing")
+    report_held_models(context, "one", "a")
+    report_held_models(context, "two", "nothing")
     tracker: ServerTracker = context.trackers["two"]
     order = Order(OrderKind.LOAD, ModelKey("b"), "two", "daemon", FENCE, 0)
     tracker.record_answer(order, OrderAnswer.ACCEPTED, 9.5)
