--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -356,21 +356,21 @@
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    context.beliefs_while_loading = []
+    context.states_while_loading = []
     now = 14.3
     while now < last:
         now += step
         tracker.record_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
         tracker.complete_due_load(now, 0)
         state = (now, tracker.holds(ModelKey("c")), tracker.loading)
-        context.beliefs_while_loading.append(state)
+        context.states_while_loading.append(state)
     tracker.record_report(report(["a", "c"], {"a", "c"}, 1), end)
     context.finished = tracker.pop_finished_load()
 
 
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
 def step_not_held(context: Any, name: str, first: float, last: float) -> None:
-    states = [state for state in context.beliefs_while_loading if first <= state[0] <= last]
+    states = [state for state in context.states_while_loading if first <= state[0] <= last]
     assert states and all(not held and loading == "c" for _, held, loading in states), states
     assert context.trackers[name].holds(ModelKey("c"))
 
