--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -102,13 +102,13 @@
     order = _order(tracker, planned.kind, planned.target.model)
     tracker.reserve_memory(planned.evicts_for, now)
     tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
-    context.now, context.given_order = now, planned
+    context.now, context.accepted_order = now, planned
 
 
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    tracker: ServerTracker = context.trackers[context.given_order.instance]
+    tracker: ServerTracker = context.trackers[context.accepted_order.instance]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
     tracker.record_report(report(held, set(held), tracker.report.revision), now)
@@ -140,7 +140,7 @@
 @then("the plan is one order: load {model} at {where}")
 def step_load(context: Any, model: str, where: str) -> None:
     orders = plan(context)
-    instance = context.given_order.instance if where == "the same server" else where
+    instance = context.accepted_order.instance if where == "the same server" else where
     assert len(orders) == 1 and orders[0].kind is OrderKind.LOAD, orders
     assert (orders[0].target.model, orders[0].instance) == (model, instance), orders
 
