--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -91,8 +91,8 @@
 @when("a request waits for {model} at {now:f} s")
 def step_waits(context: Any, model: str, now: float) -> None:
     context.now = now
-    wanted = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
-    context.demand.add_report(PoolDemand("daemon-1", (wanted,), ()), now)
+    requested = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
+    context.demand.add_report(PoolDemand("daemon-1", (requested,), ()), now)
 
 
 @when("the first order of the plan is accepted at {now:f} s")
@@ -341,10 +341,10 @@
 
 def _wait_for_many(context: Any, count: int) -> None:
     context.now = 10.0
-    wanted = [
+    requested = [
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
-    context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
+    context.demand.add_report(PoolDemand("daemon-1", tuple(requested), ()), 10.0)
     CountingTracker.lookups = 0
 
 
--- a/features/steps/weight_store_admission_steps.py
+++ b/features/steps/weight_store_admission_steps.py
@@ -150,8 +150,8 @@
 @when("{count:d} requests with an objective of {seconds:f} s wait for {model} at {now:f} s")
 def step_many_wait(context: Any, count: int, seconds: float, model: str, now: float) -> None:
     context.now = now
-    wanted = TargetDemand(SERVICE, ModelKey(model), count, count, seconds, seconds)
-    context.demand.add_report(PoolDemand("daemon-4", (wanted,), ()), now)
+    requested = TargetDemand(SERVICE, ModelKey(model), count, count, seconds, seconds)
+    context.demand.add_report(PoolDemand("daemon-4", (requested,), ()), now)
 
 
 @when("{count:d} requests for {model} run at {server:w}, which has {slots:d} slots")
--- a/features/support/simulated_pool.py
+++ b/features/support/simulated_pool.py
@@ -153,7 +153,7 @@
 
     def add_requests(self, model: int, count: int, waiting: bool) -> None:
         """Add requests for a model, optionally with one that waits for it."""
-        wanted = TargetDemand(
+        requested = TargetDemand(
             SERVICE,
             ModelKey(self._models[model % len(self._models)]),
             int(waiting),
@@ -162,7 +162,7 @@
             0.6,
         )
         sender = f"daemon-{self._random.randrange(4)}"
-        self._demand.add_report(PoolDemand(sender, (wanted,), ()), self.now)
+        self._demand.add_report(PoolDemand(sender, (requested,), ()), self.now)
 
     # Simulation step.
 
@@ -203,15 +203,15 @@
             False,
             max(0, self._concurrency_limit.limit - in_progress),
         )
-        wanted = {pending.key.target.model for pending in self._demand.pending_demand(self.now)}
+        requested = {pending.key.target.model for pending in self._demand.pending_demand(self.now)}
         for order in Planner(inputs).plan():
-            self._record_admission(order, wanted)
+            self._record_admission(order, requested)
             if order.from_store:
                 self._rate_limiter.record(self.now)
             self._send_order(order)
         self._demand.reset_unserved(SERVICE, inputs.index.holders)
 
-    def _record_admission(self, order: PlannedOrder, wanted: set[str]) -> None:
+    def _record_admission(self, order: PlannedOrder, requested: set[str]) -> None:
         """Record a load from the weight store when it or an eviction for it is ordered."""
         name = order.evicts_for or order.target.model
         loads = order.kind is OrderKind.LOAD or bool(order.evicts_for)
@@ -227,7 +227,7 @@
             self._in_progress(),
             self._concurrency_limit.limit,
             name in admitted,
-            tuple(sorted(wanted - admitted - {name})),
+            tuple(sorted(requested - admitted - {name})),
         )
         self.admissions.append(admission)
 
