--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -334,7 +334,7 @@
 
 
 @then("the plan loads {count:d} models or evicts for them")
-def step_brings(context: Any, count: int) -> None:
+def step_loads_or_evicts(context: Any, count: int) -> None:
     brought = {order.evicts_for or order.target.model for order in plan(context)}
     assert len(brought) == count, brought
 
