--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -381,7 +381,7 @@
 
 
 @then("after a step of the leader {model:w} has {count:d} unserved requests")
-def step_still_in_vain(context: Any, model: str, count: int) -> None:
+def step_still_unserved(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.trackers.values()), context.demand
     given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
     planner = Planner(given)
