--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -218,7 +218,7 @@
 
 
 @when("{name:w} accepts that order at {now:f} s")
-def step_takes_order(context: Any, name: str, now: float) -> None:
+def step_accepts_order(context: Any, name: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     tracker.record_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
