--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -240,7 +240,7 @@
     tracker.record_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
-def takes_order(context: Any, name: str, now: float) -> bool:
+def accepts_order(context: Any, name: str, now: float) -> bool:
     """Return whether a server can accept an order at a given time."""
     tracker: ServerTracker = context.trackers[name]
     return tracker.idle and tracker.no_orders_until <= now
@@ -248,12 +248,12 @@
 
 @then("{name:w} accepts no order at {early:f} s, and accepts one at {late:f} s")
 def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
-    assert not takes_order(context, name, early) and takes_order(context, name, late)
+    assert not accepts_order(context, name, early) and accepts_order(context, name, late)
 
 
 @then("{name:w} accepts no order at {now:f} s")
 def step_takes_none(context: Any, name: str, now: float) -> None:
-    assert not takes_order(context, name, now)
+    assert not accepts_order(context, name, now)
 
 
 ADAPTER = ModelKey("a", "x")
