--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -247,7 +247,7 @@
 
 
 @then("{name:w} accepts no order at {early:f} s, and accepts one at {late:f} s")
-def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
+def step_accepts_later(context: Any, name: str, early: float, late: float) -> None:
     assert not accepts_order(context, name, early) and accepts_order(context, name, late)
 
 
