--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -252,7 +252,7 @@
 
 
 @then("{name:w} accepts no order at {now:f} s")
-def step_takes_none(context: Any, name: str, now: float) -> None:
+def step_accepts_none(context: Any, name: str, now: float) -> None:
     assert not accepts_order(context, name, now)
 
 
