--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -309,14 +309,14 @@
 def step_many_servers(context: Any, servers: int, models: int) -> None:
     names = [f"m{number}" for number in range(models)]
     load_s = (STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S)
-    many = EngineProfile(
+    profile_of_many = EngineProfile(
         3 * MODEL_MB, 8, 4.0, tuple(ModelProfile(name, MODEL_MB, *load_s) for name in names)
     )
     context.demand = DemandView()
     context.trackers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        tracker = CountingTracker(entry, many)
+        tracker = CountingTracker(entry, profile_of_many)
         tracker.record_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
         context.trackers[entry.instance] = tracker
 
