--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -121,8 +121,8 @@
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", UNLIMITED_STORE_LOADS)
     running = getattr(context, "running", {})
-    given = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
-    return Planner(given).plan()
+    inputs = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
+    return Planner(inputs).plan()
 
 
 @then("the plan is empty")
@@ -383,11 +383,11 @@
 @then("after a step of the leader {model:w} has {count:d} unserved requests")
 def step_still_unserved(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.trackers.values()), context.demand
-    given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
-    planner = Planner(given)
+    inputs = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
+    planner = Planner(inputs)
     planner.plan()
     planner.expectations()
-    demand.reset_unserved(SERVICE, given.index.holders)
+    demand.reset_unserved(SERVICE, inputs.index.holders)
     assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
