--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -23,7 +23,7 @@
         :param zone: the zone of this daemon.
         """
         self._pool = pool
-        self._reach = pool.connectivity_of(service)
+        self._connectivity = pool.connectivity_of(service)
         self._forwarder = forwarder
         self._zone = zone
         self._service = service
@@ -33,15 +33,15 @@
 
     def choose(self, now: float) -> ServerEntry | None:
         """Return the server with the lowest cost; None when no server can run the request."""
-        found = [self._candidate(entry, now) for entry in self._eligible(now)]
-        noise = [random.random() for _ in found]
-        chosen = lowest_cost(found, self._zone, self._cache_key(), noise)
-        self._candidates = found
+        candidates = [self._candidate(entry, now) for entry in self._eligible(now)]
+        noise = [random.random() for _ in candidates]
+        chosen = lowest_cost(candidates, self._zone, self._cache_key(), noise)
+        self._candidates = candidates
         return chosen.entry if chosen else None
 
     def _eligible(self, now: float) -> list[ServerEntry]:
-        if self._reach.is_cut and (proven := self._responsive_idle(now)):
-            return proven
+        if self._connectivity.is_cut and (responsive := self._responsive_idle(now)):
+            return responsive
         return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
     def _candidate(self, entry: ServerEntry, now: float) -> Candidate:
@@ -55,13 +55,13 @@
             self._forwarder.has_idle_connection(entry),
         )
 
-    def is_cut_off(self, now: float) -> bool:
+    def is_service_unreachable(self, now: float) -> bool:
         """Whether new connections to the servers fail and no idle connection is known to work."""
-        return self._reach.is_cut and not self._responsive_idle(now)
+        return self._connectivity.is_cut and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
         """Return servers with an idle connection that sent data after connects began to fail."""
-        since = self._reach.failing_since_ms / MS_PER_SECOND
+        since = self._connectivity.failing_since_ms / MS_PER_SECOND
         return [
             entry
             for entry in self._pool.candidates(self._service, self._caller.target, now)
