--- a/loomwind/serving/breaker.py
+++ b/loomwind/serving/breaker.py
@@ -23,7 +23,7 @@
 
         :param on_received: called with the time, in seconds, whenever data comes from the server.
         """
-        self._on_heard = on_received
+        self._on_received = on_received
         self.in_flight = 0
         self.last_received_at = float("-inf")
         self.error_rate = 0.0
@@ -43,7 +43,7 @@
     def record_received(self, now: float) -> None:
         """Record that data has come from the server."""
         self.last_received_at = now
-        self._on_heard(now)
+        self._on_received(now)
         self._silent_since = now
 
     def record_ended(self) -> None:
