--- a/features/pool_decisions.feature
+++ b/features/pool_decisions.feature
@@ -8,7 +8,7 @@
   Scenario: loads stay within the rate limit of the weight store across a change of leader
     Given a weight store that allows 2.2 loads per second over 5 s
     When a leader starts every load it may, and so does its successor, which knows of these loads
-    Then no window of 5 s has over 2.2 loads per second times 1.1 plus 3
+    Then no window of 5 s exceeds 2.2 loads per second times 1.1 plus 3
 
   Scenario: a split route gives each service its share of any sequence of requests
     Given a route split 90 to 10
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -91,7 +91,7 @@
             context.loads.append(now)
 
 
-@then("no window of {window:d} s has over {rate:f} loads per second times {over:f} plus {more:d}")
+@then("no window of {window:d} s exceeds {rate:f} loads per second times {over:f} plus {more:d}")
 def step_loads_hold(context: Any, window: int, rate: float, over: float, more: int) -> None:
     assert most_in_window(context.loads, window) <= rate * window * over + more
 
