--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -37,7 +37,7 @@
 
 
 @when("each gets {rate:d} requests per second for {seconds:d} s, retries if allowed, restarts once")
-def step_spend(context: Any, rate: int, seconds: int) -> None:
+def step_retries(context: Any, rate: int, seconds: int) -> None:
     context.retries = []
     context.requests = []
     for number in range(context.daemons):
@@ -78,16 +78,16 @@
 
 
 @when("a leader starts every load it may, and so does its successor, which knows of these loads")
-def step_two_leaders(context: Any) -> None:
-    first = LoadRateLimiter(context.rate, context.window, 0.0)
+def step_leader_change(context: Any) -> None:
+    limiter = LoadRateLimiter(context.rate, context.window, 0.0)
     context.loads = []
     for step in range(400):
         now = step * STEP_SECONDS
         if step == 200:
             seen = [t for t in context.loads if t >= now - context.window]
-            first = LoadRateLimiter(context.rate, context.window, now, seen)
-        while first.allows(now):
-            first.record(now)
+            limiter = LoadRateLimiter(context.rate, context.window, now, seen)
+        while limiter.allows(now):
+            limiter.record(now)
             context.loads.append(now)
 
 
@@ -129,24 +129,24 @@
 
 @then("host one routes /a/b/c to /a/b/ and /a/bc to /a/, and host three has no route for /a/")
 def step_match(context: Any) -> None:
-    found = context.route_table.match("one:80", "/a/b/c")
-    assert found is not None and found.prefix == "/a/b/"
-    found = context.route_table.match("ONE", "/a/bc")
-    assert found is not None and found.prefix == "/a/"
+    matched = context.route_table.match("one:80", "/a/b/c")
+    assert matched is not None and matched.prefix == "/a/b/"
+    matched = context.route_table.match("ONE", "/a/bc")
+    assert matched is not None and matched.prefix == "/a/"
     assert context.route_table.match("three", "/a/") is None
 
 
 @when("a stream arrives in chunks of {size:d} bytes and is interrupted")
-def step_pieces(context: Any, size: int) -> None:
-    whole = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
-    cut = whole[:-9]
+def step_interrupted_stream(context: Any, size: int) -> None:
+    events_data = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
+    interrupted = events_data[:-9]
     context.cutter = EventCutter()
-    chunks = [cut[at : at + size] for at in range(0, len(cut), size)]
+    chunks = [interrupted[at : at + size] for at in range(0, len(interrupted), size)]
     context.relayed = b"".join(context.cutter.feed(piece) for piece in chunks)
 
 
 @then("only complete events were relayed, and the last event id is known")
-def step_whole(context: Any) -> None:
+def step_complete_events(context: Any) -> None:
     assert context.relayed.endswith(b"\n\n") and context.relayed.count(b"\n\n") == 4
     assert context.cutter.last_event_id == "4"
 
@@ -161,7 +161,7 @@
 
 
 @then("it is not taken over after {early:f} s, but after {late:f} s if the store is available")
-def step_not_taken(context: Any, early: float, late: float) -> None:
+def step_taken_over_on_expiry(context: Any, early: float, late: float) -> None:
     lease: Lease = context.lease
     assert lease.action(100.0 + early, 60.0) is LeaseAction.WAIT
     assert lease.action(100.0 + late, 0.1) is LeaseAction.WAIT
@@ -169,7 +169,7 @@
 
 
 @then("it is taken over at once when the holder is known to have ended")
-def step_taken_at_once(context: Any) -> None:
+def step_taken_over_at_once(context: Any) -> None:
     lease: Lease = context.lease
     lease.note_dead("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
@@ -178,7 +178,7 @@
 
 
 @then("its holder stops leading before another daemon takes it over")
-def step_holder_stops(context: Any) -> None:
+def step_holder_stops_leading(context: Any) -> None:
     holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
     holder.note_no_row(0, 90.0)
     holder.wrote(7, 100.0)
