--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -66,7 +66,7 @@
 
     fence: int
     holdings: tuple[ServerHolding, ...]
-    paces: tuple[LearnedConcurrencyLimit, ...] = ()
+    store_limits: tuple[LearnedConcurrencyLimit, ...] = ()
 
 
 class PoolExpectations(Message, frozen=True, tag=True, array_like=True):
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -163,7 +163,9 @@
         """Apply the servers' holdings; messages of an earlier leader are ignored."""
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
-            self._pool.residency.store_limits.update({pace.service: pace for pace in message.paces})
+            self._pool.residency.store_limits.update(
+                {pace.service: pace for pace in message.store_limits}
+            )
             self._pool.update_holdings(message.holdings)
 
     def _on_expectations(self, message: PoolExpectations) -> None:
@@ -192,8 +194,8 @@
 
     def _broadcast_pending(self, fence: int) -> None:
         self._broadcast_timer = None
-        paces = tuple(self._pool.residency.store_limits.values())
-        message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
+        store_limits = tuple(self._pool.residency.store_limits.values())
+        message = PoolHoldings(fence, tuple(self._pending_holdings.values()), store_limits)
         self._pending_holdings.clear()
         for peer in self._peers.others():
             self._transport.cast(peer.address, message)
