--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -164,7 +164,7 @@
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
             self._pool.residency.store_limits.update(
-                {pace.service: pace for pace in message.store_limits}
+                {limit.service: limit for limit in message.store_limits}
             )
             self._pool.update_holdings(message.holdings)
 
