--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -42,7 +42,7 @@
         self._exchange = exchange
         self._outgoing = outgoing
         self._service = service
-        self._choice = choice
+        self._selector = choice
         self._stream = stream
         self._allowed = allowed
         self._asked: set[str] = set()
@@ -54,7 +54,7 @@
 
     def should_relay(self) -> bool:
         """Whether to relay the request, because no server can be reached from here."""
-        return self._allowed and self._choice.is_service_unreachable(self._handler.now())
+        return self._allowed and self._selector.is_service_unreachable(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
         """Return the next peer to ask; None, which ends the attempts, if there is none left."""
