--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -30,7 +30,7 @@
         exchange: Exchange,
         outgoing: OutgoingRequest,
         service: str,
-        choice: ServerSelector,
+        selector: ServerSelector,
         stream: StreamRelay,
         allowed: bool,
     ) -> None:
@@ -42,7 +42,7 @@
         self._exchange = exchange
         self._outgoing = outgoing
         self._service = service
-        self._selector = choice
+        self._selector = selector
         self._stream = stream
         self._allowed = allowed
         self._asked: set[str] = set()
