--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -79,7 +79,7 @@
         relay = self._handler.relay
         connection = await relay.connect(peer, self._service)
         on_sent()
-        answer = await relay.send(
+        response = await relay.send(
             connection,
             peer,
             self._service,
@@ -89,21 +89,21 @@
             RelayMetadata(runs, self._handler.configuration_version()),
         )
         self.log_result("relayed", peer, "")
-        await self._forward_answer(peer, answer)
+        await self._forward_answer(peer, response)
 
-    async def _forward_answer(self, peer: PeerEntry, answer: OpenResponse) -> None:
-        if answer.streamed:
+    async def _forward_answer(self, peer: PeerEntry, response: OpenResponse) -> None:
+        if response.streamed:
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
             )
-            await self._stream.relay(entry, answer, ServerHealth())
-            self._handler.forwarder.release(answer.connection)
+            await self._stream.relay(entry, response, ServerHealth())
+            self._handler.forwarder.release(response.connection)
             return
-        body = await self._handler.forwarder.read_full_body(answer)
-        status = answer.head.status
+        body = await self._handler.forwarder.read_full_body(response)
+        status = response.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", may_have_run=True)
-        headers = self._handler.dialect.response_headers(answer.head)
+        headers = self._handler.dialect.response_headers(response.head)
         await self._exchange.respond(status, headers, body)
 
     def log_result(self, decision: str, peer: PeerEntry, reason: str) -> None:
