--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -20,7 +20,7 @@
     RelayMetadata,
     configuration_version_of,
     decode_error,
-    is_server_answer,
+    is_server_response,
     strip_relay_headers,
 )
 
@@ -105,7 +105,7 @@
         try:
             connection.send_request(self._relay_request(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
-            if not is_server_answer(head):
+            if not is_server_response(head):
                 raise decode_error(head, await self._read_body(connection))
         except HttpError as error:
             connection.close()
--- a/loomwind/serving/relay_protocol.py
+++ b/loomwind/serving/relay_protocol.py
@@ -84,7 +84,7 @@
     return int(text) if text.isdigit() else 0
 
 
-def is_server_answer(head: HttpResponse) -> bool:
+def is_server_response(head: HttpResponse) -> bool:
     """Whether the peer forwarded a server's response."""
     return head.header(OUTCOME_HEADER) is None
 
