--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -28,7 +28,7 @@
 # How long a peer that declined or was unreachable is skipped for a service.
 DECLINE_BACKOFF_MS = 1000.0
 # Lets a peer's refusal, which tells whether the request has run, arrive before the deadline.
-ANSWER_MARGIN_SECONDS = 0.05
+RESPONSE_MARGIN_SECONDS = 0.05
 
 
 class PeerRelay:
@@ -133,7 +133,7 @@
         metadata: RelayMetadata,
     ) -> HttpRequest:
         request = outgoing.request
-        remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
+        remaining = outgoing.deadline - now - RESPONSE_MARGIN_SECONDS
         headers = self._dialect.peer_headers(request, remaining, last_event_id)
         version = max(metadata.configuration_version, self._newest_configuration)
         metadata = RelayMetadata(metadata.runs, version)
