--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -83,7 +83,7 @@
         try:
             return await self._client.acquire(peer.relay, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            self._note_declined(peer, service)
+            self._record_declined(peer, service)
             raise RelayDeclined(f"not reached: {error}") from error
 
     async def send(
@@ -113,7 +113,7 @@
             raise SendFailed(f"{peer.address}: {error}", may_have_run=True) from error
         except RelayDeclined:
             self._client.release(connection)
-            self._note_declined(peer, service)
+            self._record_declined(peer, service)
             raise
         except BaseException:
             self._client.release(connection)
@@ -145,7 +145,7 @@
             body += chunk
         return bytes(body)
 
-    def _note_declined(self, peer: PeerEntry, service: str) -> None:
+    def _record_declined(self, peer: PeerEntry, service: str) -> None:
         self._count("declined")
         now_ms = self._clock.now_ms()
         self._declined_until_ms = {
