--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -61,7 +61,7 @@
     """Distributes the models held by each server, as last read by the leader.
 
     :param fence: the leader's fencing token; messages with a lower token than seen are ignored.
-    :param paces: learned load rates of the weight store, so that the next leader has them.
+    :param store_limits: learned concurrency limits of the weight store, for the next leader.
     """
 
     fence: int
--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -60,7 +60,7 @@
         )
 
     def on_digest(self, digest: PoolDigest) -> None:
-        """Send a peer the state it lacks; reply with an own digest if no other peer is known."""
+        """Send a peer the state it lacks; reply with a digest if no peer is known."""
         if not self._peers.others():
             self._transport.cast(digest.sender, self._own_digest())
         self._configurations.record_peer_version(digest.sender, digest.configuration_version)
