--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps about waiting for a model: pure decisions, times are passed in."""
+"""Steps for waiting requests and pending demand; no processes, times are passed in."""
 
 import re
 from typing import Any
@@ -17,52 +17,54 @@
 
 MS = 1000.0
 TIMEOUT_MS = 25_000.0
-PATIENCE_OBJECTIVES = 4
+EVENT_TIMEOUT_OBJECTIVES = 4
 TOLERANCE_MS = 1.0
 KEY = DemandKey(SERVICE, ModelKey("m1"))
 
 
-@given("a request that came at {came:f} s, {tries}, whose caller leaves after {patience:f} s")
-def step_request(context: Any, came: float, tries: str, patience: float) -> None:
+@given(
+    "a request that arrived at {arrived:f} s, {tries}, whose caller gives up after {event_timeout:f} s"
+)
+def step_request(context: Any, arrived: float, tries: str, event_timeout: float) -> None:
     first = tries == "the first time"
-    deadline_ms = (came * MS) + (TIMEOUT_MS if first else TIMEOUT_MS * 2 / 3)
-    objective_ms = patience * MS / PATIENCE_OBJECTIVES
-    context.limits = WaitLimits(came * MS, patience * MS, objective_ms, deadline_ms, first)
+    deadline_ms = (arrived * MS) + (TIMEOUT_MS if first else TIMEOUT_MS * 2 / 3)
+    objective_ms = event_timeout * MS / EVENT_TIMEOUT_OBJECTIVES
+    context.limits = WaitLimits(arrived * MS, event_timeout * MS, objective_ms, deadline_ms, first)
 
 
-@when("the leader says {word} at {now:f} s, and a load usually takes {usual:d} s")
-def step_decide(context: Any, word: str, now: float, usual: int) -> None:
-    found = re.search(r"[\d.]+", word)
+@when("the leader's estimate at {now:f} s is {estimate}, and a load usually takes {usual:d} s")
+def step_decide(context: Any, estimate: str, now: float, usual: int) -> None:
+    found = re.search(r"[\d.]+", estimate)
     ready_in_ms = float(found[0]) * MS if found else None
     context.decision = decide(context.limits, now * MS, ready_in_ms, usual * MS)
 
 
 @then("the request waits")
-def step_waits_on(context: Any) -> None:
+def step_waits(context: Any) -> None:
     assert isinstance(context.decision, Wait), context.decision
     assert context.decision.until_ms == context.limits.wait_until_ms
 
 
-@then("the request waits for a word until {until:f} s")
-def step_waits_for_word(context: Any, until: float) -> None:
+@then("the request waits for an estimate until {until:f} s")
+def step_waits_for_estimate(context: Any, until: float) -> None:
     assert context.decision == Wait(until * MS), context.decision
 
 
-@then("the request comes back after {after:f} s")
-def step_comes_back(context: Any, after: float) -> None:
+@then("the request is to be retried after {after:f} s")
+def step_retry(context: Any, after: float) -> None:
     assert isinstance(context.decision, RetryLater), context.decision
     assert abs(context.decision.after_ms - after * MS) < TOLERANCE_MS, context.decision
 
 
-@then("the request is refused, with {after:f} s")
-def step_refused_with(context: Any, after: float) -> None:
+@then("the request is refused, with a retry time of {after:f} s")
+def step_refused(context: Any, after: float) -> None:
     assert isinstance(context.decision, Refuse), context.decision
     assert context.decision.after_ms is not None
     assert abs(context.decision.after_ms - after * MS) < TOLERANCE_MS, context.decision
 
 
-@given("the leader said at {now:f} s that m1 should be there in {ready_in:f} s")
-def step_said(context: Any, now: float, ready_in: float) -> None:
+@given("the leader estimated at {now:f} s that m1 is ready in {ready_in:f} s")
+def step_estimated(context: Any, now: float, ready_in: float) -> None:
     context.expectations = Expectations()
     context.expectations.update([ExpectedTarget(KEY, ready_in * MS)], now * MS)
 
@@ -73,42 +75,50 @@
     assert known is not None and abs(known - ready_in * MS) < TOLERANCE_MS, known
 
 
-@then("nothing is known of m1 at {now:f} s")
-def step_unknown(context: Any, now: float) -> None:
+@then("there is no estimate for m1 at {now:f} s")
+def step_no_estimate(context: Any, now: float) -> None:
     assert context.expectations.ready_in_ms(KEY, now * MS) is None
 
 
-@given("a board of demand, and a request for m1 that returns by {due:f} s")
-def step_board(context: Any, due: float) -> None:
-    context.board = DemandTracker()
-    context.board.add_expected_retry(KEY, WaitingRequest(due, 2.5))
+@given("a demand tracker, and an expected retry for m1 that is due at {due:f} s")
+def step_expected_retry(context: Any, due: float) -> None:
+    context.tracker = DemandTracker()
+    context.tracker.add_expected_retry(KEY, WaitingRequest(due, 2.5))
 
 
-@then("the leader hears of {waiting:d} waiting and {expected_retries:d} returning at {now:f} s")
-def step_hears(context: Any, waiting: int, expected_retries: int, now: float) -> None:
-    (report,) = context.board.take_report(now)
+@then(
+    "the demand report has {waiting:d} waiting requests and {expected_retries:d} expected retries "
+    "at {now:f} s"
+)
+def step_report(context: Any, waiting: int, expected_retries: int, now: float) -> None:
+    (report,) = context.tracker.take_report(now)
     assert (report.waiting, report.expected_retries) == (waiting, expected_retries), report
 
 
-@then("the leader hears of nothing at {now:f} s")
-def step_hears_nothing(context: Any, now: float) -> None:
-    assert context.board.take_report(now) == ()
+@then("the demand report is empty at {now:f} s")
+def step_report_empty(context: Any, now: float) -> None:
+    assert context.tracker.take_report(now) == ()
 
 
-def wanted(name: str, arrivals: float, waiting: int = 1, expected_retries: int = 0) -> TargetDemand:
+def model_demand(
+    name: str, arrivals: float, waiting: int = 1, expected_retries: int = 0
+) -> TargetDemand:
     """Return the demand for a model, all with the same objective."""
     return TargetDemand(SERVICE, ModelKey(name), waiting, arrivals, 2.5, 2.0, expected_retries)
 
 
-@when("m1 was asked for 3 times and is waited for, m2 once, and m3 is promised, at {now:f} s")
-def step_three_wants(context: Any, now: float) -> None:
-    demand = (wanted("m2", 1.0), wanted("m1", 3.0), wanted("m3", 1.0, 0, 1))
+@when(
+    "requests wait for m1 after 3 arrivals and for m2 after 1, and a retry of m3 is expected, "
+    "at {now:f} s"
+)
+def step_pending_models(context: Any, now: float) -> None:
+    demand = (model_demand("m2", 1.0), model_demand("m1", 3.0), model_demand("m3", 1.0, 0, 1))
     context.demand.add_report(PoolDemand("daemon-1", demand, ()), now)
     context.now = now
 
 
-@then("the wants are {names}")
-def step_wants(context: Any, names: str) -> None:
+@then("the pending demand is {names}")
+def step_pending_order(context: Any, names: str) -> None:
     pending_demand = context.demand.pending_demand(context.now)
     assert [pending.key.target.model for pending in pending_demand] == names.split(", "), (
         pending_demand
@@ -121,15 +131,15 @@
     context.now = now
 
 
-@then("m1 was asked for in vain {count:d} times")
-def step_in_vain(context: Any, count: int) -> None:
+@then("m1 has {count:d} unserved requests")
+def step_unserved(context: Any, count: int) -> None:
     pending = next(w for w in context.demand.pending_demand(context.now) if w.key == KEY)
     assert pending.unserved == count, pending
 
 
-@when("requests wait for c and d at {now:f} s, and no more may be under way")
-def step_two_wait(context: Any, now: float) -> None:
-    demand = (wanted("c", 1.0), wanted("d", 1.0))
+@when("requests wait for c and d at {now:f} s, and no more loads may begin")
+def step_two_models_wait(context: Any, now: float) -> None:
+    demand = (model_demand("c", 1.0), model_demand("d", 1.0))
     context.demand.add_report(PoolDemand("daemon-1", demand, ()), now)
     context.now = now
 
@@ -147,13 +157,15 @@
 
 
 @when(
-    "requests wait for c, which is asked for {rate:d} times a second, and no more may be under way"
+    "requests wait for c, which is requested {rate:d} times per second, and no more loads may begin"
 )
-def step_often(context: Any, rate: int) -> None:
+def step_constant_requests(context: Any, rate: int) -> None:
     context.demand = DemandView()
     for step in range(40):
         arrivals = rate * 0.5
-        context.demand.add_report(PoolDemand("daemon-1", (wanted("c", arrivals),), ()), step * 0.5)
+        context.demand.add_report(
+            PoolDemand("daemon-1", (model_demand("c", arrivals),), ()), step * 0.5
+        )
         context.now = step * 0.5
     context.store_loads_left = 0
 
--- a/features/waiting.feature
+++ b/features/waiting.feature
@@ -1,78 +1,78 @@
-Feature: A request waits for its model only where it can be served, and is told at once when to return
+Feature: A request waits for its model only if it can be served; otherwise it is refused at once with a retry time
 
-  Scenario Outline: what is done with a request of 25 s whose model is away, and whose caller waits 10 s
-    Given a request that came at 0.0 s, <tries>, whose caller leaves after 10.0 s
-    When the leader says <word> at <now> s, and a load usually takes 6 s
+  Scenario Outline: decision for a request with a 25 s timeout whose model is not loaded and whose caller waits up to 10 s
+    Given a request that arrived at 0.0 s, <tries>, whose caller gives up after 10.0 s
+    When the leader's estimate at <now> s is <estimate>, and a load usually takes 6 s
     Then the request <decision>
 
     Examples:
-      | tries            | now | word                 | decision                     |
-      | the first time   | 0.1 | that it takes 1.5 s  | waits                        |
-      | the first time   | 0.1 | that it takes 4.0 s  | comes back after 4.25 s      |
-      | the first time   | 0.9 | that it takes 4.0 s  | waits                        |
-      | the first time   | 0.1 | that it takes 9.0 s  | comes back after 9.25 s      |
-      | the first time   | 0.1 | that it takes 14.0 s | comes back after 14.25 s     |
-      | the first time   | 0.1 | that it takes 20.0 s | is refused, with 20.25 s     |
-      | the first time   | 0.1 | nothing              | waits for a word until 0.4 s |
-      | the first time   | 0.5 | nothing              | waits                        |
-      | the first time   | 5.0 | nothing              | comes back after 6.25 s      |
-      | the first time   | 0.9 | that it takes 9.5 s  | comes back after 9.75 s      |
-      | the first time   | 9.8 | that it takes 0.1 s  | comes back after 0.35 s      |
-      | after a refusal  | 0.1 | that it takes 1.5 s  | waits                        |
-      | after a refusal  | 0.1 | that it takes 9.0 s  | waits                        |
-      | after a refusal  | 0.1 | that it takes 12.0 s | is refused, with 12.25 s     |
-      | after a refusal  | 0.5 | nothing              | waits                        |
-      | after a refusal  | 6.0 | nothing              | is refused, with 6.25 s      |
+      | tries           | now | estimate | decision                                 |
+      | the first time  | 0.1 | 1.5 s    | waits                                    |
+      | the first time  | 0.1 | 4.0 s    | is to be retried after 4.25 s            |
+      | the first time  | 0.9 | 4.0 s    | waits                                    |
+      | the first time  | 0.1 | 9.0 s    | is to be retried after 9.25 s            |
+      | the first time  | 0.1 | 14.0 s   | is to be retried after 14.25 s           |
+      | the first time  | 0.1 | 20.0 s   | is refused, with a retry time of 20.25 s |
+      | the first time  | 0.1 | none     | waits for an estimate until 0.4 s        |
+      | the first time  | 0.5 | none     | waits                                    |
+      | the first time  | 5.0 | none     | is to be retried after 6.25 s            |
+      | the first time  | 0.9 | 9.5 s    | is to be retried after 9.75 s            |
+      | the first time  | 9.8 | 0.1 s    | is to be retried after 0.35 s            |
+      | after a refusal | 0.1 | 1.5 s    | waits                                    |
+      | after a refusal | 0.1 | 9.0 s    | waits                                    |
+      | after a refusal | 0.1 | 12.0 s   | is refused, with a retry time of 12.25 s |
+      | after a refusal | 0.5 | none     | waits                                    |
+      | after a refusal | 6.0 | none     | is refused, with a retry time of 6.25 s  |
 
-  Scenario: a caller who would return long before the load is done waits for it
-    Given a request that came at 0.0 s, the first time, whose caller leaves after 16.0 s
-    When the leader says that it takes 14.0 s at 0.1 s, and a load usually takes 6 s
+  Scenario: a caller whose retry would come long before the load is done waits
+    Given a request that arrived at 0.0 s, the first time, whose caller gives up after 16.0 s
+    When the leader's estimate at 0.1 s is 14.0 s, and a load usually takes 6 s
     Then the request waits
 
-  Scenario Outline: a caller who would leave before the load is done is told to come back at once
-    Given a request that came at 0.0 s, the first time, whose caller leaves after 2.4 s
-    When the leader says <word> at <now> s, and a load usually takes 6 s
+  Scenario Outline: a caller that would give up before the load is done is told to retry at once
+    Given a request that arrived at 0.0 s, the first time, whose caller gives up after 2.4 s
+    When the leader's estimate at <now> s is <estimate>, and a load usually takes 6 s
     Then the request <decision>
 
     Examples:
-      | now  | word                | decision                |
-      | 0.05 | that it takes 0.4 s | waits                   |
-      | 0.05 | that it takes 1.6 s | comes back after 1.85 s |
-      | 0.5  | that it takes 1.5 s | waits                   |
-      | 0.05 | that it takes 6.0 s | comes back after 6.25 s |
-      | 0.4  | nothing             | comes back after 6.25 s |
-      | 1.0  | that it takes 3.0 s | comes back after 3.25 s |
+      | now  | estimate | decision                      |
+      | 0.05 | 0.4 s    | waits                         |
+      | 0.05 | 1.6 s    | is to be retried after 1.85 s |
+      | 0.5  | 1.5 s    | waits                         |
+      | 0.05 | 6.0 s    | is to be retried after 6.25 s |
+      | 0.4  | none     | is to be retried after 6.25 s |
+      | 1.0  | 3.0 s    | is to be retried after 3.25 s |
 
-  Scenario: the leader's last word counts until the time that it named is over
-    Given the leader said at 10.0 s that m1 should be there in 5.0 s
+  Scenario: the leader's last estimate is valid until shortly after its ready time
+    Given the leader estimated at 10.0 s that m1 is ready in 5.0 s
     Then m1 is expected in 2.0 s at 13.0 s
     And m1 is expected in 0.1 s at 15.5 s
-    And nothing is known of m1 at 17.0 s
+    And there is no estimate for m1 at 17.0 s
 
-  Scenario: a request that is told to return counts for the leader until it has
-    Given a board of demand, and a request for m1 that returns by 20.0 s
-    Then the leader hears of 0 waiting and 1 returning at 12.0 s
-    And the leader hears of nothing at 20.5 s
+  Scenario: an expected retry is reported to the leader until it is due
+    Given a demand tracker, and an expected retry for m1 that is due at 20.0 s
+    Then the demand report has 0 waiting requests and 1 expected retries at 12.0 s
+    And the demand report is empty at 20.5 s
 
-  Scenario: what was promised is loaded first, and what was asked for in vain before what was not
+  Scenario: models with expected retries come first, then those with more unserved requests
     Given model servers one and two of 100 GB
     And one holds a, two holds b
-    When m1 was asked for 3 times and is waited for, m2 once, and m3 is promised, at 10.0 s
-    Then the wants are m3, m1, m2
+    When requests wait for m1 after 3 arrivals and for m2 after 1, and a retry of m3 is expected, at 10.0 s
+    Then the pending demand is m3, m1, m2
     When servers hold m1 by 10.5 s
-    Then m1 was asked for in vain 0 times
+    Then m1 has 0 unserved requests
 
-  Scenario: the leader says when what is waited for should be ready
+  Scenario: the leader estimates when the models that requests wait for are ready
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one begins to load c from the weight store at 10.0 s
-    And requests wait for c and d at 12.0 s, and no more may be under way
+    And requests wait for c and d at 12.0 s, and no more loads may begin
     Then c is expected in about 2 s, and d in about 6 s
 
-  Scenario: a model that is asked for all the time gets the next place, and none beyond the limit
+  Scenario: a constantly requested model gets the next load from the weight store, but none beyond the limit
     Given model servers one and two of 100 GB
     And one holds a, two holds b
-    When requests wait for c, which is asked for 2 times a second, and no more may be under way
+    When requests wait for c, which is requested 2 times per second, and no more loads may begin
     Then the plan is empty
     When a request waits for d at 19.5 s
     And 1 load from the weight store may begin
