--- a/features/steps/large_fleet_demand_steps.py
+++ b/features/steps/large_fleet_demand_steps.py
@@ -1,4 +1,4 @@
-"""Steps about reports that come rarely; times are passed in."""
+"""Steps for demand reports at long intervals; times are passed in."""
 
 from typing import Any
 
@@ -17,8 +17,8 @@
 DAEMON = "daemon-1"
 
 
-def due(context: Any, now: float, ready_in: float, reported: bool = False) -> bool:
-    """Return whether the daemon is told now that the model should be there."""
+def is_notice_due(context: Any, now: float, ready_in: float, reported: bool = False) -> bool:
+    """Return whether a notice with the model's ready time is due now."""
     expected = {KEY: ExpectedTarget(KEY, ready_in * MS_PER_SECOND)}
     names = {DAEMON} if reported else set()
     return bool(context.notices.due({DAEMON: [KEY]}, expected, names, now * MS_PER_SECOND))
@@ -37,27 +37,27 @@
     context.demand.add_report(report, now)
 
 
-@then("the leader knows of it at {now:f} s")
-def step_knows(context: Any, now: float) -> None:
+@then("the leader counts it at {now:f} s")
+def step_counted(context: Any, now: float) -> None:
     assert [pending.waiting for pending in context.demand.pending_demand(now)] == [1]
 
 
-@then("the leader does not know of it any more at {now:f} s")
-def step_knows_not(context: Any, now: float) -> None:
+@then("the leader no longer counts it at {now:f} s")
+def step_not_counted(context: Any, now: float) -> None:
     assert context.demand.pending_demand(now) == []
 
 
-@given("a daemon was told at {now:f} s that m1 should be there in {ready_in:f} s")
-def step_told(context: Any, now: float, ready_in: float) -> None:
+@given("a daemon got a notice at {now:f} s that m1 is ready in {ready_in:f} s")
+def step_got_notice(context: Any, now: float, ready_in: float) -> None:
     context.notices = ExpectationNotices()
-    assert due(context, now, ready_in, reported=True)
+    assert is_notice_due(context, now, ready_in, reported=True)
 
 
-@then("at {now:f} s it is told that m1 should be there in {ready_in:f} s")
-def step_told_again(context: Any, now: float, ready_in: float) -> None:
-    assert due(context, now, ready_in)
+@then("it gets a notice at {now:f} s if m1 is ready in {ready_in:f} s")
+def step_gets_notice(context: Any, now: float, ready_in: float) -> None:
+    assert is_notice_due(context, now, ready_in)
 
 
-@then("at {now:f} s it is not told again while m1 should be there in {ready_in:f} s")
-def step_not_told(context: Any, now: float, ready_in: float) -> None:
-    assert not due(context, now, ready_in)
+@then("it gets no notice at {now:f} s if m1 is ready in {ready_in:f} s")
+def step_gets_no_notice(context: Any, now: float, ready_in: float) -> None:
+    assert not is_notice_due(context, now, ready_in)
