--- a/features/leader_change.feature
+++ b/features/leader_change.feature
@@ -1,21 +1,21 @@
-Feature: A new leader knows what the one before has ordered and learned
+Feature: A new leader uses the orders and the store limit of the previous leader
 
-  Scenario: a load that the leader before has ordered is not ordered again, and its end is known
+  Scenario: a load that the previous leader ordered is not ordered again, and its end is estimated
     Given model servers one and two of 100 GB
-    And one and two hold nothing, and daemons were told at 10.0 s that one loads c
+    And one and two hold nothing, and the leader announced at 10.0 s that one loads c
     When a new leader reads at 12.0 s that one is busy and two is idle
     And a request waits for c at 12.1 s
-    Then the plan of the new leader orders nothing
+    Then the new leader's plan is empty
     And c is expected at 14.0 s
 
-  Scenario: a load that should have ended long ago is not taken for the one that goes on
+  Scenario: an announced load that should have ended long ago is not taken for the load in progress
     Given model servers one and two of 100 GB
-    And one and two hold nothing, and daemons were told at 10.0 s that one loads c
+    And one and two hold nothing, and the leader announced at 10.0 s that one loads c
     When a new leader reads at 30.0 s that one is busy and two is idle
     And a request waits for c at 30.1 s
-    Then the plan of the new leader loads c at two
+    Then the new leader's plan is to load c at two
 
-  Scenario: the pace of the weight store is kept over a change of leader
-    Given a leader that has learned that the weight store serves 2 loads at once
-    When another daemon leads
-    Then it has 2 loads under way at once, and does not grow for a while
+  Scenario: the limit on weight store loads survives a change of leader
+    Given a leader that has learned a limit of 2 concurrent weight store loads
+    When a new leader takes the limit over
+    Then its limit is 2 and does not grow after 2 fast loads
--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a new leader begins with: pure parts, times are passed in."""
+"""Steps for the initial state of a new leader; no processes, times are passed in."""
 
 from typing import Any
 
@@ -17,15 +17,15 @@
 LOAD_MS = 6000.0
 
 
-@given("one and two hold nothing, and daemons were told at {now:f} s that one loads {model}")
-def step_told(context: Any, now: float, model: str) -> None:
+@given("one and two hold nothing, and the leader announced at {now:f} s that one loads {model}")
+def step_announced(context: Any, now: float, model: str) -> None:
     context.residency = Residency()
     context.residency.update(ServerHolding("one", 1, (), model), now)
     context.residency.update(ServerHolding("two", 0, ()), now)
 
 
 @when("a new leader reads at {now:f} s that one is busy and two is idle")
-def step_reads(context: Any, now: float) -> None:
+def step_new_leader_reads(context: Any, now: float) -> None:
     states = {"one": ServerReport(1, True, ()), "two": report([], set())}
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
@@ -34,12 +34,12 @@
         context.trackers[name].record_report(state, now)
 
 
-@then("the plan of the new leader orders nothing")
+@then("the new leader's plan is empty")
 def step_orders_nothing(context: Any) -> None:
     assert plan(context) == []
 
 
-@then("the plan of the new leader loads {model} at {name}")
+@then("the new leader's plan is to load {model} at {name}")
 def step_orders(context: Any, model: str, name: str) -> None:
     orders = [(order.instance, str(order.target)) for order in plan(context)]
     assert orders == [(name, model)], orders
@@ -56,37 +56,37 @@
     assert abs(context.now + ready_in / MS_PER_SECOND - at) < TOLERANCE_SECONDS, ready_in
 
 
-@given("a leader that has learned that the weight store serves {served:d} loads at once")
-def step_learned(context: Any, served: int) -> None:
-    pace = StoreConcurrencyLimit()
+@given("a leader that has learned a limit of {limit:d} concurrent weight store loads")
+def step_learned(context: Any, limit: int) -> None:
+    store_limit = StoreConcurrencyLimit()
     began_ms = 0.0
-    while pace.limit > served:
-        under_way = pace.limit
-        slowdown = max(1.0, under_way / served)
+    while store_limit.limit > limit:
+        under_way = store_limit.limit
+        slowdown = max(1.0, under_way / limit)
         done_ms = began_ms + LOAD_MS * slowdown
-        pace.observe(under_way, began_ms)
-        pace.observe(under_way, done_ms)
+        store_limit.observe(under_way, began_ms)
+        store_limit.observe(under_way, done_ms)
         for _ in range(under_way):
-            pace.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
+            store_limit.record_finished(FinishedLoad(began_ms, done_ms, LOAD_MS), done_ms)
         began_ms = done_ms
     context.residency = Residency()
-    context.residency.store_limits[SERVICE] = pace.snapshot(SERVICE)
+    context.residency.store_limits[SERVICE] = store_limit.snapshot(SERVICE)
     context.now_ms = began_ms
 
 
-@when("another daemon leads")
-def step_other_leads(context: Any) -> None:
-    context.pace = StoreConcurrencyLimit(
+@when("a new leader takes the limit over")
+def step_new_leader(context: Any) -> None:
+    context.store_limit = StoreConcurrencyLimit(
         context.residency.store_limits.get(SERVICE), context.now_ms
     )
 
 
-@then("it has {served:d} loads under way at once, and does not grow for a while")
-def step_same_pace(context: Any, served: int) -> None:
-    assert context.pace.limit == served
-    context.pace.observe(served, context.now_ms)
+@then("its limit is {limit:d} and does not grow after {limit:d} fast loads")
+def step_same_limit(context: Any, limit: int) -> None:
+    assert context.store_limit.limit == limit
+    context.store_limit.observe(limit, context.now_ms)
     done_ms = context.now_ms + LOAD_MS
-    context.pace.observe(served, done_ms)
-    for _ in range(served):
-        context.pace.record_finished(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
-    assert context.pace.limit == served
+    context.store_limit.observe(limit, done_ms)
+    for _ in range(limit):
+        context.store_limit.record_finished(FinishedLoad(context.now_ms, done_ms, LOAD_MS), done_ms)
+    assert context.store_limit.limit == limit
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -23,7 +23,8 @@
 
 
 @given(
-    "a request that arrived at {arrived:f} s, {tries}, whose caller gives up after {event_timeout:f} s"
+    "a request that arrived at {arrived:f} s, {tries}, "
+    "whose caller gives up after {event_timeout:f} s"
 )
 def step_request(context: Any, arrived: float, tries: str, event_timeout: float) -> None:
     first = tries == "the first time"
