--- a/features/server_entries.feature
+++ b/features/server_entries.feature
@@ -1,52 +1,52 @@
-Feature: What an entry in the list of servers names
+Feature: Entries in the server list
 
-  Scenario: a server that starts again under its name is another life
-    Given a daemon that lists s1, started at 1000 ms, with m1
-    And the leader has told it that s1 holds m1 and m2
+  Scenario: a server restarted under the same name is a new instance
+    Given a daemon that knows s1, started at 1000 ms, with m1
+    And the leader has announced that s1 holds m1 and m2
     When s1 is listed as started at 2000 ms, with m3
     Then s1 is listed once
-    And s1 can run m3, and neither m1 nor m2
+    And s1 can run m3 but neither m1 nor m2
 
-  Scenario: a late entry of an earlier life changes nothing
-    Given a daemon that lists s1, started at 2000 ms, with m3
+  Scenario: a late entry of an earlier instance is ignored
+    Given a daemon that knows s1, started at 2000 ms, with m3
     When s1 is listed as started at 1000 ms, with m1
-    Then s1 can run m3, and neither m1 nor m2
+    Then s1 can run m3 but neither m1 nor m2
 
-  Scenario: a server that left at short notice and starts again gets work
-    Given a daemon that lists s1, started at 1000 ms, with m1
+  Scenario: a server that drained for a short time and restarted gets requests
+    Given a daemon that knows s1, started at 1000 ms, with m1
     When s1 is listed as draining for 10 ms more
     And s1 is listed as started at 2000 ms, with m3
-    Then s1 can run m3, and neither m1 nor m2
+    Then s1 can run m3 but neither m1 nor m2
 
-  Scenario: a server that was replaced at its address and starts again elsewhere gets work
-    Given a daemon that lists s1, started at 1000 ms, with m1
+  Scenario: a server that was replaced at its address and restarted elsewhere gets requests
+    Given a daemon that knows s1, started at 1000 ms, with m1
     When another server answers at the address of s1
     And s1 is listed as started at 2000 ms, with m3
-    Then s1 can run m3, and neither m1 nor m2
+    Then s1 can run m3 but neither m1 nor m2
 
-  Scenario Outline: an entry with <name> names no server to use, and the others hold
-    Given a daemon that lists s1, started at 1000 ms, with m1
+  Scenario Outline: an entry with <defect> makes only its own server unusable
+    Given a daemon that knows s1, started at 1000 ms, with m1
     When s2 is listed as <entry>
-    Then only s1 may get work
+    Then only s1 is usable
     When s1 is listed as <entry>
-    Then no server may get work
+    Then no server is usable
 
     Examples:
-      | name                 | entry                                                                     |
-      | bytes that are none  | \xff\xfe{{                                                                |
-      | no bytes             | nothing                                                                   |
-      | no address           | {"service": "tutor", "zone": "z", "state": "ready"}                       |
-      | no service           | {"address": "a:1", "zone": "z", "state": "ready"}                         |
-      | a state of its own   | {"service": "tutor", "address": "a:1", "zone": "z", "state": "sleeping"}  |
-      | no state             | {"service": "tutor", "address": "a:1", "zone": "z"}                       |
-      | an unknown service   | {"service": "else", "address": "a:1", "zone": "z", "state": "ready"}      |
-      | a number for a name  | {"service": 7, "address": "a:1", "zone": "z", "state": "ready"}           |
-      | an address of words  | {"service": "tutor", "address": "nowhere", "zone": "z", "state": "ready"} |
-      | a port beyond all    | {"service": "tutor", "address": "a:99999", "zone": "z", "state": "ready"} |
-      | a start that is text | {"service": "tutor", "address": "a:1", "zone": "z", "state": "ready", "born": "now"} |
-      | a list               | [1, 2]                                                                    |
+      | defect               | entry                                                                                |
+      | invalid bytes        | \xff\xfe{{                                                                           |
+      | an empty value       | nothing                                                                              |
+      | no address           | {"service": "tutor", "zone": "z", "state": "ready"}                                  |
+      | no service           | {"address": "a:1", "zone": "z", "state": "ready"}                                    |
+      | an unknown state     | {"service": "tutor", "address": "a:1", "zone": "z", "state": "sleeping"}             |
+      | no state             | {"service": "tutor", "address": "a:1", "zone": "z"}                                  |
+      | an unknown service   | {"service": "else", "address": "a:1", "zone": "z", "state": "ready"}                 |
+      | a number for a name  | {"service": 7, "address": "a:1", "zone": "z", "state": "ready"}                      |
+      | an invalid address   | {"service": "tutor", "address": "nowhere", "zone": "z", "state": "ready"}            |
+      | an invalid port      | {"service": "tutor", "address": "a:99999", "zone": "z", "state": "ready"}            |
+      | a text as start time | {"service": "tutor", "address": "a:1", "zone": "z", "state": "ready", "born": "now"} |
+      | an array             | [1, 2]                                                                               |
 
-  Scenario: room is kept for an order to an earlier life that may still be carried out
+  Scenario: memory is reserved for an order to an earlier instance that may still be executed
     Given model servers one and two of 100 GB
     And one holds a, two holds b
     When one leaves an order to load c unanswered at 10.0 s, at revision 0
@@ -59,6 +59,6 @@
     When one says at 30.0 s that it holds nothing, at revision 0
     Then one has room for 2 models
 
-  Scenario: a row whose value is no base64 does not stop the list
-    When the store lists s1 in order and s2 with a value that is no base64
-    Then the rows are s1 with its entry and s2 with nothing
+  Scenario: a row with an invalid base64 value does not block the list
+    When the store lists s1 with a valid value and s2 with invalid base64
+    Then the rows are s1 with its entry and s2 with an empty value
