--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -222,7 +222,7 @@
         return age >= IDLE_READ_SECONDS
 
     async def _read(self, tracker: ServerTracker) -> None:
-        report = await self._control.report(tracker.entry, REPORT_TIMEOUT_SECONDS)
+        report = await self._control.read_report(tracker.entry, REPORT_TIMEOUT_SECONDS)
         tracker.reading = False
         tracker.recheck_due = False
         if report is None:
@@ -376,7 +376,7 @@
     async def _send_order(
         self, tracker: ServerTracker, order: Order, planned: PlannedOrder
     ) -> None:
-        answer = await self._control.order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
+        answer = await self._control.send_order(tracker.entry, order, ORDER_TIMEOUT_SECONDS)
         now = self._now()
         tracker.record_answer(
             order,
