--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -275,12 +275,12 @@
 
     def _plan(self, service: str, loads_per_second: float) -> None:
         now = self._now()
-        window = self._windows.get(service)
-        if window is None:
+        rate_limiter = self._windows.get(service)
+        if rate_limiter is None:
             seconds = self._bounds.load_window_seconds
             recent_loads = self._residency.loads_since(now - seconds)
-            window = LoadRateLimiter(loads_per_second, seconds, now, recent_loads)
-            self._windows[service] = window
+            rate_limiter = LoadRateLimiter(loads_per_second, seconds, now, recent_loads)
+            self._windows[service] = rate_limiter
         store_limit = self._store_limit(service, now)
         servers = [
             tracker
@@ -299,7 +299,7 @@
             self._demand,
             self._demand.running(now),
             now,
-            window.allows(now),
+            rate_limiter.allows(now),
             self._staging_allowed(now),
             max(0, store_limit.limit - store_loads),
         )
@@ -313,9 +313,9 @@
         self._send_expectations(service, planner.expectations())
         for planned in orders:
             if planned.from_store:
-                if not window.allows(now):
+                if not rate_limiter.allows(now):
                     continue
-                window.record(now)
+                rate_limiter.record(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
             if (
                 plan_input.staging_allowed
