--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -71,7 +71,7 @@
         self._metrics = metrics
         self._demand = DemandView()
         self._trackers: dict[str, ServerTracker] = {}
-        self._windows: dict[str, LoadRateLimiter] = {}
+        self._rate_limiters: dict[str, LoadRateLimiter] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
         self._store_limits: dict[str, StoreConcurrencyLimit] = {}
@@ -114,7 +114,7 @@
         self._leading_since = self._now()
         self._demand = DemandView()
         self._trackers.clear()
-        self._windows.clear()
+        self._rate_limiters.clear()
         self._store_limits.clear()
         self._notices.clear()
         self._shortages.record_unserved(())
@@ -275,12 +275,12 @@
 
     def _plan(self, service: str, loads_per_second: float) -> None:
         now = self._now()
-        rate_limiter = self._windows.get(service)
+        rate_limiter = self._rate_limiters.get(service)
         if rate_limiter is None:
             seconds = self._bounds.load_window_seconds
             recent_loads = self._residency.loads_since(now - seconds)
             rate_limiter = LoadRateLimiter(loads_per_second, seconds, now, recent_loads)
-            self._windows[service] = rate_limiter
+            self._rate_limiters[service] = rate_limiter
         store_limit = self._store_limit(service, now)
         servers = [
             tracker
