--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -29,8 +29,8 @@
     states = {"one": ServerReport(1, True, ()), "two": report([], set())}
     for name, state in states.items():
         entry = ServerEntry(name, SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        heard = context.residency.announced_load(name)
-        context.trackers[name] = ServerTracker(entry, profile(100), heard)
+        announced_load = context.residency.announced_load(name)
+        context.trackers[name] = ServerTracker(entry, profile(100), announced_load)
         context.trackers[name].record_report(state, now)
 
 
