--- a/features/steps/leader_change_steps.py
+++ b/features/steps/leader_change_steps.py
@@ -47,10 +47,10 @@
 
 @then("{model:w} is expected at {at:f} s")
 def step_expected(context: Any, model: str, at: float) -> None:
-    given_input = PlanInput(
+    plan_input = PlanInput(
         SERVICE, list(context.trackers.values()), context.demand, {}, context.now, True
     )
-    planner = Planner(given_input)
+    planner = Planner(plan_input)
     planner.plan()
     ready_in = {e.key.target.model: e.ready_in_ms for e in planner.expectations()}[model]
     assert abs(context.now + ready_in / MS_PER_SECOND - at) < TOLERANCE_SECONDS, ready_in
