--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -58,7 +58,7 @@
     ) -> None:
         """Create a forwarder.
 
-        :param connectivity_of: returns the tracker of a service that records the result of each connect.
+        :param connectivity_of: returns the connectivity of a service, which records each connect.
         :param accepts_requests: whether a server may get requests; checked once it is connected.
         """
         self._client = client
@@ -114,15 +114,15 @@
 
         :raises SendFailed: no connection can be made.
         """
-        reach = self._connectivity_of(entry.service)
+        connectivity = self._connectivity_of(entry.service)
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            reach.note_failed(entry.instance, self._clock.now_ms())
+            connectivity.note_failed(entry.instance, self._clock.now_ms())
             raise SendFailed(
                 f"{entry.instance}: {error}", may_have_run=False, unreachable=True
             ) from error
-        reach.note_connected(self._clock.now_ms())
+        connectivity.note_connected(self._clock.now_ms())
         return connection
 
     def _server_request(
@@ -169,13 +169,13 @@
             pass
         self._client.release(connection)
 
-    async def read_full_body(self, answer: OpenResponse) -> bytes:
+    async def read_full_body(self, response: OpenResponse) -> bytes:
         """Read the full body of a response and release its connection.
 
         :raises SendFailed: the body was truncated or exceeds the size limit.
         """
         body = bytearray()
-        connection = answer.connection
+        connection = response.connection
         try:
             while chunk := await connection.read_body():
                 body += chunk
