--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the planner: pure views, no process; times are in seconds of no clock."""
+"""Steps for the planner, without processes or a clock; times are in seconds."""
 
 from typing import Any
 
@@ -29,19 +29,19 @@
 STORE_LOAD_S = 4.0
 DISK_LOAD_S = 1.5
 FENCE = 7
-PLACES = 8
+SLOTS = 8
 
 
 def profile(memory_gb: int) -> EngineProfile:
-    """Return what each server can hold: models a to h, two at once in 100 GB."""
+    """Return a server profile with models a to h, of which two fit in 100 GB."""
     models = tuple(
         ModelProfile(name, MODEL_MB, STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S) for name in "abcdefgh"
     )
-    return EngineProfile(memory_gb * 1000.0, 8, 4.0, models, PLACES)
+    return EngineProfile(memory_gb * 1000.0, 8, 4.0, models, SLOTS)
 
 
 def report(held: list[str], on_disk: set[str], revision: int = 0) -> ServerReport:
-    """Return what an idle server says."""
+    """Return the report of an idle server."""
     models = tuple(HeldModel(name) for name in held)
     return ServerReport(revision, False, models, on_disk=frozenset(on_disk))
 
@@ -58,16 +58,16 @@
 @given("{first:w} holds {held_first}, {second:w} holds {held_second}")
 def step_hold(context: Any, first: str, held_first: str, second: str, held_second: str) -> None:
     for name, held in ((first, held_first), (second, held_second)):
-        hold(context, name, held)
+        report_held_models(context, name, held)
 
 
 @given("{name:w} holds nothing")
 def step_hold_nothing(context: Any, name: str) -> None:
-    hold(context, name, "nothing")
+    report_held_models(context, name, "nothing")
 
 
-def hold(context: Any, name: str, held: str) -> None:
-    """Let a server say what it holds, with a copy of each model on its disk."""
+def report_held_models(context: Any, name: str, held: str) -> None:
+    """Record a report that a server holds models, each with a copy on its disk."""
     models = [] if held == "nothing" else held.split(" and ")
     context.trackers[name].record_report(report(models, set(models)), 9.0)
 
@@ -91,8 +91,8 @@
 @when("a request waits for {model} at {now:f} s")
 def step_waits(context: Any, model: str, now: float) -> None:
     context.now = now
-    wanted = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
-    context.demand.add_report(PoolDemand("daemon-1", (wanted,), ()), now)
+    requested = TargetDemand(SERVICE, ModelKey(model), 1, 1.0, 0.6, 0.6)
+    context.demand.add_report(PoolDemand("daemon-1", (requested,), ()), now)
 
 
 @when("the first order of the plan is accepted at {now:f} s")
@@ -102,13 +102,13 @@
     order = _order(tracker, planned.kind, planned.target.model)
     tracker.reserve_memory(planned.evicts_for, now)
     tracker.record_answer(order, OrderAnswer.ACCEPTED, now)
-    context.now, context.given_order = now, planned
+    context.now, context.accepted_order = now, planned
 
 
 @when("that order is accepted and done at {now:f} s")
 def step_done(context: Any, now: float) -> None:
     step_accept(context, now - 0.1)
-    tracker: ServerTracker = context.trackers[context.given_order.instance]
+    tracker: ServerTracker = context.trackers[context.accepted_order.instance]
     assert tracker.report is not None
     held = [known.name for known in tracker.report.held]
     tracker.record_report(report(held, set(held), tracker.report.revision), now)
@@ -116,13 +116,13 @@
 
 
 def plan(context: Any) -> list[PlannedOrder]:
-    """Return the plan of this moment."""
+    """Return the plan for the current state."""
     servers = list(context.trackers.values())
     allowed = getattr(context, "store_load_allowed", True)
     left = getattr(context, "store_loads_left", UNLIMITED_STORE_LOADS)
     running = getattr(context, "running", {})
-    given = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
-    return Planner(given).plan()
+    inputs = PlanInput(SERVICE, servers, context.demand, running, context.now, allowed, False, left)
+    return Planner(inputs).plan()
 
 
 @then("the plan is empty")
@@ -140,7 +140,7 @@
 @then("the plan is one order: load {model} at {where}")
 def step_load(context: Any, model: str, where: str) -> None:
     orders = plan(context)
-    instance = context.given_order.instance if where == "the same server" else where
+    instance = context.accepted_order.instance if where == "the same server" else where
     assert len(orders) == 1 and orders[0].kind is OrderKind.LOAD, orders
     assert (orders[0].target.model, orders[0].instance) == (model, instance), orders
 
@@ -178,7 +178,7 @@
 
 
 def holds_after(context: Any, name: str, now: float, running: int) -> bool:
-    """Let a server's loads settle, and return whether it holds what it was loading."""
+    """Complete due loads of a server and return whether it holds the model it was loading."""
     tracker: ServerTracker = context.trackers[name]
     tracker.complete_due_load(now, running)
     return tracker.holds(ModelKey(context.loading))
@@ -190,10 +190,13 @@
     assert holds_after(context, name, late, 0)
 
 
-@then("with {runs:d} runs {name:w} does not hold c at {early:f} s, and holds it at {late:f} s")
-def step_settles_later(context: Any, runs: int, name: str, early: float, late: float) -> None:
-    assert not holds_after(context, name, early, runs)
-    assert holds_after(context, name, late, runs)
+@then(
+    "with {running:d} running requests {name:w} does not hold c at {early:f} s, "
+    "and holds it at {late:f} s"
+)
+def step_settles_later(context: Any, running: int, name: str, early: float, late: float) -> None:
+    assert not holds_after(context, name, early, running)
+    assert holds_after(context, name, late, running)
 
 
 @when("a report of {name:w} at {now:f} s still shows the load")
@@ -214,8 +217,8 @@
     step_old_report(context, name, now)
 
 
-@when("{name:w} takes that order at {now:f} s")
-def step_takes_order(context: Any, name: str, now: float) -> None:
+@when("{name:w} accepts that order at {now:f} s")
+def step_accepts_order(context: Any, name: str, now: float) -> None:
     tracker: ServerTracker = context.trackers[name]
     tracker.record_answer(context.sent_order, OrderAnswer.ACCEPTED, now, in_use=False)
 
@@ -237,20 +240,20 @@
     tracker.record_answer(order, OrderAnswer.ACCEPTED, now, in_use=who != "nobody")
 
 
-def takes_order(context: Any, name: str, now: float) -> bool:
-    """Whether a server can take an order at a time."""
+def accepts_order(context: Any, name: str, now: float) -> bool:
+    """Return whether a server can accept an order at a given time."""
     tracker: ServerTracker = context.trackers[name]
     return tracker.idle and tracker.no_orders_until <= now
 
 
-@then("{name:w} takes no order at {early:f} s, and one at {late:f} s")
-def step_takes_later(context: Any, name: str, early: float, late: float) -> None:
-    assert not takes_order(context, name, early) and takes_order(context, name, late)
+@then("{name:w} accepts no order at {early:f} s, and accepts one at {late:f} s")
+def step_accepts_later(context: Any, name: str, early: float, late: float) -> None:
+    assert not accepts_order(context, name, early) and accepts_order(context, name, late)
 
 
-@then("{name:w} takes no order at {now:f} s")
-def step_takes_none(context: Any, name: str, now: float) -> None:
-    assert not takes_order(context, name, now)
+@then("{name:w} accepts no order at {now:f} s")
+def step_accepts_none(context: Any, name: str, now: float) -> None:
+    assert not accepts_order(context, name, now)
 
 
 ADAPTER = ModelKey("a", "x")
@@ -291,14 +294,14 @@
     assert not context.trackers[name].holds(ADAPTER)
 
 
-class CountingLedger(ServerTracker):
-    """A server whose look-ups of what it holds are counted."""
+class CountingTracker(ServerTracker):
+    """A server that counts the lookups of what it holds."""
 
-    look_ups = 0
+    lookups = 0
 
     def holds(self, target: ModelKey) -> bool:
-        """Count the look-up, and do it."""
-        CountingLedger.look_ups += 1
+        """Count and perform the lookup."""
+        CountingTracker.lookups += 1
         return super().holds(target)
 
 
@@ -306,85 +309,85 @@
 def step_many_servers(context: Any, servers: int, models: int) -> None:
     names = [f"m{number}" for number in range(models)]
     load_s = (STORE_LOAD_S, DISK_LOAD_S, DISK_LOAD_S)
-    many = EngineProfile(
+    profile_of_many = EngineProfile(
         3 * MODEL_MB, 8, 4.0, tuple(ModelProfile(name, MODEL_MB, *load_s) for name in names)
     )
     context.demand = DemandView()
     context.trackers = {}
     for number in range(servers):
         entry = ServerEntry(f"i{number}", SERVICE, "a:1", "zone-a", 8, ServerState.READY)
-        tracker = CountingLedger(entry, many)
+        tracker = CountingTracker(entry, profile_of_many)
         tracker.record_report(report(names[3 * number : 3 * number + 3], set()), 9.0)
         context.trackers[entry.instance] = tracker
 
 
-@when("requests wait for {count:d} models that no server has, and no load may begin")
+@when("requests wait for {count:d} models that no server has, and no load may start")
 def step_wait_for_many(context: Any, count: int) -> None:
     context.store_load_allowed = False
     _wait_for_many(context, count)
 
 
-@when("requests wait for {count:d} models that no server has, and {left:d} loads may begin")
+@when("requests wait for {count:d} models that no server has, and {left:d} loads may start")
 def step_wait_for_loads(context: Any, count: int, left: int) -> None:
     context.store_loads_left = left
     _wait_for_many(context, count)
 
 
-@then("the plan brings {count:d} models")
-def step_brings(context: Any, count: int) -> None:
+@then("the plan loads {count:d} models or evicts for them")
+def step_loads_or_evicts(context: Any, count: int) -> None:
     brought = {order.evicts_for or order.target.model for order in plan(context)}
     assert len(brought) == count, brought
 
 
 def _wait_for_many(context: Any, count: int) -> None:
     context.now = 10.0
-    wanted = [
+    requested = [
         TargetDemand(SERVICE, ModelKey(f"m{399 - n}"), 1, 1.0, 0.6, 0.6) for n in range(count)
     ]
-    context.demand.add_report(PoolDemand("daemon-1", tuple(wanted), ()), 10.0)
-    CountingLedger.look_ups = 0
+    context.demand.add_report(PoolDemand("daemon-1", tuple(requested), ()), 10.0)
+    CountingTracker.lookups = 0
 
 
 @then("what a server holds was looked up at most {most:d} times for each server")
 def step_look_ups(context: Any, most: int) -> None:
-    assert CountingLedger.look_ups <= most * len(context.trackers), CountingLedger.look_ups
+    assert CountingTracker.lookups <= most * len(context.trackers), CountingTracker.lookups
 
 
 @when("reports of {name:w} show the load each {step:f} s until {last:f} s, its end at {end:f} s")
 def step_slow_load(context: Any, name: str, step: float, last: float, end: float) -> None:
     tracker: ServerTracker = context.trackers[name]
-    context.beliefs_while_loading = []
+    context.states_while_loading = []
     now = 14.3
     while now < last:
         now += step
         tracker.record_report(msgspec.structs.replace(report(["a"], {"a"}, 1), busy=True), now)
         tracker.complete_due_load(now, 0)
         state = (now, tracker.holds(ModelKey("c")), tracker.loading)
-        context.beliefs_while_loading.append(state)
+        context.states_while_loading.append(state)
     tracker.record_report(report(["a", "c"], {"a", "c"}, 1), end)
     context.finished = tracker.pop_finished_load()
 
 
 @then("{name:w} did not hold c from {first:f} s to {last:f} s, and was loading it")
 def step_not_held(context: Any, name: str, first: float, last: float) -> None:
-    states = [state for state in context.beliefs_while_loading if first <= state[0] <= last]
+    states = [state for state in context.states_while_loading if first <= state[0] <= last]
     assert states and all(not held and loading == "c" for _, held, loading in states), states
     assert context.trackers[name].holds(ModelKey("c"))
 
 
-@then("the load was seen to take {times:f} times as long")
+@then("the measured slowdown of the load is {times:f}")
 def step_slowness(context: Any, times: float) -> None:
     assert abs(context.finished.slowdown - times) < 0.05, context.finished
 
 
-@then("after a step of the leader {model:w} has been asked for {count:d} times in vain")
-def step_still_in_vain(context: Any, model: str, count: int) -> None:
+@then("after a step of the leader {model:w} has {count:d} unserved requests")
+def step_still_unserved(context: Any, model: str, count: int) -> None:
     servers, demand = list(context.trackers.values()), context.demand
-    given = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
-    planner = Planner(given)
+    inputs = PlanInput(SERVICE, servers, demand, {}, context.now, True, False, 0)
+    planner = Planner(inputs)
     planner.plan()
     planner.expectations()
-    demand.reset_unserved(SERVICE, given.index.holders)
+    demand.reset_unserved(SERVICE, inputs.index.holders)
     assert [(each.key.target.model, each.requests) for each in demand.unserved_models()] == [
         (model, count)
     ]
