--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -1,7 +1,7 @@
-"""Lets peers serve requests while this daemon reaches no server itself.
+"""Relays requests to peers while this daemon cannot reach any server.
 
-A peer serves a request of another daemon or declines it, and never passes it on again. Peers of
-other zones are asked first, since a fault may cut a whole zone.
+A peer serves a relayed request or declines it, and never relays it again. Peers in other zones are
+preferred, since a network fault may affect a whole zone.
 """
 
 import random
@@ -17,22 +17,22 @@
 from loomwind.serving.peers import PeerEntry, PeerTable
 from loomwind.serving.ports import Dialect
 from loomwind.serving.relay_protocol import (
-    RelayTerms,
-    configuration_of,
-    error_of,
+    RelayMetadata,
+    configuration_version_of,
+    decode_error,
     is_server_answer,
-    without_own_fields,
+    strip_relay_headers,
 )
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-# How long a peer that has declined, or cannot be reached, is not asked again for a service.
-DECLINED_MS = 1000.0
-# A peer's refusal, which says whether the request has run, should come before the time is over.
+# How long a peer that declined or was unreachable is skipped for a service.
+DECLINE_BACKOFF_MS = 1000.0
+# Lets a peer's refusal, which tells whether the request has run, arrive before the deadline.
 ANSWER_MARGIN_SECONDS = 0.05
 
 
 class PeerRelay:
-    """This daemon's requests that peers serve."""
+    """Selects peers and relays requests to them."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         metrics: Metrics,
         on_configuration: Callable[[str, int], None],
     ) -> None:
-        """Make a relay.
+        """Initialize the relay.
 
-        :param zone: this daemon's own zone.
-        :param on_configuration: called with a peer's ``host:port`` and the version of the
-            configuration by which it has served a request.
+        :param zone: this daemon's zone.
+        :param on_configuration: called with a peer's ``host:port`` and the configuration version
+            with which it served a request.
         """
         self._zone = zone
         self._peers = peers
@@ -60,25 +60,25 @@
         self._newest_configuration = 0
 
     def pick(self, service: str, asked: set[str]) -> PeerEntry | None:
-        """Return a peer that may reach a service's servers; None when there is none to ask.
+        """Return a peer that may reach a service's servers, or None if there is none to ask.
 
-        :param asked: the lives of peers that were asked for this request.
+        :param asked: IDs of the peer processes already asked to serve this request.
         """
         now_ms = self._clock.now_ms()
-        able = [
+        candidates = [
             peer
             for peer in self._peers.others()
             if peer.relay
             and peer.life not in asked
             and self._declined_until_ms.get((peer.life, service), 0.0) <= now_ms
         ]
-        elsewhere = [peer for peer in able if peer.zone != self._zone]
-        return random.choice(elsewhere or able) if able else None
+        other_zones = [peer for peer in candidates if peer.zone != self._zone]
+        return random.choice(other_zones or candidates) if candidates else None
 
     async def connect(self, peer: PeerEntry, service: str) -> ClientConnection:
         """Return a connection to a peer, on which nothing has been sent yet.
 
-        :raises RelayDeclined: there is none.
+        :raises RelayDeclined: the peer cannot be reached.
         """
         try:
             return await self._client.acquire(peer.relay, CONNECT_TIMEOUT_SECONDS)
@@ -94,19 +94,19 @@
         outgoing: OutgoingRequest,
         now: float,
         last_event_id: str | None,
-        terms: RelayTerms,
+        metadata: RelayMetadata,
     ) -> OpenResponse:
-        """Send a request to a peer and return the head of the server's answer.
+        """Send a request to a peer and return the head of the server's response.
 
-        :raises RelayDeclined: the peer has not taken it, and nothing has run.
-        :raises Refused: the peer's final answer.
-        :raises SendFailed: there is no answer; it may have run.
+        :raises RelayDeclined: the peer declined the request; nothing has run.
+        :raises Refused: the peer refused the request, which is final.
+        :raises SendFailed: no response was received; the request may have run.
         """
         try:
-            connection.send_request(self._as_sent(outgoing, now, last_event_id, terms))
+            connection.send_request(self._relay_request(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
             if not is_server_answer(head):
-                raise error_of(head, await self._read_body(connection))
+                raise decode_error(head, await self._read_body(connection))
         except HttpError as error:
             connection.close()
             self._count("failed")
@@ -119,26 +119,30 @@
             self._client.release(connection)
             raise
         self._count("answered")
-        version = configuration_of(head)
+        version = configuration_version_of(head)
         self._newest_configuration = max(self._newest_configuration, version)
         self._on_configuration(peer.address, version)
-        own_head = HttpResponse(head.status, without_own_fields(head.headers))
-        return OpenResponse(connection, own_head)
+        stripped_head = HttpResponse(head.status, strip_relay_headers(head.headers))
+        return OpenResponse(connection, stripped_head)
 
-    def _as_sent(
-        self, outgoing: OutgoingRequest, now: float, last_event_id: str | None, terms: RelayTerms
+    def _relay_request(
+        self,
+        outgoing: OutgoingRequest,
+        now: float,
+        last_event_id: str | None,
+        metadata: RelayMetadata,
     ) -> HttpRequest:
         request = outgoing.request
         remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
         headers = self._dialect.peer_headers(request, remaining, last_event_id)
-        version = max(terms.configuration_version, self._newest_configuration)
-        terms = RelayTerms(terms.runs, version)
-        return HttpRequest(request.method, request.target, headers + terms.headers, request.body)
+        version = max(metadata.configuration_version, self._newest_configuration)
+        metadata = RelayMetadata(metadata.runs, version)
+        return HttpRequest(request.method, request.target, headers + metadata.headers, request.body)
 
     async def _read_body(self, connection: ClientConnection) -> bytes:
         body = bytearray()
-        while piece := await connection.read_body():
-            body += piece
+        while chunk := await connection.read_body():
+            body += chunk
         return bytes(body)
 
     def _note_declined(self, peer: PeerEntry, service: str) -> None:
@@ -147,7 +151,7 @@
         self._declined_until_ms = {
             key: until_ms for key, until_ms in self._declined_until_ms.items() if until_ms > now_ms
         }
-        self._declined_until_ms[(peer.life, service)] = now_ms + DECLINED_MS
+        self._declined_until_ms[(peer.life, service)] = now_ms + DECLINE_BACKOFF_MS
 
-    def _count(self, end: str) -> None:
-        self._metrics.peer_relays.labels("sent", end).inc()
+    def _count(self, outcome: str) -> None:
+        self._metrics.peer_relays.labels("sent", outcome).inc()
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -200,7 +200,7 @@
             if self.pool.directory.record_departure(
                 departure.name, departure.instance, departure.version
             ):
-                origin = UpdateOrigin(UpdateSource.GOSSIP, departure.version, notice.teller)
+                origin = UpdateOrigin(UpdateSource.GOSSIP, departure.version, notice.sender)
                 self._log_server("departing", departure.instance, origin)
                 self._pending_departures.append(departure)
         self._publish_departures()
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -27,7 +27,7 @@
 from loomwind.serving.inactivity import inactivity_timeout_seconds
 from loomwind.serving.model_wait import ModelWait
 from loomwind.serving.peer_attempts import PeerAttempts
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.server_selector import ServerSelector
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
@@ -56,7 +56,7 @@
         caller: CallerRequest,
         route: RouteRule,
         service: str,
-        relayed: RelayTerms | None = None,
+        relayed: RelayMetadata | None = None,
     ) -> None:
         """Prepare to serve a request.
 
@@ -149,7 +149,7 @@
             may_have_run=self._may_have_run or self._outcome_pending,
             server=self._server,
             passed_over=self._selector.passed_over(self._server),
-            peers_asked=self._peers.asked,
+            peers_asked=self._peers.asked_count,
             events=self._stream.events,
             configuration=self._handler.configuration_version(),
             servers=self._pool.directory.version,
@@ -174,7 +174,7 @@
     async def _try_servers(self) -> None:
         while True:
             self._raise_if_banned()
-            if self._peers.are_better():
+            if self._peers.should_relay():
                 if await self._serve_by_peer():
                     return
                 continue
@@ -286,7 +286,7 @@
         self._handler.metrics.waiting_for_model.inc()
         try:
             with wait:
-                while entry is None and not self._peers.are_better():
+                while entry is None and not self._peers.should_relay():
                     self._raise_if_leaving()
                     self._raise_if_banned()
                     await wait.wait_for_change(self._has_not_run())
@@ -373,7 +373,7 @@
         """Have the connectivity to the servers probed when no response begins for a while."""
         connectivity = self._pool.connectivity_of(self._service)
         timer = asyncio.get_running_loop().call_later(
-            SUSPECT_AFTER_SECONDS, connectivity.note_silence, self._handler.now()
+            SUSPECT_AFTER_SECONDS, connectivity.record_no_answer, self._handler.now()
         )
         try:
             yield
@@ -413,22 +413,22 @@
             return False
         self._server = peer.address
         try:
-            await self._peers.exchange_with(peer, self._runs, self._record_sent_to_peer)
+            await self._peers.relay_to(peer, self._runs, self._record_sent_to_peer)
         except RelayDeclined as declined:
             self._outcome_pending = False
-            self._peers.log("relay-declined", peer, str(declined))
+            self._peers.log_result("relay-declined", peer, str(declined))
             return False
         except SendFailed as failure:
             self._outcome_pending = False
             self._runs += 1
             self._may_have_run = True
-            self._peers.log("relay-failed", peer, str(failure))
+            self._peers.log_result("relay-failed", peer, str(failure))
             if not self._may_retry(failure):
                 raise self._final_error(str(failure)) from failure
             return False
         except Refused as refusal:
             self._outcome_pending = False
-            self._peers.log("relay-refused", peer, str(refusal))
+            self._peers.log_result("relay-refused", peer, str(refusal))
             raise self._to_final_error(refusal) from refusal
         return True
 
