--- a/loomwind/placement/planner.py
+++ b/loomwind/placement/planner.py
@@ -91,7 +91,7 @@
         return pending.slack_seconds >= self._load_seconds(pending) + SLACK_MARGIN_SECONDS
 
     def _is_urgent(self, pending: PendingDemand) -> bool:
-        """Return whether a load takes longer than the latency objective, so that any delay counts."""
+        """Return whether a load takes longer than the latency objective, so any delay counts."""
         return pending.urgency_seconds < self._load_seconds(pending)
 
     def _deferrable_sort_key(self, pending: PendingDemand) -> tuple[bool, float]:
