--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -88,7 +88,7 @@
 
     def _receive_demand(self) -> None:
         """Process the demand reports received since the last step."""
-        for report in self._exchange.inbox.take():
+        for report in self._exchange.inbox.drain():
             self._demand.add_report(report, self._now())
             self._recheck_holders(report)
             self._reported.add(report.sender)
@@ -140,7 +140,7 @@
                     self._step()
             except Exception as error:
                 log_state("controller", "failed", error=repr(error))
-            await asyncio.sleep(self._exchange.paced(MIN_STEP_SECONDS))
+            await asyncio.sleep(self._exchange.scale_interval(MIN_STEP_SECONDS))
 
     def _step(self) -> None:
         configuration = self._replicated_state.configuration
@@ -156,7 +156,9 @@
             if service.engine is not None:
                 self._plan(service.name, service.engine.loads_per_second)
         self._reported.clear()
-        if self._now() - self._holdings_sent_at > self._exchange.paced(HOLDINGS_INTERVAL_SECONDS):
+        if self._now() - self._holdings_sent_at > self._exchange.scale_interval(
+            HOLDINGS_INTERVAL_SECONDS
+        ):
             self._holdings_sent_at = self._now()
             self._send_holdings(list(self._trackers.values()))
             self._shortages.record_unserved(self._demand.unserved_models())
@@ -269,7 +271,7 @@
             store_limits = tuple(
                 store_limit.snapshot(service) for service, store_limit in self._store_limits.items()
             )
-            self._exchange.tell_holdings(PoolHoldings(fence, holdings, store_limits))
+            self._exchange.broadcast_holdings(PoolHoldings(fence, holdings, store_limits))
 
     # Orders.
 
@@ -346,7 +348,7 @@
             now * MS_PER_SECOND,
         )
         for daemon, known in due.items():
-            self._exchange.tell_expectations(daemon, PoolExpectations(fence, known))
+            self._exchange.send_expectations(daemon, PoolExpectations(fence, known))
 
     def _staging_allowed(self, now: float) -> bool:
         """Whether to load ahead of demand: this daemon has led for a while and seen no request."""
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -1,4 +1,4 @@
-"""A request's attempts to be served by a peer, while no server can be reached from here."""
+"""Attempts to relay a request to peers while this daemon cannot reach any server."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -9,7 +9,7 @@
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.forwarder import OpenResponse, OutgoingRequest
 from loomwind.serving.peers import PeerEntry
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.server_selector import ServerSelector
 from loomwind.serving.stream_relay import StreamRelay
 from loomwind.serving.views import ServerEntry, ServerState
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from loomwind.serving.handler import RequestHandler
 
-# Peers that are asked to serve one request; then it is tried from here, as it would be otherwise.
-MOST_PEERS_ASKED = 4
+# After this many peers were asked, the request is sent to servers directly, as without a relay.
+MAX_PEERS_ASKED = 4
 
 
 class PeerAttempts:
-    """The attempts of one request."""
+    """The relay attempts of one request."""
 
     def __init__(
         self,
-        serving: "RequestHandler",
+        handler: "RequestHandler",
         exchange: Exchange,
         outgoing: OutgoingRequest,
         service: str,
@@ -34,11 +34,11 @@
         stream: StreamRelay,
         allowed: bool,
     ) -> None:
-        """Make the attempts.
+        """Initialize the attempts.
 
-        :param allowed: False for a request that a peer could not serve itself: it goes one hop.
+        :param allowed: False for a request that was relayed here; a request is relayed only once.
         """
-        self._serving = serving
+        self._handler = handler
         self._exchange = exchange
         self._outgoing = outgoing
         self._service = service
@@ -48,35 +48,35 @@
         self._asked: set[str] = set()
 
     @property
-    def asked(self) -> int:
-        """Return how many peers were asked."""
+    def asked_count(self) -> int:
+        """Return the number of peers asked."""
         return len(self._asked)
 
-    def are_better(self) -> bool:
-        """Whether a peer may serve the request better: no server can be reached from here."""
-        return self._allowed and self._choice.is_service_unreachable(self._serving.now())
+    def should_relay(self) -> bool:
+        """Whether to relay the request, because no server can be reached from here."""
+        return self._allowed and self._choice.is_service_unreachable(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
-        """Return a peer to ask; None when there is none, and then no more are asked."""
+        """Return the next peer to ask; None, which ends the attempts, if there is none left."""
         peer = None
-        if len(self._asked) < MOST_PEERS_ASKED:
-            peer = self._serving.relay.pick(self._service, self._asked)
+        if len(self._asked) < MAX_PEERS_ASKED:
+            peer = self._handler.relay.pick(self._service, self._asked)
         if peer is None:
             self._allowed = False
         else:
             self._asked.add(peer.life)
         return peer
 
-    async def exchange_with(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
-        """Let a peer serve the request, and pass its server's answer on.
+    async def relay_to(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
+        """Relay the request to a peer and forward the response.
 
-        :param runs: at how many servers it may have run already.
-        :param on_sent: called once it is handed over, and may run from then on.
-        :raises RelayDeclined: the peer has not taken it, and nothing has run.
-        :raises Refused: the peer's final answer.
-        :raises SendFailed: there is no whole answer; it may have run.
+        :param runs: the number of servers that may have run the request already.
+        :param on_sent: called when the request is about to be sent and may run from then on.
+        :raises RelayDeclined: the peer declined the request; nothing has run.
+        :raises Refused: the peer refused the request, which is final.
+        :raises SendFailed: the response is missing or incomplete; the request may have run.
         """
-        relay = self._serving.relay
+        relay = self._handler.relay
         connection = await relay.connect(peer, self._service)
         on_sent()
         answer = await relay.send(
@@ -84,34 +84,34 @@
             peer,
             self._service,
             self._outgoing,
-            self._serving.now(),
+            self._handler.now(),
             self._stream.last_event_id,
-            RelayTerms(runs, self._serving.configuration_version()),
+            RelayMetadata(runs, self._handler.configuration_version()),
         )
-        self.log("relayed", peer, "")
-        await self._pass_on(peer, answer)
+        self.log_result("relayed", peer, "")
+        await self._forward_answer(peer, answer)
 
-    async def _pass_on(self, peer: PeerEntry, answer: OpenResponse) -> None:
+    async def _forward_answer(self, peer: PeerEntry, answer: OpenResponse) -> None:
         if answer.streamed:
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
             )
             await self._stream.relay(entry, answer, ServerHealth())
-            self._serving.forwarder.release(answer.connection)
+            self._handler.forwarder.release(answer.connection)
             return
-        body = await self._serving.forwarder.read_full_body(answer)
+        body = await self._handler.forwarder.read_full_body(answer)
         status = answer.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", may_have_run=True)
-        headers = self._serving.dialect.response_headers(answer.head)
+        headers = self._handler.dialect.response_headers(answer.head)
         await self._exchange.respond(status, headers, body)
 
-    def log(self, decision: str, peer: PeerEntry, reason: str) -> None:
-        """Say what has become of an attempt."""
+    def log_result(self, decision: str, peer: PeerEntry, reason: str) -> None:
+        """Log the result of an attempt."""
         log_decision(
             decision,
             self._outgoing.caller.request_id,
             peer=peer.address,
             reason=reason,
-            reach=self._serving.pool.connectivity_of(self._service).state.value,
+            reach=self._handler.pool.connectivity_of(self._service).state.value,
         )
