--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -310,7 +310,7 @@
         for address in overrides:
             self.transport.forget(address)
 
-    def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
+    def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Put changed limits on callers in force; all else needs a restart."""
         self.settings = settings
         if "limits" in changed:
--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -22,7 +22,7 @@
 class Reloadable(Protocol):
     """A daemon that can take up new settings."""
 
-    def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
+    def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Put changed sections in force; returns those that need a restart."""
 
 
@@ -98,7 +98,7 @@
 
     def _put_in_force(self, settings: Settings, told: bool) -> None:
         changed = changed_sections(self._current, settings)
-        need_restart = self._daemon.take_up(settings, changed) if changed else ()
+        need_restart = self._daemon.apply_settings(settings, changed) if changed else ()
         self._current = settings
         log_state("settings", "reloaded", changed=changed, need_restart=need_restart, told=told)
 
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -336,7 +336,7 @@
 
     # Settings changes.
 
-    def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
+    def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Apply changed sections; returns those that need a restart."""
         self.settings = settings
         return tuple(name for name in changed if not self._apply_section(getattr(settings, name)))
