--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -22,7 +22,7 @@
 
 
 @frozen
-class Late:
+class LateVersion:
     """A version that some daemons did not apply in time.
 
     :param seed: seed of the run's random numbers.
@@ -42,7 +42,7 @@
     ]
 
 
-async def _run(context: Any, fault: str, pace: str, seed: int) -> list[Late]:
+async def _run(context: Any, fault: str, pace: str, seed: int) -> list[LateVersion]:
     rng = random.Random(seed)
     random.seed(seed)
     fleet: Fleet = context.make_fleet()
@@ -63,7 +63,9 @@
     return [late for late in found if late.daemons]
 
 
-async def _check(context: Any, fleet: Fleet, excluded: set[str], seed: int, version: int) -> Late:
+async def _check(
+    context: Any, fleet: Fleet, excluded: set[str], seed: int, version: int
+) -> LateVersion:
     """Return the daemons that have not applied a version when the bound is over."""
     await asyncio.sleep(context.bound_seconds)
     late = tuple(
@@ -71,7 +73,7 @@
         for daemon in fleet.daemons
         if daemon.name not in excluded and daemon.replicated_state.configuration_version < version
     )
-    return Late(seed, version, late)
+    return LateVersion(seed, version, late)
 
 
 @then("each daemon that can learn of a version has applied it, or a later one, within the bound")
--- a/features/steps/configuration_storm_steps.py
+++ b/features/steps/configuration_storm_steps.py
@@ -23,13 +23,13 @@
         self.written_at: dict[int, float] = {}
         self.received_at: dict[int, float] = {}
 
-    def on_rows(self, snapshot: Snapshot, whole: bool) -> None:
+    def on_rows(self, snapshot: Snapshot, is_full: bool) -> None:
         """Record the time at which a version was received."""
         for row in snapshot.rows:
             if row.key == KEY:
                 self.received_at[row.version] = asyncio.get_running_loop().time()
 
-    def longest_seconds(self) -> float:
+    def max_delay_seconds(self) -> float:
         """Return the longest time from the write of a version until it or a later one arrived."""
         return max(
             min(
@@ -48,7 +48,7 @@
 
 
 @when("a version is written every {interval:f} s for {duration:d} s")
-def step_storm(context: Any, interval: float, duration: int) -> None:
+def step_write_versions(context: Any, interval: float, duration: int) -> None:
     run_in_virtual_time(_write_versions(context, interval, duration))
 
 
@@ -80,5 +80,5 @@
 
 @then("each version, or a later one, was applied within the bound")
 def step_in_force(context: Any) -> None:
-    longest = context.version_times.longest_seconds()
-    assert longest <= context.bound_seconds, longest
+    max_delay = context.version_times.max_delay_seconds()
+    assert max_delay <= context.bound_seconds, max_delay
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -277,7 +277,7 @@
 @when(
     "s1 is listed as {state:w}, and its entry is removed at {now:f} s while the store is {health}"
 )
-def step_entry_goes(context: Any, state: str, now: float, health: str) -> None:
+def step_entry_removed(context: Any, state: str, now: float, health: str) -> None:
     context.directory.put(listed_as(state))
     context.directory.remove("s1", now, health == "unstable", now)
 
@@ -297,12 +297,12 @@
 
 
 @then("s1 may get requests at {now:f} s")
-def step_may_get_work(context: Any, now: float) -> None:
+def step_may_get_requests(context: Any, now: float) -> None:
     assert [entry.instance for entry in context.directory.usable("tutor", now)] == ["s1"]
 
 
 @then("s1 may not get requests at {now:f} s")
-def step_may_not_get_work(context: Any, now: float) -> None:
+def step_may_not_get_requests(context: Any, now: float) -> None:
     assert context.directory.usable("tutor", now) == []
 
 
@@ -340,7 +340,7 @@
 @then("its next feed call does not wait, so that a response is received at once")
 def step_next_call(context: Any) -> None:
     store = WaitRecorder()
-    table = TableFollower(cast(Store, store), "op", context.health, lambda rows, whole: None)
+    table = TableFollower(cast(Store, store), "op", context.health, lambda rows, is_full: None)
     table.resume_from(1)
     asyncio.run(_poll_twice(table))
     assert store.wait_times == [0.0, 25.0], store.wait_times
--- a/loomwind/serving/follower.py
+++ b/loomwind/serving/follower.py
@@ -128,10 +128,10 @@
         if snapshot.version < self.version:
             await asyncio.sleep(RETRY_SECONDS)
             return False
-        whole = not self.synchronised
+        is_full = not self.synchronised
         self.version = snapshot.version
         self.synchronised = True
-        self._on_rows(snapshot, whole)
+        self._on_rows(snapshot, is_full)
         return True
 
     @staticmethod
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -74,8 +74,8 @@
     def connectivity_of(self, service: str) -> ServerReach:
         """Return this daemon's connectivity to the servers of a service."""
         if service not in self._connectivity:
-            forget = partial(self._reset_unreachable_servers, service)
-            reach = ServerReach(service, self.probe_needed.set, forget)
+            reset_unreachable = partial(self._reset_unreachable_servers, service)
+            reach = ServerReach(service, self.probe_needed.set, reset_unreachable)
             reach.list_servers(self._instances_by_service()[service])
             self._connectivity[service] = reach
         return self._connectivity[service]
--- a/loomwind/serving/replicated_state.py
+++ b/loomwind/serving/replicated_state.py
@@ -66,19 +66,19 @@
 
     def __init__(
         self,
-        documents: DocumentParser,
+        parser: DocumentParser,
         configuration_key: str,
         pool: ServerPool,
         health: StoreHealth,
         metrics: Metrics,
     ) -> None:
-        self._documents = documents
+        self._parser = parser
         self._configuration_key = configuration_key
         self.pool = pool
         self._health = health
         self._metrics = metrics
         self._configuration_document = b""
-        self._copy: ConfigurationCopy | None = None
+        self._cached_copy: ConfigurationCopy | None = None
         self.configuration_listeners: list[Callable[[], None]] = []
         self._server_documents: dict[str, bytes] = {}
         self._server_change_versions: dict[str, int] = {}
@@ -126,7 +126,7 @@
         """Activate a configuration, unless the active one is at least as new."""
         source = origin.source.value
         try:
-            configuration = self._documents.parse_configuration(document)
+            configuration = self._parser.parse_configuration(document)
         except MalformedDocument as error:
             log_state("configuration", "unreadable", error=str(error), source=source)
             return
@@ -151,9 +151,11 @@
     def configuration_copy(self) -> ConfigurationCopy:
         """Return the active configuration for a peer; version 0 when there is none."""
         version = self.configuration_version
-        if self._copy is None or self._copy.version != version:
-            self._copy = ConfigurationCopy(version, zlib.compress(self._configuration_document, 1))
-        return self._copy
+        if self._cached_copy is None or self._cached_copy.version != version:
+            self._cached_copy = ConfigurationCopy(
+                version, zlib.compress(self._configuration_document, 1)
+            )
+        return self._cached_copy
 
     # Servers.
 
@@ -253,8 +255,8 @@
         if self.server_version <= after_version:
             return None
         changed = tuple(
-            ServerDocument(name, raw)
-            for name, raw in self._server_documents.items()
+            ServerDocument(name, document)
+            for name, document in self._server_documents.items()
             if self._server_change_versions[name] > after_version
         )
         store_unstable = self._health.recently_failed(self._now())
@@ -277,8 +279,8 @@
     def _remove_unlisted(
         self, listed: Iterable[str], store_unstable: bool, origin: UpdateOrigin
     ) -> None:
-        kept = set(listed)
-        for name in [name for name in self._server_documents if name not in kept]:
+        listed_names = set(listed)
+        for name in [name for name in self._server_documents if name not in listed_names]:
             self._remove_server(name, store_unstable, origin)
 
     def _remove_server(self, name: str, store_unstable: bool, origin: UpdateOrigin) -> None:
@@ -311,7 +313,7 @@
 
     def _apply_server(self, name: str, document: bytes, origin: UpdateOrigin) -> None:
         try:
-            entry = self._documents.parse_server(name, document)
+            entry = self._parser.parse_server(name, document)
         except MalformedDocument as error:
             log_state("server", "unreadable", server=name, error=str(error))
             if name in self._server_documents:
@@ -325,8 +327,8 @@
         if known is not None and known.instance != entry.instance:
             log_state("server", "started-again", server=entry.instance, earlier=known.instance)
             known = None
-        new = name not in self._server_documents
-        if new or known is None or _without_held(known) != _without_held(entry):
+        is_new = name not in self._server_documents
+        if is_new or known is None or _without_held(known) != _without_held(entry):
             self._server_change_versions[name] = origin.version
             self._signal_server_change()
         if known is None or known.state is not entry.state:
