--- a/features/departures.feature
+++ b/features/departures.feature
@@ -54,8 +54,8 @@
 
   Scenario Outline: gossip that each daemon forwards once to its fingers reaches all daemons
     Given the rows of <daemons> daemons
-    When one of them passes a word on, and each that hears it first does the same
-    Then all <daemons> have heard it, in at most <hops> hops
+    When one of them sends a message, and each daemon forwards it once to its fingers
+    Then all <daemons> have received it, in at most <hops> hops
 
     Examples:
       | daemons | hops |
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -1,8 +1,8 @@
-"""Spreads versions of the configuration: who has a new one tells its fingers, others fetch it.
+"""Gossips configuration versions: daemons announce new ones to their fingers, which fetch them.
 
-Only the version's number is passed on, so that each daemon is sent the document once. Daemons that
-the store does not serve learn a version as soon as the others do. Where messages are lost, digests
-(:mod:`loomwind.serving.anti_entropy`) tell the same later.
+Announcements carry only the version number, so that each daemon receives the document once. Daemons
+that cannot reach the store learn of a version as soon as the others. If messages are lost, digests
+(:mod:`loomwind.serving.anti_entropy`) carry the version later.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.replicated_state import ReplicatedState
 
-# Versions that come within this time are told as one.
-TELL_PAUSE_SECONDS = 0.05
+# Versions that arrive within this time share one announcement.
+NOTICE_BATCH_SECONDS = 0.05
 FETCH_TIMEOUT_SECONDS = 0.5
 
 
 class ConfigurationGossip:
-    """One daemon's part in spreading versions.
+    """Announces this daemon's configuration version and fetches newer ones.
 
-    :param own_address: ``host:port`` of this daemon for peers.
+    :param own_address: this daemon's peer address, ``host:port``.
     """
 
     def __init__(
@@ -41,69 +41,70 @@
         self._peers = peers
         self._replicated_state = replicated_state
         self._changed = asyncio.Event()
-        self._heard = asyncio.Event()
-        self._heard_version = 0
-        self._tellers: list[str] = []
+        self._version_announced = asyncio.Event()
+        self._newest_known_version = 0
+        self._sources: list[str] = []
         replicated_state.configuration_listeners.append(self._changed.set)
 
     async def run(self) -> None:
-        """Tell and fetch for ever."""
+        """Announce and fetch versions; never returns."""
         async with asyncio.TaskGroup() as work:
-            work.create_task(self._tell_changes())
-            work.create_task(self._fetch_news())
+            work.create_task(self._announce_changes())
+            work.create_task(self._fetch_newer())
 
-    # What this daemon says.
+    # Outgoing announcements and answers.
 
-    async def _tell_changes(self) -> None:
+    async def _announce_changes(self) -> None:
         while True:
             await self._changed.wait()
             self._changed.clear()
             for peer in self._peers.fingers():
-                self._tell(peer.address)
-            await asyncio.sleep(TELL_PAUSE_SECONDS)
+                self._send_notice(peer.address)
+            await asyncio.sleep(NOTICE_BATCH_SECONDS)
 
-    def _tell(self, address: str) -> None:
+    def _send_notice(self, address: str) -> None:
         version = self._replicated_state.configuration_version
         self._transport.cast(address, ConfigurationNotice(self._own_address, version))
 
     def answer(self, question: ConfigurationQuestion) -> ConfigurationCopy:
-        """Return the configuration in force, for a peer that has heard of it."""
+        """Return the applied configuration to a peer that requests it."""
         return self._replicated_state.configuration_copy()
 
-    # What this daemon hears.
+    # Versions of peers.
 
-    def note_version(self, address: str, version: int) -> None:
-        """Take in which version a peer has in force; one that has an older one is told."""
+    def record_peer_version(self, address: str, version: int) -> None:
+        """Record the version that a peer has applied, and notify the peer if it is outdated."""
         own = self._replicated_state.configuration_version
         if version < own:
-            self._tell(address)
-        if version <= max(own, self._heard_version - 1):
+            self._send_notice(address)
+        if version <= max(own, self._newest_known_version - 1):
             return
-        if version > self._heard_version:
-            self._heard_version = version
-            self._tellers.clear()
-        self._tellers.append(address)
-        self._heard.set()
+        if version > self._newest_known_version:
+            self._newest_known_version = version
+            self._sources.clear()
+        self._sources.append(address)
+        self._version_announced.set()
 
-    async def _fetch_news(self) -> None:
+    async def _fetch_newer(self) -> None:
         while True:
-            await self._heard.wait()
-            self._heard.clear()
+            await self._version_announced.wait()
+            self._version_announced.clear()
             while (
-                self._tellers and self._heard_version > self._replicated_state.configuration_version
+                self._sources
+                and self._newest_known_version > self._replicated_state.configuration_version
             ):
-                teller = self._tellers.pop(0)
+                sender = self._sources.pop(0)
                 try:
-                    await self._fetch(teller)
+                    await self._fetch(sender)
                 except Exception as error:
-                    log_state("configuration", "failed", teller=teller, error=repr(error))
+                    log_state("configuration", "failed", teller=sender, error=repr(error))
 
-    async def _fetch(self, teller: str) -> None:
+    async def _fetch(self, sender: str) -> None:
         question = ConfigurationQuestion(self._replicated_state.configuration_version)
         try:
-            copy = await self._transport.call(teller, question, FETCH_TIMEOUT_SECONDS)
+            copy = await self._transport.call(sender, question, FETCH_TIMEOUT_SECONDS)
         except PeerUnreachable as error:
-            log_state("configuration", "not-fetched", teller=teller, reason=str(error))
+            log_state("configuration", "not-fetched", teller=sender, reason=str(error))
             return
         if isinstance(copy, ConfigurationCopy):
-            self._replicated_state.on_configuration_copy(copy, teller)
+            self._replicated_state.on_configuration_copy(copy, sender)
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -23,20 +23,20 @@
 from loomwind.serving.anti_entropy import AntiEntropy
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_polling import ConfigurationPolling
+from loomwind.serving.connectivity_probe import ConnectivityProbe
 from loomwind.serving.departure_gossip import DepartureGossip
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.forwarder import Forwarder
 from loomwind.serving.handler import RequestHandler
-from loomwind.serving.leader_reach import LeaderReach
+from loomwind.serving.leader_stepdown import LeaderStepDown
 from loomwind.serving.leader_watch import LeaderWatch
-from loomwind.serving.metered import MeteredStore
+from loomwind.serving.metered_store import MeteredStore
 from loomwind.serving.peer_exchange import PeerExchange
 from loomwind.serving.peer_relay import PeerRelay
 from loomwind.serving.peers import PeerTable
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Dialect, DocumentParser, EngineControl, Store
 from loomwind.serving.prompt_guard import PromptGuard
-from loomwind.serving.reach_probe import ReachProbe
 from loomwind.serving.relay_service import RelayService
 from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.server_list import ServerListFollower
@@ -145,7 +145,7 @@
                 self._health,
                 self.replicated_state.on_configuration_rows,
                 polling.poll_interval_seconds,
-                self._peers.retry_seconds,
+                self._peers.max_retry_seconds,
                 polling.long_poll_seconds,
             ),
             TableFollower(
@@ -153,8 +153,8 @@
                 PEER_TABLE,
                 self._health,
                 self._peers.on_rows,
-                self._peers.rest_seconds,
-                self._peers.retry_seconds,
+                self._peers.poll_interval_seconds,
+                self._peers.max_retry_seconds,
             ),
         )
         self._server_follower = TableFollower(
@@ -162,7 +162,7 @@
             store.server_table,
             self._health,
             self.replicated_state.on_server_rows,
-            max_retry_seconds=self._peers.retry_seconds,
+            max_retry_seconds=self._peers.max_retry_seconds,
         )
 
     def _create_peer_protocols(self) -> None:
@@ -232,7 +232,7 @@
             self.metrics,
         )
 
-        self._leader_reach = LeaderReach(
+        self._leader_stepdown = LeaderStepDown(
             self._election,
             self._pool,
             self.replicated_state,
@@ -252,7 +252,7 @@
             self._pool.accepts_requests,
         )
         self._client.on_idle_broken = self._pool.record_broken_connection
-        self._probe = ReachProbe(self._pool, forwarder)
+        self._probe = ConnectivityProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
             self._pool,
@@ -266,7 +266,7 @@
                 self._client,
                 deployment.dialect,
                 self.metrics,
-                self._configuration_gossip.note_version,
+                self._configuration_gossip.record_peer_version,
             ),
             self._prompt_guard,
         )
@@ -292,13 +292,13 @@
         self._spawn(self._controller.run())
         self._spawn(self._peers.register())
         self._spawn(self._probe.run())
-        self._spawn(self._leader_reach.run())
+        self._spawn(self._leader_stepdown.run())
         self._spawn(self._exchange.send_demand())
         self._spawn(self._anti_entropy.run())
         self._spawn(self._configuration_gossip.run())
         self._spawn(self._server_list_follower.run())
         self._spawn(self._leader_watch.watch())
-        self._spawn(self._leader_watch.tell())
+        self._spawn(self._leader_watch.announce())
         self._spawn(self._store.log_calls())
         log_state("daemon", "started", name=self.settings.name, life=self._own.life)
 
