--- a/features/server_list.feature
+++ b/features/server_list.feature
@@ -44,14 +44,14 @@
     Then s1 can run m2 at 10.1 s
     And s1 can run m2 at 19.0 s only if its listed entry is not newer
 
-  Scenario: a server that was draining gets no requests while the store is unstable
+  Scenario: a server that was draining gets no requests while the store is not stable
     Given a server list with a drain bound of 2.0 s
-    When s1 is listed as draining, and its entry is removed at 10.0 s while the store is unstable
+    When s1 is listed as draining, and its entry is removed at 10.0 s while the store is not stable
     Then s1 may not get requests at 10.1 s
 
   Scenario: a server whose entry lapses while the store is unstable is kept for a grace period, or until listed again
     Given a server list with a drain bound of 2.0 s
-    When s1 is listed as ready, and its entry is removed at 10.0 s while the store is unstable
+    When s1 is listed as ready, and its entry is removed at 10.0 s while the store is not stable
     Then s1 may get requests at 11.7 s
     And s1 may not get requests at 11.9 s
     When s1 is listed as ready again
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -16,7 +16,7 @@
 VERSIONS = 8
 # Pauses between two versions, in seconds.
 PACES: dict[str, Callable[[random.Random], float]] = {
-    "occasionally": lambda rng: rng.uniform(0.5, 4.0),
+    "every few seconds": lambda rng: rng.uniform(0.5, 4.0),
     "several a second": lambda rng: rng.uniform(0.06, 0.3),
 }
 
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -279,7 +279,7 @@
 )
 def step_entry_removed(context: Any, state: str, now: float, health: str) -> None:
     context.directory.put(listed_as(state))
-    context.directory.remove("s1", now, health == "unstable", now)
+    context.directory.remove("s1", now, health == "not stable", now)
 
 
 @when(
