--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -74,8 +74,8 @@
     def connectivity_of(self, service: str) -> ServiceConnectivity:
         """Return this daemon's connectivity to the servers of a service."""
         if service not in self._connectivity:
-            forget = partial(self._reset_unreachable_servers, service)
-            connectivity = ServiceConnectivity(service, self.probe_needed.set, forget)
+            reset_unreachable = partial(self._reset_unreachable_servers, service)
+            connectivity = ServiceConnectivity(service, self.probe_needed.set, reset_unreachable)
             connectivity.set_servers(self._instances_by_service()[service])
             self._connectivity[service] = connectivity
         return self._connectivity[service]
