--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -26,7 +26,7 @@
 class EmptyPeerTable:
     """A peer table without peers."""
 
-    def fingers(self) -> list[Any]:
+    def gossip_targets(self) -> list[Any]:
         """Return no peers."""
         return []
 
--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_finger_steps.py
@@ -52,10 +52,10 @@
     table = peer_table(context.first, Snapshot(context.rows, 1))
     context.hops_by_address = {context.first: 0} if tables else {}
     pending = [context.first] if tables else []
-    assert tables or table.fingers() == []
+    assert tables or table.gossip_targets() == []
     while pending:
         sender = pending.pop(0)
-        for peer in tables[sender].fingers():
+        for peer in tables[sender].gossip_targets():
             if peer.address not in context.hops_by_address:
                 context.hops_by_address[peer.address] = context.hops_by_address[sender] + 1
                 pending.append(peer.address)
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -138,7 +138,7 @@
         """Return an interval, longer in a large fleet."""
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
-    def fingers(self) -> list[PeerEntry]:
+    def gossip_targets(self) -> list[PeerEntry]:
         """Return the daemons that this one forwards gossip to."""
         count = len(self._entries)
         if not count:
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -58,7 +58,7 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            for peer in self._peers.fingers():
+            for peer in self._peers.gossip_targets():
                 self._send_notice(peer.address)
             await asyncio.sleep(NOTICE_BATCH_SECONDS)
 
--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -31,5 +31,5 @@
     def broadcast(self, departures: tuple[ServerDeparture, ...]) -> None:
         """Send newly learned departures to this daemon's fingers."""
         notice = ServerDepartures(self._own_address, departures)
-        for peer in self._peers.fingers():
+        for peer in self._peers.gossip_targets():
             self._transport.cast(peer.address, notice)
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -148,7 +148,7 @@
         mirrors = self.mirrors()
         return not mirrors or any(mirror.life == self._own.life for mirror in mirrors)
 
-    def fingers(self) -> list[PeerEntry]:
+    def gossip_targets(self) -> list[PeerEntry]:
         """Return the daemons at distances 1, 2, 4, ... on the hash ring, as in Chord.
 
         A message that each daemon forwards once to its fingers reaches all over several paths.
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -124,7 +124,7 @@
             log_state("prompt", "cleared", parts=cleared)
 
     def _gossip(self, message: PromptCrashes | PromptsAnswered) -> None:
-        for peer in self._peers.fingers():
+        for peer in self._peers.gossip_targets():
             self._transport.cast(peer.address, message)
 
 
