--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -37,7 +37,7 @@
         self._inner = inner
         self._metrics = metrics
         self._clock = clock
-        self._life = life
+        self._incarnation = life
         self._calls: Counter[str] = Counter()
 
     def set_address(self, address: str, timeout_seconds: float) -> None:
@@ -65,7 +65,7 @@
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
             if self._calls.total() != logged_total:
                 logged_total = self._calls.total()
-                log_state("store", "calls", life=self._life, calls=dict(self._calls))
+                log_state("store", "calls", life=self._incarnation, calls=dict(self._calls))
 
     async def _measure(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
         start_ms = self._clock.now_ms()
