--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -26,7 +26,7 @@
 class MeteredStore(Store):
     """Forwards each call and records its kind, table, result and duration."""
 
-    def __init__(self, inner: Store, metrics: Metrics, clock: Clock, life: str = "") -> None:
+    def __init__(self, inner: Store, metrics: Metrics, clock: Clock, incarnation: str = "") -> None:
         """Wrap a store.
 
         :param life: the ID of this daemon process in the log.
@@ -37,7 +37,7 @@
         self._inner = inner
         self._metrics = metrics
         self._clock = clock
-        self._incarnation = life
+        self._incarnation = incarnation
         self._calls: Counter[str] = Counter()
 
     def set_address(self, address: str, timeout_seconds: float) -> None:
