--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -206,14 +206,14 @@
 
     async def send_demand(self) -> None:
         """Send demand reports to the leader, immediately when a request starts to wait."""
-        reported_life = ""
+        reported_incarnation = ""
         while True:
             await self._next_report()
             holder = self._election.lease.holder
             if holder is None:
                 continue
-            report = self._report(holder.life != reported_life)
-            reported_life = holder.life
+            report = self._report(holder.life != reported_incarnation)
+            reported_incarnation = holder.life
             if holder.life == self._own.life:
                 self.inbox.put(report)
             else:
