--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -39,7 +39,7 @@
     :param store_answers: whether the daemon reaches the store.
     """
 
-    life: str
+    incarnation: str
     lease_version: int = 0
     store_answers: bool = True
 
