--- a/features/departures.feature
+++ b/features/departures.feature
@@ -52,9 +52,9 @@
     When a request is sent to s1, which starts draining before the connection is open
     Then nothing was sent, the connection is kept, and the request may go to another server
 
-  Scenario Outline: gossip that each daemon forwards once to its fingers reaches all daemons
+  Scenario Outline: gossip that each daemon forwards once to its gossip targets reaches all daemons
     Given the rows of <daemons> daemons
-    When one of them sends a message, and each daemon forwards it once to its fingers
+    When one of them sends a message, and each daemon forwards it once to its gossip targets
     Then all <daemons> have received it, in at most <hops> hops
 
     Examples:
--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_target_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the fingers to which daemons forward gossip messages."""
+"""Steps about the peers to which daemons forward gossip messages."""
 
 from typing import Any, cast
 
@@ -46,7 +46,7 @@
     context.rows = rows
 
 
-@when("one of them sends a message, and each daemon forwards it once to its fingers")
+@when("one of them sends a message, and each daemon forwards it once to its gossip targets")
 def step_forwards(context: Any) -> None:
     tables: dict[str, PeerTable] = context.tables
     table = peer_table(context.first, Snapshot(context.rows, 1))
--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -33,7 +33,7 @@
 class LeaderAnswer(Message, frozen=True, tag=True, array_like=True):
     """Identifies the process that answers a :class:`LeaderQuestion`.
 
-    :param life: the ID of the daemon process.
+    :param incarnation: the ID of the daemon process.
     :param lease_version: the version of its last write to the lease row; 0 if it is not the
         leader.
     :param store_answers: whether the daemon reaches the store.
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -1,6 +1,6 @@
-"""Gossips configuration versions: daemons announce new ones to their fingers, which fetch them.
+"""Gossips configuration versions: daemons announce new ones to their gossip targets.
 
-Announcements carry only the version number, so that each daemon receives the document once. Daemons
+Announcements carry only the version number; peers fetch the document, so each gets it once. Daemons
 that cannot reach the store learn of a version as soon as the others. If messages are lost, digests
 (:mod:`loomwind.serving.anti_entropy`) carry the version later.
 """
--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -1,4 +1,4 @@
-"""Gossips server departures: a daemon that learns of one forwards it to its fingers, once.
+"""Gossips server departures: a daemon that learns of one forwards it to its gossip targets once.
 
 Gossip reaches nearly all daemons at once. If messages are lost, the updates from mirrors and the
 store (:mod:`loomwind.serving.server_list`) bound the delay until a daemon learns of a departure.
@@ -29,7 +29,7 @@
         replicated_state.on_departures = self.broadcast
 
     def broadcast(self, departures: tuple[ServerDeparture, ...]) -> None:
-        """Send newly learned departures to this daemon's fingers."""
+        """Send newly learned departures to the gossip targets."""
         notice = ServerDepartures(self._own_address, departures)
         for peer in self._peers.gossip_targets():
             self._transport.cast(peer.address, notice)
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -135,7 +135,7 @@
             return False
         if not isinstance(answer, LeaderAnswer):
             return False
-        if answer.life != holder.life:
+        if answer.incarnation != holder.life:
             self._record_dead(holder)
             return False
         if answer.lease_version:
--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -29,7 +29,7 @@
     def __init__(self, inner: Store, metrics: Metrics, clock: Clock, incarnation: str = "") -> None:
         """Wrap a store.
 
-        :param life: the ID of this daemon process in the log.
+        :param incarnation: the ID of this daemon process, for the log.
         """
         self.configuration_table = inner.configuration_table
         self.configuration_key = inner.configuration_key
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -43,7 +43,7 @@
     """A daemon's row in the store.
 
     :param address: the peer address, ``host:port``.
-    :param life: the ID of the daemon process.
+    :param life: the incarnation of the daemon, an ID of its process.
     :param relay: the address that accepts relayed requests, ``host:port``; empty for none.
     """
 
@@ -149,9 +149,9 @@
         return not mirrors or any(mirror.life == self._own.life for mirror in mirrors)
 
     def gossip_targets(self) -> list[PeerEntry]:
-        """Return the daemons at distances 1, 2, 4, ... on the hash ring, as in Chord.
+        """Return the daemons at distances 1, 2, 4, ... on the hash ring, like the fingers of Chord.
 
-        A message that each daemon forwards once to its fingers reaches all over several paths.
+        A message that each daemon forwards once to its targets reaches all over several paths.
         """
         count = len(self._ranked)
         if not count:
