--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -58,7 +58,7 @@
     lease = Lease(OWN, 1.8, 0.45, 0.3)
     election = Election(store, "lease", OWN, lease, StoreHealth())
     now = asyncio.get_running_loop().time()
-    lease.note_no_row(0, now)
+    lease.record_missing_row(0, now)
     lease.wrote(5, now)
     pool = ServerPool(BoundSettings())
     controller = PlacementController(
--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -77,12 +77,12 @@
 @when("neither the leader nor a standby renews the lease any more")
 def step_heard(context: Any) -> None:
     for daemon in context.fleet:
-        daemon.lease.note_row(5, HOLDER, START_SECONDS)
+        daemon.lease.record_row(5, HOLDER, START_SECONDS)
 
 
 @when("the lease is vacant")
 def step_vacant(context: Any) -> None:
-    context.fleet[0].lease.note_no_row(1, START_SECONDS)
+    context.fleet[0].lease.record_missing_row(1, START_SECONDS)
 
 
 @then("only standbys may try to take the lease")
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -157,7 +157,7 @@
 @given("a lease of {seconds:d} s held by another daemon")
 def step_lease(context: Any, seconds: int) -> None:
     context.lease = Lease(LeaseHolder("own", "life-2", "a:2"), float(seconds), 0.5, 0.3)
-    context.lease.note_row(7, OTHER_HOLDER, 100.0)
+    context.lease.record_row(7, OTHER_HOLDER, 100.0)
 
 
 @then("it is not taken over after {early:f} s, but after {late:f} s if the store is available")
@@ -171,16 +171,16 @@
 @then("it is taken over at once when the holder is known to have ended")
 def step_taken_over_at_once(context: Any) -> None:
     lease: Lease = context.lease
-    lease.note_dead("life-0", 100.0)
+    lease.record_ended_process("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
-    lease.note_dead(OTHER_HOLDER.life, 100.0)
+    lease.record_ended_process(OTHER_HOLDER.life, 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.TAKE
 
 
 @then("its holder stops leading before another daemon takes it over")
 def step_holder_stops_leading(context: Any) -> None:
     holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
-    holder.note_no_row(0, 90.0)
+    holder.record_missing_row(0, 90.0)
     holder.wrote(7, 100.0)
     assert holder.leads(102.6) and not holder.leads(102.8)
     assert holder.fence == 7
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -213,7 +213,7 @@
 @when("its holder reports at {now:f} s that it wrote version {version:d}")
 def step_holder_reports(context: Any, now: float, version: int) -> None:
     context.holder = context.lease.holder
-    context.lease.note_row(version, context.holder, now)
+    context.lease.record_row(version, context.holder, now)
 
 
 @then("it is not acquired before {now:f} s, and then with expected version {version:d}")
@@ -235,7 +235,7 @@
 @then("a late notice of version {version:d} changes nothing")
 def step_late_notice(context: Any, version: int) -> None:
     lease = context.lease
-    lease.note_row(version, context.holder, context.acquired_at)
+    lease.record_row(version, context.holder, context.acquired_at)
     assert lease.action(context.acquired_at, 9.0) is LeaseAction.TAKE
 
 
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -92,13 +92,13 @@
         self.confirmations = PeerConfirmations()
         self.daemons = 1
 
-    def note_row(self, row: StoredRow) -> None:
+    def record_row(self, row: StoredRow) -> None:
         """Take in the lease row as the store shows it."""
-        self.note_heard(row.version, _holder(row))
+        self.record_announced_row(row.version, _holder(row))
 
-    def note_heard(self, version: int, holder: LeaseHolder | None) -> None:
+    def record_announced_row(self, version: int, holder: LeaseHolder | None) -> None:
         """Take in the lease row as the daemon that wrote it tells."""
-        self.lease.note_row(version, holder, self._now())
+        self.lease.record_row(version, holder, self._now())
         self._report()
 
     async def read_row(self) -> None:
@@ -111,9 +111,9 @@
         self._health.record_success(self._now())
         row = next((row for row in snapshot.rows if row.key == LEASE_KEY), None)
         if row is not None:
-            self.note_row(row)
+            self.record_row(row)
         else:
-            self.lease.note_no_row(snapshot.version, self._now())
+            self.lease.record_missing_row(snapshot.version, self._now())
             self._report()
 
     async def run_ticks(self) -> None:
@@ -170,7 +170,7 @@
                 self.lease.wrote(row.version, self._unanswered_since)
                 self.wrote.set()
             else:
-                self.note_row(row)
+                self.record_row(row)
         self._unanswered_since = None
 
     def leads(self) -> bool:
@@ -217,7 +217,7 @@
         expected = self.lease.expected_version
         try:
             version = await self._store.write(self._table, Write(LEASE_KEY, None, expected))
-            self.note_heard(version, None)
+            self.record_announced_row(version, None)
             self.wrote.set()
         except (StoreUnavailable, WriteConflict) as error:
             log_state("election", "hand-over-failed", error=str(error))
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -83,7 +83,7 @@
         """Whether this daemon may act as the leader now."""
         return self.fence is not None and now < self._valid_until
 
-    def note_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
+    def record_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
         """Take in the row as the store shows it; None when there is none."""
         if self._known and version <= self._version:
             return
@@ -97,7 +97,7 @@
         if holder is None or holder.life != self._own.life:
             self.fence = None
 
-    def note_no_row(self, version: int, now: float) -> None:
+    def record_missing_row(self, version: int, now: float) -> None:
         """The table was read, and the row is not in it.
 
         :param version: the store's version of that reading.
@@ -107,9 +107,9 @@
             self._seen_at = now
             self._vacant_since = now
         elif self._exists:
-            self.note_row(version, None, now)
+            self.record_row(version, None, now)
 
-    def note_dead(self, life: str, now: float) -> None:
+    def record_ended_process(self, life: str, now: float) -> None:
         """A life of a daemon is known to have ended: its lease need not be waited out."""
         if self._dead_life != life:
             self._vacant_since = now
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -83,7 +83,7 @@
     def on_notice(self, notice: LeaseNotice) -> None:
         """Apply a notice of the daemon that wrote the lease row."""
         known = self._election.lease.holder
-        self._election.note_heard(notice.version, notice.holder)
+        self._election.record_announced_row(notice.version, notice.holder)
         if notice.holder is not None and notice.holder != known:
             self._demand.new_demand.set()
         if not notice.store_answers:
@@ -139,9 +139,9 @@
             self._record_dead(holder)
             return False
         if answer.lease_version:
-            self._election.note_heard(answer.lease_version, holder)
+            self._election.record_announced_row(answer.lease_version, holder)
         return answer.lease_version > 0 and answer.store_answers
 
     def _record_dead(self, holder: LeaseHolder) -> None:
         log_state("election", "holder-ended", holder=holder.name, life=holder.life)
-        self._election.lease.note_dead(holder.life, asyncio.get_running_loop().time())
+        self._election.lease.record_ended_process(holder.life, asyncio.get_running_loop().time())
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -32,8 +32,8 @@
         version, _ = lease.INITIAL[0]
         free = LeaseHolder("daemon-9", "life-9", "a:9")
         for each in self._leases:
-            each.note_row(version, free, self._now)
-            each.note_dead(free.life, self._now)
+            each.record_row(version, free, self._now)
+            each.record_ended_process(free.life, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Do in the code what a step of the model does."""
@@ -49,7 +49,7 @@
         elif verb == "take":
             self._leases[d].wrote(after[0][0], self._now)
         elif verb in ("conflict", "renewal-conflict"):
-            self._leases[d].note_row(version, self._holders[holder], self._now)
+            self._leases[d].record_row(version, self._holders[holder], self._now)
         elif verb in ("renew", "renew-late"):
             self._renew(d, after[0][0], late=verb == "renew-late")
 
@@ -57,7 +57,7 @@
         """A daemon sees the row, and nothing of its holder for the whole duration."""
         own = self._leases[d]
         if holder != lease.NOBODY:
-            own.note_row(version, self._holders[holder], self._now)
+            own.record_row(version, self._holders[holder], self._now)
             self._now += DURATION_S
         if own.action(self._now, ANSWERS_S) is not LeaseAction.TAKE:
             raise Disagreement(f"daemon {d} does not take the row at version {version}")
