--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -71,11 +71,11 @@
         BoundSettings(),
         Metrics(),
     )
-    assert election.leads()
+    assert election.is_leader()
     controller._spawn(_answer_late(context.events))
     assert election.release()
     lease.wrote(6, now)
-    context.leads_after = election.leads()
+    context.leads_after = election.is_leader()
     await controller.finish_orders()
     await election.hand_over()
 
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -182,5 +182,5 @@
     holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
     holder.record_missing_row(0, 90.0)
     holder.wrote(7, 100.0)
-    assert holder.leads(102.6) and not holder.leads(102.8)
+    assert holder.is_leader(102.6) and not holder.is_leader(102.8)
     assert holder.fence == 7
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -173,19 +173,19 @@
                 self.record_row(row)
         self._unanswered_since = None
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this daemon may act as the leader now; never again once it has released."""
         if self._stopping or self._paused:
             return False
         now = self._now()
-        if self.lease.leads(now):
+        if self.lease.is_leader(now):
             return True
         if self.lease.fence is None or self._health.available_since is not None:
             return False
         return self.confirmations.most_confirm(self.daemons, now)
 
     def _report(self) -> None:
-        leads = self.leads()
+        leads = self.is_leader()
         if leads == self._led:
             return
         self._led = leads
@@ -195,7 +195,7 @@
 
     def release(self) -> bool:
         """Lead no more; returns whether this daemon led. Its row stays until it is handed over."""
-        leads = self.leads()
+        leads = self.is_leader()
         self._stopping = True
         self.lease.released()
         self._report()
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -79,7 +79,7 @@
         """Return the version that the next write expects; 0 when there is no row."""
         return self._version if self._exists else 0
 
-    def leads(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this daemon may act as the leader now."""
         return self.fence is not None and now < self._valid_until
 
--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -107,7 +107,7 @@
 
         Every change discards the state about servers and demand, so a new leader rebuilds it.
         """
-        is_leading = self._election.leads()
+        is_leading = self._election.is_leader()
         if is_leading == self._leading:
             return is_leading
         self._leading = is_leading
@@ -360,7 +360,7 @@
         tracker = self._trackers[planned.instance]
         report = tracker.report
         fence = self._election.lease.fence
-        if report is None or fence is None or not self._election.leads():
+        if report is None or fence is None or not self._election.is_leader():
             return
         order = Order(
             planned.kind,
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -49,7 +49,7 @@
             served_by_peers = [
                 each for each in unreachable if self._exchange.is_reachable_by_peers(each)
             ]
-            if served_by_peers and self._election.leads():
+            if served_by_peers and self._election.is_leader():
                 reason = "model servers are not reached, and are by peers"
                 log_state("election", "steps-down", reason=reason, cut=served_by_peers)
                 await self._step_down()
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -51,7 +51,7 @@
 
     def answer(self) -> LeaderAnswer:
         """Return the answer to a :class:`LeaderQuestion`."""
-        version = self._election.lease.expected_version if self._election.leads() else 0
+        version = self._election.lease.expected_version if self._election.is_leader() else 0
         return LeaderAnswer(self._own.life, version, self._store_answers())
 
     def _store_answers(self) -> bool:
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -78,7 +78,7 @@
         """
         for d, expected in enumerate(state[1]):
             own = self._leases[d]
-            leads = own.leads(self._now)
+            leads = own.is_leader(self._now)
             if leads != expected.good:
                 raise Disagreement(f"daemon {d} leads: {leads}, in the model {expected.good}")
             if leads and own.fence != expected.fence:
