--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -99,7 +99,7 @@
 def step_takes(context: Any) -> None:
     for daemon in context.fleet:
         late = daemon.max_contact_interval_seconds + LEASE_SECONDS
-        assert daemon.action_after(late) is LeaseAction.TAKE
+        assert daemon.action_after(late) is LeaseAction.ACQUIRE
 
 
 @then(
@@ -131,5 +131,5 @@
     daemon = context.fleet[0]
     assert daemon.action_after(0.0) is LeaseAction.WAIT
     assert (
-        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS) is LeaseAction.TAKE
+        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS) is LeaseAction.ACQUIRE
     )
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -165,7 +165,7 @@
     lease: Lease = context.lease
     assert lease.action(100.0 + early, 60.0) is LeaseAction.WAIT
     assert lease.action(100.0 + late, 0.1) is LeaseAction.WAIT
-    assert lease.action(100.0 + late, 60.0) is LeaseAction.TAKE
+    assert lease.action(100.0 + late, 60.0) is LeaseAction.ACQUIRE
 
 
 @then("it is taken over at once when the holder is known to have ended")
@@ -174,7 +174,7 @@
     lease.record_ended_process("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
     lease.record_ended_process(OTHER_HOLDER.life, 100.0)
-    assert lease.action(100.1, 60.0) is LeaseAction.TAKE
+    assert lease.action(100.1, 60.0) is LeaseAction.ACQUIRE
 
 
 @then("its holder stops leading before another daemon takes it over")
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -220,7 +220,7 @@
 def step_acquired(context: Any, now: float, version: int) -> None:
     lease = context.lease
     assert lease.action(now - 0.05, 9.0) is LeaseAction.WAIT
-    assert lease.action(now, 9.0) is LeaseAction.TAKE
+    assert lease.action(now, 9.0) is LeaseAction.ACQUIRE
     assert lease.expected_version == version
     context.acquired_at = now
 
@@ -229,14 +229,14 @@
 def step_later(context: Any, extra: float) -> None:
     lease, now = context.lease, context.acquired_at
     assert lease.action(now, 9.0, extra) is LeaseAction.WAIT
-    assert lease.action(now + extra, 9.0, extra) is LeaseAction.TAKE
+    assert lease.action(now + extra, 9.0, extra) is LeaseAction.ACQUIRE
 
 
 @then("a late notice of version {version:d} changes nothing")
 def step_late_notice(context: Any, version: int) -> None:
     lease = context.lease
     lease.record_row(version, context.holder, context.acquired_at)
-    assert lease.action(context.acquired_at, 9.0) is LeaseAction.TAKE
+    assert lease.action(context.acquired_at, 9.0) is LeaseAction.ACQUIRE
 
 
 @given("an entry of server {name:w} at revision {revision:d} that holds m1")
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -30,7 +30,7 @@
     """What to do now."""
 
     WAIT = enum.auto()
-    TAKE = enum.auto()
+    ACQUIRE = enum.auto()
     RENEW = enum.auto()
 
 
@@ -153,10 +153,10 @@
             return LeaseAction.RENEW if due else LeaseAction.WAIT
         if self.holder is None or self.holder.life == self._dead_life:
             vacant = now - self._vacant_since >= longer_seconds
-            return LeaseAction.TAKE if vacant else LeaseAction.WAIT
+            return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
-            return LeaseAction.TAKE
+            return LeaseAction.ACQUIRE
         silent = now - self._seen_at >= self._duration + longer_seconds
         if silent and answers_for_seconds >= 2 * self._renew:
-            return LeaseAction.TAKE
+            return LeaseAction.ACQUIRE
         return LeaseAction.WAIT
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -59,7 +59,7 @@
         if holder != lease.NOBODY:
             own.record_row(version, self._holders[holder], self._now)
             self._now += DURATION_S
-        if own.action(self._now, ANSWERS_S) is not LeaseAction.TAKE:
+        if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
             raise Disagreement(f"daemon {d} does not take the row at version {version}")
         if own.expected_version != version:
             raise Disagreement(f"daemon {d} expects {own.expected_version}, not {version}")
