--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -59,7 +59,7 @@
     election = Election(store, "lease", OWN, lease, StoreHealth())
     now = asyncio.get_running_loop().time()
     lease.record_missing_row(0, now)
-    lease.wrote(5, now)
+    lease.record_write(5, now)
     pool = ServerPool(BoundSettings())
     controller = PlacementController(
         "own",
@@ -74,7 +74,7 @@
     assert election.is_leader()
     controller._spawn(_answer_late(context.events))
     assert election.release()
-    lease.wrote(6, now)
+    lease.record_write(6, now)
     context.leads_after = election.is_leader()
     await controller.finish_orders()
     await election.hand_over()
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -181,6 +181,6 @@
 def step_holder_stops_leading(context: Any) -> None:
     holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
     holder.record_missing_row(0, 90.0)
-    holder.wrote(7, 100.0)
+    holder.record_write(7, 100.0)
     assert holder.is_leader(102.6) and not holder.is_leader(102.8)
     assert holder.fence == 7
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -157,7 +157,7 @@
         else:
             self._health.record_success(self._now())
             self._unanswered_since = None
-            self.lease.wrote(version, now)
+            self.lease.record_write(version, now)
             self.wrote.set()
 
     def _on_conflict(self, conflict: WriteConflict) -> None:
@@ -167,7 +167,7 @@
                 continue
             holder = _holder(row)
             if holder is not None and holder.life == self._own.life and self._unanswered_since:
-                self.lease.wrote(row.version, self._unanswered_since)
+                self.lease.record_write(row.version, self._unanswered_since)
                 self.wrote.set()
             else:
                 self.record_row(row)
@@ -197,7 +197,7 @@
         """Lead no more; returns whether this daemon led. Its row stays until it is handed over."""
         leads = self.is_leader()
         self._stopping = True
-        self.lease.released()
+        self.lease.release()
         self._report()
         return leads
 
@@ -205,7 +205,7 @@
     def paused(self) -> Iterator[None]:
         """Lead no more, and neither take nor renew the lease meanwhile."""
         self._paused = True
-        self.lease.released()
+        self.lease.release()
         self._report()
         try:
             yield
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -115,7 +115,7 @@
             self._vacant_since = now
         self._dead_life = life
 
-    def wrote(self, version: int, sent_at: float) -> None:
+    def record_write(self, version: int, sent_at: float) -> None:
         """A write of this daemon was acknowledged.
 
         :param sent_at: the time before it was sent.
@@ -132,7 +132,7 @@
         self._renewed_at = sent_at
         self._valid_until = sent_at + self._duration - self._margin
 
-    def released(self) -> None:
+    def release(self) -> None:
         """This daemon gave the lease up."""
         self.fence = None
         self._valid_until = 0.0
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -47,7 +47,7 @@
         elif verb == "decide-to-take":
             self._decide(d, version, holder)
         elif verb == "take":
-            self._leases[d].wrote(after[0][0], self._now)
+            self._leases[d].record_write(after[0][0], self._now)
         elif verb in ("conflict", "renewal-conflict"):
             self._leases[d].record_row(version, self._holders[holder], self._now)
         elif verb in ("renew", "renew-late"):
@@ -69,7 +69,7 @@
         sent_at = self._now - DURATION_S if late else self._now
         if own.expected_version != version - 1:
             raise Disagreement(f"daemon {d} renews at {own.expected_version}, not {version - 1}")
-        own.wrote(version, sent_at)
+        own.record_write(version, sent_at)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
