--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -86,7 +86,7 @@
         self._stopping = False
         self._paused = False
         self._unanswered_since: float | None = None
-        self.wrote = asyncio.Event()
+        self.write_finished = asyncio.Event()
         self.longer_seconds = 0.0
         self.cut_seconds = 0.0
         self.confirmations = PeerConfirmations()
@@ -152,13 +152,13 @@
             self._health.record_failure(self._now(), str(error))
             if error.outcome_unknown and self._unanswered_since is None:
                 self._unanswered_since = now
-            self.wrote.set()
+            self.write_finished.set()
             await asyncio.sleep(0.0 if error.outcome_unknown else REFUSED_PAUSE_SECONDS)
         else:
             self._health.record_success(self._now())
             self._unanswered_since = None
             self.lease.record_write(version, now)
-            self.wrote.set()
+            self.write_finished.set()
 
     def _on_conflict(self, conflict: WriteConflict) -> None:
         """Take in the row as it is; one of this life was written by the write without an answer."""
@@ -168,7 +168,7 @@
             holder = _holder(row)
             if holder is not None and holder.life == self._own.life and self._unanswered_since:
                 self.lease.record_write(row.version, self._unanswered_since)
-                self.wrote.set()
+                self.write_finished.set()
             else:
                 self.record_row(row)
         self._unanswered_since = None
@@ -218,7 +218,7 @@
         try:
             version = await self._store.write(self._table, Write(LEASE_KEY, None, expected))
             self.record_announced_row(version, None)
-            self.wrote.set()
+            self.write_finished.set()
         except (StoreUnavailable, WriteConflict) as error:
             log_state("election", "hand-over-failed", error=str(error))
 
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -63,8 +63,8 @@
         Changes are a new fencing token and a change of the leader's access to the store.
         """
         while True:
-            await self._election.wrote.wait()
-            self._election.wrote.clear()
+            await self._election.write_finished.wait()
+            self._election.write_finished.clear()
             lease = self._election.lease
             holder = lease.holder
             if holder is not None and holder.life != self._own.life:
