--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_finger_steps.py
@@ -17,7 +17,7 @@
     """An election stub that stores the attributes set by a peer table."""
 
     daemons = 1
-    longer_seconds = 0.0
+    extra_wait_seconds = 0.0
 
 
 def peer_table(name: str, rows: Snapshot) -> PeerTable:
--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -43,7 +43,7 @@
     @property
     def is_standby(self) -> bool:
         """Whether the leader notifies this daemon of each renewal."""
-        return self.election.longer_seconds == 0.0
+        return self.election.extra_wait_seconds == 0.0
 
     @property
     def max_contact_interval_seconds(self) -> float:
@@ -54,7 +54,7 @@
     def action_after(self, seconds: float) -> LeaseAction:
         """Return the daemon's lease action at a time after the start of the scenario."""
         now = START_SECONDS + seconds
-        return self.lease.action(now, STORE_ANSWERS_SECONDS, self.election.longer_seconds)
+        return self.lease.action(now, STORE_ANSWERS_SECONDS, self.election.extra_wait_seconds)
 
 
 @given("a fleet of {count:d} daemons")
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -87,8 +87,8 @@
         self._paused = False
         self._unanswered_since: float | None = None
         self.write_finished = asyncio.Event()
-        self.longer_seconds = 0.0
-        self.cut_seconds = 0.0
+        self.extra_wait_seconds = 0.0
+        self.unreachable_wait_seconds = 0.0
         self.confirmations = PeerConfirmations()
         self.daemons = 1
 
@@ -137,7 +137,7 @@
         now = self._now()
         if self._paused:
             return
-        longer = self.longer_seconds + self.cut_seconds
+        longer = self.extra_wait_seconds + self.unreachable_wait_seconds
         action = self.lease.action(now, self._health.available_seconds(now), longer)
         if action is LeaseAction.WAIT:
             return
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -138,7 +138,7 @@
         self._valid_until = 0.0
 
     def action(
-        self, now: float, answers_for_seconds: float, longer_seconds: float = 0.0
+        self, now: float, answers_for_seconds: float, extra_wait_seconds: float = 0.0
     ) -> LeaseAction:
         """Return what to do.
 
@@ -152,11 +152,11 @@
             due = self.fence is None or now - self._renewed_at >= self._renew
             return LeaseAction.RENEW if due else LeaseAction.WAIT
         if self.holder is None or self.holder.life == self._dead_life:
-            vacant = now - self._vacant_since >= longer_seconds
+            vacant = now - self._vacant_since >= extra_wait_seconds
             return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
             return LeaseAction.ACQUIRE
-        silent = now - self._seen_at >= self._duration + longer_seconds
+        silent = now - self._seen_at >= self._duration + extra_wait_seconds
         if silent and answers_for_seconds >= 2 * self._renew:
             return LeaseAction.ACQUIRE
         return LeaseAction.WAIT
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -75,7 +75,7 @@
         self._pool = pool
         self._peers: dict[str, PeerEntry] = {}
         self._ranked: list[str] = []
-        self._election.longer_seconds = self._extra_wait_seconds()
+        self._election.extra_wait_seconds = self._extra_wait_seconds()
 
     def others(self) -> list[PeerEntry]:
         """Return all daemons except this one."""
@@ -99,7 +99,7 @@
         self._ranked = sorted(self._peers, key=_hash_rank)
         self._pool.set_daemon_count(len(self._peers))
         self._election.daemons = max(1, len(self._peers))
-        self._election.longer_seconds = self._extra_wait_seconds()
+        self._election.extra_wait_seconds = self._extra_wait_seconds()
 
     def _extra_wait_seconds(self) -> float:
         """Return how much longer than a standby this daemon waits for a renewal of the lease.
