--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_finger_steps.py
@@ -16,7 +16,7 @@
 class ElectionStub:
     """An election stub that stores the attributes set by a peer table."""
 
-    daemons = 1
+    daemon_count = 1
     extra_wait_seconds = 0.0
 
 
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -90,7 +90,7 @@
         self.extra_wait_seconds = 0.0
         self.unreachable_wait_seconds = 0.0
         self.confirmations = PeerConfirmations()
-        self.daemons = 1
+        self.daemon_count = 1
 
     def record_row(self, row: StoredRow) -> None:
         """Take in the lease row as the store shows it."""
@@ -182,7 +182,7 @@
             return True
         if self.lease.fence is None or self._health.available_since is not None:
             return False
-        return self.confirmations.most_confirm(self.daemons, now)
+        return self.confirmations.most_confirm(self.daemon_count, now)
 
     def _report(self) -> None:
         leads = self.is_leader()
