--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -34,27 +34,27 @@
 
     def tick(self, now: float) -> None:
         """Call at a steady pace: a gap shows that this process stood still."""
-        if self.stood_still(now):
+        if self.was_paused(now):
             self._heard.clear()
             self._deaf_until = now + CONFIRMATION_SECONDS
         self._last_tick = now
 
-    def stood_still(self, now: float) -> bool:
+    def was_paused(self, now: float) -> bool:
         """Whether this process has not run for a while."""
         return now - self._last_tick > PAUSE_SECONDS
 
-    def note(self, peer: str, now: float) -> None:
+    def record(self, peer: str, now: float) -> None:
         """A peer confirms."""
-        if now >= self._deaf_until and not self.stood_still(now):
+        if now >= self._deaf_until and not self.was_paused(now):
             self._heard[peer] = now
 
-    def forget(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """A peer does not confirm."""
         self._heard.pop(peer, None)
 
-    def most_confirm(self, daemons: int, now: float) -> bool:
+    def has_majority(self, daemons: int, now: float) -> bool:
         """Whether most of so many daemons, this one included, confirm now."""
-        if self.stood_still(now):
+        if self.was_paused(now):
             return False
         fresh = sum(1 for heard in self._heard.values() if now - heard < CONFIRMATION_SECONDS)
         return 2 * (fresh + 1) > daemons
@@ -182,7 +182,7 @@
             return True
         if self.lease.fence is None or self._health.available_since is not None:
             return False
-        return self.confirmations.most_confirm(self.daemon_count, now)
+        return self.confirmations.has_majority(self.daemon_count, now)
 
     def _report(self) -> None:
         leads = self.is_leader()
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -149,9 +149,9 @@
         )
         confirmations = self._election.confirmations
         if message.store_answers:
-            confirmations.forget(message.sender)
+            confirmations.remove(message.sender)
         else:
-            confirmations.note(message.sender, self._now())
+            confirmations.record(message.sender, self._now())
 
     def is_reachable_by_peers(self, service: str) -> bool:
         """Whether any peer with an unexpired demand report reaches the servers of a service."""
