--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -84,7 +84,7 @@
         self._health = health
         self._led = False
         self._stopping = False
-        self._paused = False
+        self._suspended = False
         self._unanswered_since: float | None = None
         self.write_finished = asyncio.Event()
         self.extra_wait_seconds = 0.0
@@ -116,7 +116,7 @@
             self.lease.record_missing_row(snapshot.version, self._now())
             self._report()
 
-    async def run_ticks(self) -> None:
+    async def run_pause_detection(self) -> None:
         """Notice for ever when this process stands still, also while a write waits."""
         while True:
             self.confirmations.tick(self._now())
@@ -135,7 +135,7 @@
 
     async def _step(self) -> None:
         now = self._now()
-        if self._paused:
+        if self._suspended:
             return
         longer = self.extra_wait_seconds + self.unreachable_wait_seconds
         action = self.lease.action(now, self._health.available_seconds(now), longer)
@@ -175,7 +175,7 @@
 
     def is_leader(self) -> bool:
         """Whether this daemon may act as the leader now; never again once it has released."""
-        if self._stopping or self._paused:
+        if self._stopping or self._suspended:
             return False
         now = self._now()
         if self.lease.is_leader(now):
@@ -202,15 +202,15 @@
         return leads
 
     @contextlib.contextmanager
-    def paused(self) -> Iterator[None]:
+    def suspended(self) -> Iterator[None]:
         """Lead no more, and neither take nor renew the lease meanwhile."""
-        self._paused = True
+        self._suspended = True
         self.lease.release()
         self._report()
         try:
             yield
         finally:
-            self._paused = False
+            self._suspended = False
 
     async def hand_over(self) -> None:
         """Remove the row of a lease that was released: another daemon need not wait for its end."""
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -288,7 +288,7 @@
         for follower in self._followers:
             self._spawn(follower.run())
         self._spawn(self._election.run())
-        self._spawn(self._election.run_ticks())
+        self._spawn(self._election.run_pause_detection())
         self._spawn(self._controller.run())
         self._spawn(self._peers.register())
         self._spawn(self._probe.run())
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -70,6 +70,6 @@
         ]
 
     async def _step_down(self) -> None:
-        with self._election.paused():
+        with self._election.suspended():
             await self._finish_orders()
             await self._election.hand_over()
