--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -57,7 +57,7 @@
         """Reach nobody."""
         raise PeerUnreachable("made peers do not answer")
 
-    def cast(self, address: str, message: AnyMessage) -> None:
+    def send(self, address: str, message: AnyMessage) -> None:
         """Drop the message."""
 
 
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -79,13 +79,13 @@
         assert answer is not None
         return answer
 
-    def cast(self, sender: str, address: str, message: AnyMessage) -> None:
+    def send(self, sender: str, address: str, message: AnyMessage) -> None:
         """Send a message to a peer without waiting for a response."""
-        task = asyncio.get_running_loop().create_task(self._cast(sender, address, message))
+        task = asyncio.get_running_loop().create_task(self._send(sender, address, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cast(self, sender: str, address: str, message: AnyMessage) -> None:
+    async def _send(self, sender: str, address: str, message: AnyMessage) -> None:
         lost = self.drops_gossip and isinstance(message, ServerDepartures | ConfigurationNotice)
         if not lost and not {sender, address} & self.unreachable:
             await asyncio.sleep(LINK_LATENCY_SECONDS)
@@ -108,9 +108,9 @@
         """Send a request to a peer and return its response."""
         return await self._network.call(self._daemon, address, message, timeout)
 
-    def cast(self, address: str, message: AnyMessage) -> None:
+    def send(self, address: str, message: AnyMessage) -> None:
         """Send a message to a peer without waiting for a response."""
-        self._network.cast(self._daemon, address, message)
+        self._network.send(self._daemon, address, message)
 
 
 class SimulatedPeerTable:
--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -150,9 +150,9 @@
         ]
         for info in cell:
             if info.identity not in voters:
-                self._transport.cast(info.address, message)
+                self._transport.send(info.address, message)
         for info in list(self._membership.remote.values())[:REMOTE_PUSH_COUNT]:
-            self._transport.cast(info.address, message)
+            self._transport.send(info.address, message)
         if acknowledged:
             await asyncio.wait(acknowledged, timeout=SETTLE_SECONDS)
 
@@ -168,7 +168,7 @@
         self._take_changes(message.changes)
         if self.catalog.version > before:
             for info in list(self._membership.remote.values())[:1]:
-                self._transport.cast(info.address, message)
+                self._transport.send(info.address, message)
         return Acknowledgement()
 
     def on_request(self, message: CatalogRequest) -> CatalogAnswer:
--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -151,4 +151,4 @@
             if info.identity == own.identity:
                 self._store.on_release(message)
             else:
-                self._transport.cast(info.address, message)
+                self._transport.send(info.address, message)
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -302,7 +302,7 @@
             if self._dispatch is not None:
                 self._dispatch.on_routing(update)
         else:
-            self.transport.cast(member.address, update)
+            self.transport.send(member.address, update)
 
     def redirect(self, overrides: dict[str, str]) -> None:
         """Reach some addresses through others from now on, and drop the links to them."""
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -166,7 +166,7 @@
         targets = self.reachable()
         message = MemberList((*self.alive(), *self._sample_remote()))
         for info in self._random.sample(targets, min(GOSSIP_PEERS, len(targets))):
-            self._transport.cast(info.address, message)
+            self._transport.send(info.address, message)
         for info in self._sample_remote()[:1]:
             self._spawn(self._greet(info.address))
 
@@ -182,7 +182,7 @@
             return
         if isinstance(answer, HeartbeatAnswer):
             self._hear(answer.sender, answer.digest)
-            self._transport.cast(address, MemberList((self.own, *self.alive())))
+            self._transport.send(address, MemberList((self.own, *self.alive())))
 
     def on_heartbeat(self, message: Heartbeat) -> HeartbeatAnswer:
         """Take in a heartbeat and answer with the own state."""
@@ -222,7 +222,7 @@
         if self.detector.heard(info, self.now):
             log_state("member", "alive", name=info.identity.name, zone=info.zone)
             self.on_change()
-            self._transport.cast(info.address, MemberList(tuple(self.alive())))
+            self._transport.send(info.address, MemberList(tuple(self.alive())))
         if digest.hears_leader:
             self._relay = info
             self._relay_heard_at = self.now
--- a/loomwind/peer_dispatch.py
+++ b/loomwind/peer_dispatch.py
@@ -103,7 +103,7 @@
         if controller is not None:
             controller.on_demand(report)
         elif leader is not None and self._membership.hears_leader():
-            self._transport.cast(leader.address, report)
+            self._transport.send(leader.address, report)
 
     def on_routing(self, update: RoutingUpdate) -> None:
         """Take in a routing update, and with it who votes."""
--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -140,7 +140,7 @@
         self._peers.count(envelope.message, len(frame))
         link.transport.write(frame)
 
-    async def cast(self, message: AnyMessage) -> None:
+    async def send(self, message: AnyMessage) -> None:
         """Send a message that wants no answer.
 
         :raises PeerUnreachable: the link could not be made.
@@ -217,17 +217,17 @@
             self._links[address] = PeerLink(address, self)
         return self._links[address]
 
-    def cast(self, address: str, message: AnyMessage) -> None:
+    def send(self, address: str, message: AnyMessage) -> None:
         """Send a message in the background; it is dropped when the link is down."""
         if self._closed:
             return
-        task = asyncio.get_running_loop().create_task(self._cast(address, message))
+        task = asyncio.get_running_loop().create_task(self._send(address, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cast(self, address: str, message: AnyMessage) -> None:
+    async def _send(self, address: str, message: AnyMessage) -> None:
         try:
-            await self._link(address).cast(message)
+            await self._link(address).send(message)
         except PeerUnreachable:
             return
 
--- a/loomwind/pipeline/demand_reporter.py
+++ b/loomwind/pipeline/demand_reporter.py
@@ -55,7 +55,7 @@
         self._last = entries
         own = self._membership.own
         message = DemandReport(own.cell, own.identity, entries)
-        self._transport.cast(contact.address, message)
+        self._transport.send(contact.address, message)
 
     def _entries(self) -> tuple[DemandEntry, ...]:
         now = asyncio.get_running_loop().time()
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -120,7 +120,7 @@
             return
         message = BackendReport(self._membership.own.cell, backend, leaving, failed)
         for info in self._membership.alive():
-            self._transport.cast(info.address, message)
+            self._transport.send(info.address, message)
 
     def on_backend_report(self, report: BackendReport) -> None:
         """Take in what another daemon saw of a back end."""
--- a/loomwind/serving/anti_entropy.py
+++ b/loomwind/serving/anti_entropy.py
@@ -47,7 +47,7 @@
             if not others:
                 await asyncio.sleep(NO_PEERS_POLL_SECONDS)
                 continue
-            self._transport.cast(random.choice(others).address, self._own_digest())
+            self._transport.send(random.choice(others).address, self._own_digest())
             await asyncio.sleep(constants.POOL_DIGEST_INTERVAL_SECONDS)
 
     def _own_digest(self) -> PoolDigest:
@@ -62,13 +62,13 @@
     def on_digest(self, digest: PoolDigest) -> None:
         """Send a peer the state it lacks; reply with an own digest if no other peer is known."""
         if not self._peers.others():
-            self._transport.cast(digest.sender, self._own_digest())
+            self._transport.send(digest.sender, self._own_digest())
         self._configurations.record_peer_version(digest.sender, digest.configuration_version)
         own_crashes = self._prompts.digest()
         if own_crashes and own_crashes != digest.prompt_crashes:
-            self._transport.cast(digest.sender, self._prompts.all_crashes())
+            self._transport.send(digest.sender, self._prompts.all_crashes())
         if digest.store_answers:
             return
         directory = self._replicated_state.directory_copy(digest.server_version)
         if directory is not None:
-            self._transport.cast(digest.sender, directory)
+            self._transport.send(digest.sender, directory)
--- a/loomwind/serving/configuration_gossip.py
+++ b/loomwind/serving/configuration_gossip.py
@@ -64,7 +64,7 @@
 
     def _send_notice(self, address: str) -> None:
         version = self._replicated_state.configuration_version
-        self._transport.cast(address, ConfigurationNotice(self._own_address, version))
+        self._transport.send(address, ConfigurationNotice(self._own_address, version))
 
     def answer(self, question: ConfigurationQuestion) -> ConfigurationCopy:
         """Return the applied configuration to a peer that requests it."""
--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -32,4 +32,4 @@
         """Send newly learned departures to this daemon's fingers."""
         notice = ServerDepartures(self._own_address, departures)
         for peer in self._peers.fingers():
-            self._transport.cast(peer.address, notice)
+            self._transport.send(peer.address, notice)
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -76,7 +76,7 @@
             )
             self._announced_fence, self._announced_store_answers = lease.fence, notice.store_answers
             for peer in self._peers.others() if changed else self._peers.standbys():
-                self._transport.cast(peer.address, notice)
+                self._transport.send(peer.address, notice)
 
     # Monitoring the leader.
 
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -178,7 +178,7 @@
             return
         peer = self._peers.get(daemon)
         if peer is not None:
-            self._transport.cast(peer.address, message)
+            self._transport.send(peer.address, message)
 
     def broadcast_holdings(self, message: PoolHoldings) -> None:
         """Send the servers' holdings to all daemons; a large fleet gets changes in batches."""
@@ -196,7 +196,7 @@
         message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
         self._pending_holdings.clear()
         for peer in self._peers.others():
-            self._transport.cast(peer.address, message)
+            self._transport.send(peer.address, message)
 
     def scale_interval(self, seconds: float) -> float:
         """Return an interval scaled with the fleet size; see :meth:`PeerTable.scale_interval`."""
@@ -215,7 +215,7 @@
             if holder.life == self._own.life:
                 self.inbox.put(report)
             else:
-                self._transport.cast(holder.address, report)
+                self._transport.send(holder.address, report)
 
     async def _next_report(self) -> None:
         """Wait for new demand, at most for the report interval."""
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -65,7 +65,7 @@
             if self._suspicions.was_answered_recently(each, now_ms)
         )
         if answered:
-            self._transport.cast(message.sender, PromptsAnswered(answered))
+            self._transport.send(message.sender, PromptsAnswered(answered))
         self._add_crashes(message.crashes)
 
     def on_answered(self, message: PromptsAnswered) -> None:
@@ -125,7 +125,7 @@
 
     def _gossip(self, message: PromptCrashes | PromptsAnswered) -> None:
         for peer in self._peers.fingers():
-            self._transport.cast(peer.address, message)
+            self._transport.send(peer.address, message)
 
 
 def _shared_parts(caller: CallerRequest) -> tuple[str, ...]:
