--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -47,7 +47,7 @@
     asking = PeerTransport(answer, connector, Metrics())
     address = f"{LOCALHOST}:{listening.port}"
     await asking.call(address, LeaderQuestion(), OPEN_TIMEOUT_SECONDS)
-    ends = [*listening.incoming, asking.outgoing(address)]
+    ends = [*listening.incoming, asking.connection_to(address)]
     context.limits = [limits_of(end) for end in ends]
     asking.close()
     listening.close()
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -308,7 +308,7 @@
         """Reach some addresses through others from now on, and drop the links to them."""
         self._connector.redirect({**self.settings.address_overrides, **overrides})
         for address in overrides:
-            self.transport.forget(address)
+            self.transport.disconnect(address)
 
     def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Put changed limits on callers in force; all else needs a restart."""
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -266,7 +266,7 @@
             if member.state is MemberState.SUSPECT:
                 self._spawn(self._ask_neighbour(member.info))
             if member.state is MemberState.GONE:
-                self._transport.forget(member.info.address)
+                self._transport.disconnect(member.info.address)
                 if self.leader is not None and self.leader.identity == member.info.identity:
                     self.leader = None
         self.detector.prune(now, FORGET_AFTER_SECONDS)
--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -54,7 +54,7 @@
         if answer is None or not envelope.call or self._transport is None:
             return
         frame = encode(Envelope(envelope.call, True, answer))
-        self._peers.count(answer, len(frame))
+        self._peers.record_sent(answer, len(frame))
         if not self._transport.is_closing():
             self._transport.write(frame)
 
@@ -137,7 +137,7 @@
             link.transport.abort()
             raise PeerUnreachable("the peer does not read")
         frame = encode(envelope)
-        self._peers.count(envelope.message, len(frame))
+        self._peers.record_sent(envelope.message, len(frame))
         link.transport.write(frame)
 
     async def send(self, message: AnyMessage) -> None:
@@ -207,7 +207,7 @@
         if self.connector.silence_ms is not None:
             end_when_silent(transport, self.connector.silence_ms)
 
-    def count(self, message: AnyMessage, size: int) -> None:
+    def record_sent(self, message: AnyMessage, size: int) -> None:
         """Count a sent message of ``size`` bytes."""
         self._metrics.peer_messages.labels(type(message).__name__).inc()
         self._metrics.peer_bytes.inc(size)
@@ -243,11 +243,11 @@
         """
         return await self._link(address).call(message, timeout)
 
-    def outgoing(self, address: str) -> asyncio.Transport | None:
+    def connection_to(self, address: str) -> asyncio.Transport | None:
         """Return the connection to an address; None while there is none."""
         return self._link(address).transport
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """End the link to an address that is no longer spoken to."""
         link = self._links.pop(address, None)
         if link is not None:
