--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -44,7 +44,10 @@
     def reachable_candidates(
         self, service: str, target: ModelKey | None, now: float
     ) -> list[ServerEntry]:
-        """Return the reachable servers of a service that can run a request for the target now."""
+        """Return the reachable servers of a service that can run a request for the target now.
+
+        Without a target, all usable servers are returned if none is reachable.
+        """
         usable = self.directory.usable(service, now)
         reachable = [e for e in usable if not self.health(e).is_unreachable(now)]
         if target is None:
