--- a/loomwind/placement/controller.py
+++ b/loomwind/placement/controller.py
@@ -71,7 +71,7 @@
         self._metrics = metrics
         self._demand = DemandView()
         self._trackers: dict[str, ServerTracker] = {}
-        self._windows: dict[str, LoadRateLimiter] = {}
+        self._rate_limiters: dict[str, LoadRateLimiter] = {}
         self._reported: set[str] = set()
         self._notices: dict[str, ExpectationNotices] = {}
         self._store_limits: dict[str, StoreConcurrencyLimit] = {}
@@ -83,7 +83,7 @@
         self._leading_since = 0.0
 
     def set_bounds(self, bounds: BoundSettings) -> None:
-        """Use new bounds from the next change of leader on; existing rate windows keep theirs."""
+        """Use new bounds from the next change of leader on; existing rate limiters keep theirs."""
         self._bounds = bounds
 
     def _receive_demand(self) -> None:
@@ -114,7 +114,7 @@
         self._leading_since = self._now()
         self._demand = DemandView()
         self._trackers.clear()
-        self._windows.clear()
+        self._rate_limiters.clear()
         self._store_limits.clear()
         self._notices.clear()
         self._shortages.record_unserved(())
@@ -277,12 +277,12 @@
 
     def _plan(self, service: str, loads_per_second: float) -> None:
         now = self._now()
-        window = self._windows.get(service)
-        if window is None:
+        rate_limiter = self._rate_limiters.get(service)
+        if rate_limiter is None:
             seconds = self._bounds.load_window_seconds
             recent_loads = self._residency.loads_since(now - seconds)
-            window = LoadRateLimiter(loads_per_second, seconds, now, recent_loads)
-            self._windows[service] = window
+            rate_limiter = LoadRateLimiter(loads_per_second, seconds, now, recent_loads)
+            self._rate_limiters[service] = rate_limiter
         store_limit = self._store_limit(service, now)
         servers = [
             tracker
@@ -301,7 +301,7 @@
             self._demand,
             self._demand.running(now),
             now,
-            window.allows(now),
+            rate_limiter.allows(now),
             self._staging_allowed(now),
             max(0, store_limit.limit - store_loads),
         )
@@ -315,9 +315,9 @@
         self._send_expectations(service, planner.expectations())
         for planned in orders:
             if planned.from_store:
-                if not window.allows(now):
+                if not rate_limiter.allows(now):
                     continue
-                window.record(now)
+                rate_limiter.record(now)
                 self._metrics.store_loads.labels(planned.purpose.value).inc()
             if (
                 plan_input.staging_allowed
