--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -131,5 +131,6 @@
     daemon = context.fleet[0]
     assert daemon.action_after(0.0) is LeaseAction.WAIT
     assert (
-        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS) is LeaseAction.ACQUIRE
+        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS)
+        is LeaseAction.ACQUIRE
     )
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -45,7 +45,9 @@
         """Check the connectivity periodically; never returns."""
         while True:
             unreachable = self._unreachable_services()
-            self._election.unreachable_wait_seconds = UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
+            self._election.unreachable_wait_seconds = (
+                UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
+            )
             served_by_peers = [
                 each for each in unreachable if self._exchange.is_reachable_by_peers(each)
             ]
