--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -43,7 +43,7 @@
     @property
     def is_standby(self) -> bool:
         """Whether the leader notifies this daemon of each renewal."""
-        return self.election.longer_seconds == 0.0
+        return self.election.extra_wait_seconds == 0.0
 
     @property
     def max_contact_interval_seconds(self) -> float:
@@ -54,7 +54,7 @@
     def action_after(self, seconds: float) -> LeaseAction:
         """Return the daemon's lease action at a time after the start of the scenario."""
         now = START_SECONDS + seconds
-        return self.lease.action(now, STORE_ANSWERS_SECONDS, self.election.longer_seconds)
+        return self.lease.action(now, STORE_ANSWERS_SECONDS, self.election.extra_wait_seconds)
 
 
 @given("a fleet of {count:d} daemons")
@@ -77,12 +77,12 @@
 @when("neither the leader nor a standby renews the lease any more")
 def step_heard(context: Any) -> None:
     for daemon in context.fleet:
-        daemon.lease.note_row(5, HOLDER, START_SECONDS)
+        daemon.lease.record_row(5, HOLDER, START_SECONDS)
 
 
 @when("the lease is vacant")
 def step_vacant(context: Any) -> None:
-    context.fleet[0].lease.note_no_row(1, START_SECONDS)
+    context.fleet[0].lease.record_missing_row(1, START_SECONDS)
 
 
 @then("only standbys may try to take the lease")
@@ -99,7 +99,7 @@
 def step_takes(context: Any) -> None:
     for daemon in context.fleet:
         late = daemon.max_contact_interval_seconds + LEASE_SECONDS
-        assert daemon.action_after(late) is LeaseAction.TAKE
+        assert daemon.action_after(late) is LeaseAction.ACQUIRE
 
 
 @then(
@@ -131,5 +131,6 @@
     daemon = context.fleet[0]
     assert daemon.action_after(0.0) is LeaseAction.WAIT
     assert (
-        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS) is LeaseAction.TAKE
+        daemon.action_after(daemon.max_contact_interval_seconds + LEASE_SECONDS)
+        is LeaseAction.ACQUIRE
     )
--- a/loomwind/serving/departure_gossip.py
+++ b/loomwind/serving/departure_gossip.py
@@ -32,4 +32,4 @@
         """Send newly learned departures to the gossip targets."""
         notice = ServerDepartures(self._own_address, departures)
         for peer in self._peers.gossip_targets():
-            self._transport.cast(peer.address, notice)
+            self._transport.send(peer.address, notice)
--- a/loomwind/serving/leader_stepdown.py
+++ b/loomwind/serving/leader_stepdown.py
@@ -45,11 +45,13 @@
         """Check the connectivity periodically; never returns."""
         while True:
             unreachable = self._unreachable_services()
-            self._election.cut_seconds = UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
+            self._election.unreachable_wait_seconds = (
+                UNREACHABLE_DELAY_SECONDS if unreachable else 0.0
+            )
             served_by_peers = [
                 each for each in unreachable if self._exchange.is_reachable_by_peers(each)
             ]
-            if served_by_peers and self._election.leads():
+            if served_by_peers and self._election.is_leader():
                 reason = "model servers are not reached, and are by peers"
                 log_state("election", "steps-down", reason=reason, cut=served_by_peers)
                 await self._step_down()
@@ -70,6 +72,6 @@
         ]
 
     async def _step_down(self) -> None:
-        with self._election.paused():
+        with self._election.suspended():
             await self._finish_orders()
             await self._election.hand_over()
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -51,7 +51,7 @@
 
     def answer(self) -> LeaderAnswer:
         """Return the answer to a :class:`LeaderQuestion`."""
-        version = self._election.lease.expected_version if self._election.leads() else 0
+        version = self._election.lease.expected_version if self._election.is_leader() else 0
         return LeaderAnswer(self._own.life, version, self._store_answers())
 
     def _store_answers(self) -> bool:
@@ -63,8 +63,8 @@
         Changes are a new fencing token and a change of the leader's access to the store.
         """
         while True:
-            await self._election.wrote.wait()
-            self._election.wrote.clear()
+            await self._election.write_finished.wait()
+            self._election.write_finished.clear()
             lease = self._election.lease
             holder = lease.holder
             if holder is not None and holder.life != self._own.life:
@@ -76,14 +76,14 @@
             )
             self._announced_fence, self._announced_store_answers = lease.fence, notice.store_answers
             for peer in self._peers.others() if changed else self._peers.standbys():
-                self._transport.cast(peer.address, notice)
+                self._transport.send(peer.address, notice)
 
     # Monitoring the leader.
 
     def on_notice(self, notice: LeaseNotice) -> None:
         """Apply a notice of the daemon that wrote the lease row."""
         known = self._election.lease.holder
-        self._election.note_heard(notice.version, notice.holder)
+        self._election.record_announced_row(notice.version, notice.holder)
         if notice.holder is not None and notice.holder != known:
             self._demand.new_demand.set()
         if not notice.store_answers:
@@ -139,9 +139,9 @@
             self._record_dead(holder)
             return False
         if answer.lease_version:
-            self._election.note_heard(answer.lease_version, holder)
+            self._election.record_announced_row(answer.lease_version, holder)
         return answer.lease_version > 0 and answer.store_answers
 
     def _record_dead(self, holder: LeaseHolder) -> None:
         log_state("election", "holder-ended", holder=holder.name, life=holder.life)
-        self._election.lease.note_dead(holder.life, asyncio.get_running_loop().time())
+        self._election.lease.record_ended_process(holder.life, asyncio.get_running_loop().time())
