--- a/loomwind/messages/claims.py
+++ b/loomwind/messages/claims.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import MemberInfo, Message, VoterId
+from loomwind.messages.identity import MemberInfo, Message, DaemonId
 
 
 class ClaimVerdict(enum.Enum):
@@ -28,16 +28,16 @@
     generation: int
     epoch: int
     key: str
-    claimant: VoterId
+    claimant: DaemonId
     attempt: int
 
 
 class ClaimAnswer(Message, frozen=True, tag=True, array_like=True):
     """A voter's verdict on a claim; ``holder`` has the key when it is taken."""
 
-    voter: VoterId
+    voter: DaemonId
     verdict: ClaimVerdict
-    holder: VoterId | None = None
+    holder: DaemonId | None = None
 
 
 class ClaimRelease(Message, frozen=True, tag=True, array_like=True):
@@ -45,7 +45,7 @@
 
     cell: str
     key: str
-    claimant: VoterId
+    claimant: DaemonId
     attempt: int
 
 
@@ -61,7 +61,7 @@
     """A recorded claim. ``age_seconds`` is how long ago it was granted."""
 
     key: str
-    claimant: VoterId
+    claimant: DaemonId
     attempt: int
     age_seconds: float
 
@@ -69,7 +69,7 @@
 class ClaimTransfer(Message, frozen=True, tag=True, array_like=True):
     """The claims of one voter; ``ready`` says whether it was itself ready to grant."""
 
-    voter: VoterId
+    voter: DaemonId
     ready: bool
     records: tuple[ClaimRecord, ...]
 
