--- a/loomwind/messages/__init__.py
+++ b/loomwind/messages/__init__.py
@@ -16,7 +16,7 @@
     ClaimVerdict,
     VoterAdmitted,
 )
-from loomwind.messages.identity import Acknowledgement, DaemonId, MemberInfo, Message
+from loomwind.messages.identity import Acknowledgement, MemberInfo, Message, DaemonId
 from loomwind.messages.membership import (
     Digest,
     Heartbeat,
@@ -134,7 +134,6 @@
     "ConfigurationCopy",
     "ConfigurationNotice",
     "ConfigurationQuestion",
-    "DaemonId",
     "DemandEntry",
     "DemandReport",
     "Digest",
@@ -172,4 +171,5 @@
     "ServerListQuestion",
     "Stamp",
     "VoterAdmitted",
+    "VoterId",
 ]
--- a/loomwind/messages/claims.py
+++ b/loomwind/messages/claims.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import DaemonId, MemberInfo, Message
+from loomwind.messages.identity import MemberInfo, Message, DaemonId
 
 
 class ClaimVerdict(enum.Enum):
--- a/loomwind/messages/register.py
+++ b/loomwind/messages/register.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import DaemonId, Message
+from loomwind.messages.identity import Message, DaemonId
 from loomwind.schema import Artifact
 
 
--- a/loomwind/messages/routing.py
+++ b/loomwind/messages/routing.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import DaemonId, MemberInfo, Message
+from loomwind.messages.identity import MemberInfo, Message, DaemonId
 from loomwind.messages.register import Stamp
 from loomwind.schema import Artifact
 
