--- a/bench/detection.py
+++ b/bench/detection.py
@@ -13,7 +13,7 @@
 from bench.statistics import quantiles
 from loomwind import constants
 from loomwind.membership.detector import Detector, DetectorSettings, MemberState
-from loomwind.messages import MemberInfo, DaemonId
+from loomwind.messages import MemberInfo, VoterId
 
 DAEMONS = 10
 STEP_SECONDS = 0.05
@@ -57,7 +57,7 @@
 
 
 def _member(number: int) -> MemberInfo:
-    return MemberInfo(DaemonId(f"daemon-{number}", "1"), "cell", f"zone-{number % 3}", "address")
+    return MemberInfo(VoterId(f"daemon-{number}", "1"), "cell", f"zone-{number % 3}", "address")
 
 
 class _World:
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -22,7 +22,7 @@
     EngineRoute,
     Intent,
     MemberInfo,
-    DaemonId,
+    VoterId,
 )
 from loomwind.schema import Adapter, Artifact, Model, Version
 
@@ -37,8 +37,8 @@
     memory_bytes: float
 
 
-def _identity(number: int) -> DaemonId:
-    return DaemonId(f"daemon-{number:04}", f"{number:016x}")
+def _identity(number: int) -> VoterId:
+    return VoterId(f"daemon-{number:04}", f"{number:016x}")
 
 
 def _intent(number: int) -> Intent:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -26,7 +26,7 @@
     ReplicaState,
 )
 from loomwind.membership.detector import Detector, DetectorSettings, MemberState
-from loomwind.messages import Intent, MemberInfo, RegisterValue, Stamp, DaemonId
+from loomwind.messages import Intent, MemberInfo, RegisterValue, Stamp, VoterId
 from loomwind.pipeline.circuit import CircuitBreaker, RetryBudget
 from loomwind.pipeline.fair_queue import FairQueue
 from loomwind.schema import Artifact, Group, Model, Version
@@ -312,10 +312,10 @@
 
 def member(incarnation: str = "1") -> MemberInfo:
     """Return a daemon."""
-    return MemberInfo(DaemonId("daemon-2", incarnation), "cell", "zone", "address")
+    return MemberInfo(VoterId("daemon-2", incarnation), "cell", "zone", "address")
 
 
-def state_after(detector: Detector, seconds: float, identity: DaemonId) -> MemberState | None:
+def state_after(detector: Detector, seconds: float, identity: VoterId) -> MemberState | None:
     """Let time pass and return a member's state."""
     detector.tick(seconds)
     return detector.state_of(identity)
--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -20,7 +20,7 @@
     Prepare,
     RegisterValue,
     Stamp,
-    DaemonId,
+    VoterId,
 )
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
@@ -34,11 +34,11 @@
 RETENTION_SECONDS = 900.0
 LONG_AGO_SECONDS = 1000.0
 POLL_SECONDS = 0.02
-LEADER = DaemonId("daemon-3", "c")
-OWN_EARLIER = DaemonId("daemon-1", "a-earlier")
-OWN = DaemonId("daemon-1", "a")
-OTHER_EARLIER = DaemonId("daemon-2", "b-earlier")
-OTHER = DaemonId("daemon-2", "b")
+LEADER = VoterId("daemon-3", "c")
+OWN_EARLIER = VoterId("daemon-1", "a-earlier")
+OWN = VoterId("daemon-1", "a")
+OTHER_EARLIER = VoterId("daemon-2", "b-earlier")
+OTHER = VoterId("daemon-2", "b")
 HIGHER_BALLOT = Ballot(99, LEADER)
 
 
@@ -81,13 +81,13 @@
         return asyncio.get_running_loop().time() + self.moved_seconds
 
 
-def member(identity: DaemonId) -> MemberInfo:
+def member(identity: VoterId) -> MemberInfo:
     """Return a made member."""
     return MemberInfo(identity, CELL, "zone-a", "127.0.0.1:1")
 
 
 def value(
-    version: int, voters: tuple[DaemonId, ...], joint: tuple[DaemonId, ...] = ()
+    version: int, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
 ) -> RegisterValue:
     """Return a value that daemon-3 has written."""
     stamp = Stamp(1, Ballot(1, LEADER), version)
@@ -97,12 +97,12 @@
 class VoterCase:
     """One daemon's register, with the values that it accepts and the members that have ended."""
 
-    def __init__(self, voters: tuple[DaemonId, ...]) -> None:
+    def __init__(self, voters: tuple[VoterId, ...]) -> None:
         self.voters = voters
         self.table = LocalTableService()
         self.accepted: list[RegisterValue] = []
-        self.ended: tuple[DaemonId, ...] = ()
-        self.peer_stamps: dict[DaemonId, Stamp] = {}
+        self.ended: tuple[VoterId, ...] = ()
+        self.peer_stamps: dict[VoterId, Stamp] = {}
 
     def make(self) -> RegisterService:
         """Make the register with all that has happened. Needs a running loop."""
--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -20,7 +20,7 @@
     Refused,
     RegisterValue,
     Stamp,
-    DaemonId,
+    VoterId,
 )
 
 
@@ -36,16 +36,16 @@
 class Envelope(Struct, frozen=True):
     """A message to a voter."""
 
-    voter: DaemonId
+    voter: VoterId
     message: Prepare | Accept
 
 
-def is_majority(acknowledged: Iterable[DaemonId], voters: tuple[DaemonId, ...]) -> bool:
+def is_majority(acknowledged: Iterable[VoterId], voters: tuple[VoterId, ...]) -> bool:
     """Return whether the acknowledging voters are a majority of a voter set."""
     return 2 * len(set(acknowledged) & set(voters)) > len(voters)
 
 
-def is_quorum(acknowledged: Iterable[DaemonId], value: RegisterValue) -> bool:
+def is_quorum(acknowledged: Iterable[VoterId], value: RegisterValue) -> bool:
     """Return whether a value is settled: a majority of its voters, and of the joint set if any."""
     known = set(acknowledged)
     return is_majority(known, value.voters) and (not value.joint or is_majority(known, value.joint))
@@ -57,7 +57,7 @@
     ``committed`` is the last value that is known to be on a quorum under the own ballot.
     """
 
-    def __init__(self, cell: str, identity: DaemonId) -> None:
+    def __init__(self, cell: str, identity: VoterId) -> None:
         self.cell = cell
         self.identity = identity
         self.phase = Phase.IDLE
@@ -66,9 +66,9 @@
         self.highest_round = 0
         self.committed: RegisterValue | None = None
         self.pending: RegisterValue | None = None
-        self._base_voters: tuple[DaemonId, ...] = ()
-        self._promises: dict[DaemonId, RegisterValue | None] = {}
-        self._acknowledged: set[DaemonId] = set()
+        self._base_voters: tuple[VoterId, ...] = ()
+        self._promises: dict[VoterId, RegisterValue | None] = {}
+        self._acknowledged: set[VoterId] = set()
 
     @property
     def leading(self) -> bool:
@@ -80,7 +80,7 @@
         """Whether a write is under way."""
         return self.pending is not None
 
-    def campaign(self, generation: int, voters: tuple[DaemonId, ...]) -> list[Envelope]:
+    def campaign(self, generation: int, voters: tuple[VoterId, ...]) -> list[Envelope]:
         """Take a new ballot and ask for promises.
 
         :param voters: the newest voter set that is known.
@@ -125,7 +125,7 @@
         )
         return self.outstanding()
 
-    def propose_voters(self, voters: tuple[DaemonId, ...]) -> list[Envelope]:
+    def propose_voters(self, voters: tuple[VoterId, ...]) -> list[Envelope]:
         """Write the next version with another voter set.
 
         It counts only once it is on a majority of the old set and of the new one.
@@ -152,7 +152,7 @@
         values = [value for value in self._promises.values() if value is not None]
         return max(values, key=lambda value: value.stamp, default=None)
 
-    def _audience(self) -> set[DaemonId]:
+    def _audience(self) -> set[VoterId]:
         newest = self._newest()
         return {*self._base_voters} if newest is None else {*newest.voters, *newest.joint}
 
--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -16,19 +16,19 @@
     ClaimTransfer,
     ClaimTransferRequest,
     ClaimVerdict,
-    DaemonId,
+    VoterId,
 )
 
 
 class HeldClaim(Struct, frozen=True):
     """A granted claim and when it was granted."""
 
-    claimant: DaemonId
+    claimant: VoterId
     attempt: int
     granted_at: float
 
 
-NOBODY = DaemonId("", "")
+NOBODY = VoterId("", "")
 
 
 def _merge(held: HeldClaim | None, fetched: HeldClaim) -> HeldClaim:
@@ -50,7 +50,7 @@
     A claim older than the retention time is forgotten; the documents state that time to callers.
     """
 
-    def __init__(self, identity: DaemonId, retention_seconds: float) -> None:
+    def __init__(self, identity: VoterId, retention_seconds: float) -> None:
         self._identity = identity
         self._retention_seconds = retention_seconds
         self._held: dict[str, HeldClaim] = {}
--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -6,7 +6,7 @@
 
 from loomwind.control.slots import SlotDemand
 from loomwind.control.views import DemandView
-from loomwind.messages import DemandEntry, DemandReport, DaemonId
+from loomwind.messages import DemandEntry, DemandReport, VoterId
 from loomwind.schema import Artifact
 
 REPORT_LIFETIME_SECONDS = 3.0
@@ -23,7 +23,7 @@
     """The newest report of each router. Times in seconds of one steady clock."""
 
     def __init__(self) -> None:
-        self._reports: dict[DaemonId, _HeldReport] = {}
+        self._reports: dict[VoterId, _HeldReport] = {}
 
     def take(self, report: DemandReport, now: float) -> None:
         """Keep a router's report in place of its earlier one."""
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -24,7 +24,7 @@
     Refused,
     RegisterValue,
     Stamp,
-    DaemonId,
+    VoterId,
 )
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
@@ -53,10 +53,10 @@
         self.candidate = Candidate(own.cell, own.identity)
         self.claims = claims
         self.generation = 0
-        self.voters: tuple[DaemonId, ...] = ()
-        self._joint: tuple[DaemonId, ...] = ()
+        self.voters: tuple[VoterId, ...] = ()
+        self._joint: tuple[VoterId, ...] = ()
         self.seen = Stamp()
-        self._peer_stamps: dict[DaemonId, Stamp] = {}
+        self._peer_stamps: dict[VoterId, Stamp] = {}
         self.on_lead: Callable[[], None] = lambda: None
         self.on_step_down: Callable[[], None] = lambda: None
         self._membership = membership
@@ -64,11 +64,11 @@
         self._generations = GenerationStore(table, own.cell)
         self._seats = seats
         self._metrics = metrics
-        self._infos: dict[DaemonId, MemberInfo] = {}
+        self._infos: dict[VoterId, MemberInfo] = {}
         self._settled: asyncio.Future[None] | None = None
         self._write_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._refused_voters: set[DaemonId] = set()
+        self._refused_voters: set[VoterId] = set()
         self._started_at = membership.now
         self._campaign_at = 0.0
         self._in_term = False
@@ -95,7 +95,7 @@
         infos = [self.info(voter) for voter in self.voters]
         return tuple(info for info in infos if info is not None)
 
-    def info(self, voter: DaemonId) -> MemberInfo | None:
+    def info(self, voter: VoterId) -> MemberInfo | None:
         """Return a voter's address and zone, if they are known."""
         return self._membership.find(voter) or self._infos.get(voter)
 
@@ -200,13 +200,13 @@
         present = {info.identity for info in self._membership.reachable()}
         return any(self._peer_stamps.get(peer, self.seen) > self.seen for peer in present)
 
-    def note_peer_stamp(self, peer: DaemonId, stamp: Stamp) -> None:
+    def note_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
         """Take in the newest register stamp that a peer knows."""
         self._peer_stamps[peer] = stamp
         members = self._membership.detector.members
         self._peer_stamps = {k: v for k, v in self._peer_stamps.items() if k in members}
 
-    def _has_ended(self, voter: DaemonId) -> bool:
+    def _has_ended(self, voter: VoterId) -> bool:
         member = self._membership.detector.members.get(voter)
         return voter in self._refused_voters or (member is not None and member.ended)
 
@@ -285,7 +285,7 @@
         self._notice_other_life(envelope.voter, answer)
         self._on_answer(answer)
 
-    def _notice_other_life(self, asked: DaemonId, answer: AnyMessage) -> None:
+    def _notice_other_life(self, asked: VoterId, answer: AnyMessage) -> None:
         """A voter that answers under another incarnation has ended its earlier life."""
         if isinstance(answer, Promise | Accepted | Refused):
             same_name = answer.voter.name == asked.name
@@ -332,7 +332,7 @@
         return self.voter.on_prepare(message)
 
     def note_register(
-        self, stamp: Stamp, voters: tuple[DaemonId, ...], joint: tuple[DaemonId, ...] = ()
+        self, stamp: Stamp, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
     ) -> None:
         """Learn a newer register stamp and its voter set from a peer.
 
@@ -388,7 +388,7 @@
     def _note_committed(self) -> None:
         self.note_register(self.committed.stamp, self.committed.voters, self.committed.joint)
 
-    async def change_voters(self, voters: tuple[DaemonId, ...]) -> None:
+    async def change_voters(self, voters: tuple[VoterId, ...]) -> None:
         """Put another voter set on a majority of the old one and of itself.
 
         :raises RegisterUnavailable: it may or may not be settled; this daemon stepped down.
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -15,7 +15,7 @@
     MemberInfo,
     RegisterValue,
     RoutingUpdate,
-    DaemonId,
+    VoterId,
 )
 from loomwind.schema import Artifact
 
@@ -127,7 +127,7 @@
 
     def __init__(self) -> None:
         self._sequence = 0
-        self._sent: dict[DaemonId, RoutingUpdate] = {}
+        self._sent: dict[VoterId, RoutingUpdate] = {}
 
     def updates(
         self,
@@ -150,7 +150,7 @@
         self._sent = {k: v for k, v in self._sent.items() if k in alive}
         return sending
 
-    def missed(self, router: DaemonId, digest: Digest) -> RoutingUpdate | None:
+    def missed(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
         """Return the last update to a router whose digest shows that it never came."""
         sent = self._sent.get(router)
         if sent is None:
--- a/loomwind/control/voter.py
+++ b/loomwind/control/voter.py
@@ -12,14 +12,14 @@
     Promise,
     Refused,
     RegisterValue,
-    DaemonId,
+    VoterId,
 )
 
 
 class Voter:
     """One life of a voter."""
 
-    def __init__(self, cell: str, identity: DaemonId) -> None:
+    def __init__(self, cell: str, identity: VoterId) -> None:
         self.cell = cell
         self.identity = identity
         self.generation = 0
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -16,7 +16,7 @@
     ClaimTransferRequest,
     MemberInfo,
     VoterAdmitted,
-    DaemonId,
+    VoterId,
 )
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
@@ -59,7 +59,7 @@
         await self._register.change_voters(wanted)
         return True
 
-    async def _admit(self, voter: DaemonId) -> bool:
+    async def _admit(self, voter: VoterId) -> bool:
         info = self._register.info(voter)
         if info is None:
             return False
--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Collection
 
-from loomwind.messages import MemberInfo, DaemonId
+from loomwind.messages import MemberInfo, VoterId
 
 
 def choose_voters(
-    present: tuple[DaemonId, ...], alive: list[MemberInfo], count: int
-) -> tuple[DaemonId, ...]:
+    present: tuple[VoterId, ...], alive: list[MemberInfo], count: int
+) -> tuple[VoterId, ...]:
     """Return the voter set that the cell should have.
 
     Present voters that are alive stay; free seats go to the zones with the fewest voters. The
@@ -30,14 +30,14 @@
     return tuple(sorted(chosen[: max(seats, 1)]))
 
 
-def keeps_majority(present: tuple[DaemonId, ...], alive: list[MemberInfo]) -> bool:
+def keeps_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
     """Return whether a majority of the present voters is alive, so that a change can settle."""
     identities = {info.identity for info in alive}
     return 2 * len(identities & set(present)) > len(present)
 
 
 def has_lost_majority(
-    voters: tuple[DaemonId, ...], joint: tuple[DaemonId, ...], ended: Collection[DaemonId]
+    voters: tuple[VoterId, ...], joint: tuple[VoterId, ...], ended: Collection[VoterId]
 ) -> bool:
     """Whether no value of a voter set can ever be settled again, since too many have ended.
 
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -29,7 +29,7 @@
     MemberInfo,
     RoutingRequest,
     RoutingUpdate,
-    DaemonId,
+    VoterId,
 )
 from loomwind.metrics import Metrics
 from loomwind.operator.server import OperatorService, operator_server
@@ -110,7 +110,7 @@
     def _make_membership(self) -> Membership:
         settings = self.settings
         host, _ = split_address(settings.listen.peer)
-        identity = DaemonId(settings.name, uuid.uuid4().hex[:16])
+        identity = VoterId(settings.name, uuid.uuid4().hex[:16])
         address = settings.advertise_peer or f"{host}:{self.transport.port}"
         own = MemberInfo(identity, settings.cell, settings.zone, address)
         seeds = tuple(peer.address for peer in settings.peers)
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct, structs
 
-from loomwind.messages import MemberInfo, DaemonId
+from loomwind.messages import MemberInfo, VoterId
 
 
 class MemberState(enum.Enum):
@@ -54,7 +54,7 @@
 
     def __init__(self, settings: DetectorSettings) -> None:
         self._settings = settings
-        self.members: dict[DaemonId, Member] = {}
+        self.members: dict[VoterId, Member] = {}
 
     @property
     def suspect_after_seconds(self) -> float:
@@ -90,14 +90,14 @@
         if not newer:
             self.members[info.identity] = Member(info, MemberState.SUSPECT, now)
 
-    def refused(self, identity: DaemonId) -> None:
+    def refused(self, identity: VoterId) -> None:
         """Note that the member's host refused a connection."""
         member = self.members.get(identity)
         if member is not None:
             ended = member.ended or self._settings.trust_refusals
             self.members[identity] = structs.replace(member, refused=True, ended=ended)
 
-    def reached_by_peer(self, identity: DaemonId, now: float) -> None:
+    def reached_by_peer(self, identity: VoterId, now: float) -> None:
         """Note that a peer near a suspect reached it: the link is at fault, not the member."""
         member = self.members.get(identity)
         if self._settings.indirect_probes and member is not None:
@@ -146,7 +146,7 @@
         """Return the members in any of the states, by identity."""
         return [m for _, m in sorted(self.members.items()) if m.state in states]
 
-    def state_of(self, identity: DaemonId) -> MemberState | None:
+    def state_of(self, identity: VoterId) -> MemberState | None:
         """Return what is believed of a member; None when it is not known."""
         member = self.members.get(identity)
         return member.state if member else None
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -18,7 +18,7 @@
     ProbeAnswer,
     ProbeRequest,
     Stamp,
-    DaemonId,
+    VoterId,
 )
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
@@ -57,14 +57,14 @@
         self.is_leader: Callable[[], bool] = bool
         self.on_digest: DigestListener = lambda member, digest: None
         self.on_change: Callable[[], None] = lambda: None
-        self.remote: dict[DaemonId, MemberInfo] = {}
+        self.remote: dict[VoterId, MemberInfo] = {}
         self._seeds = seeds
         self._settings = settings
         self._transport = transport
         self._metrics = metrics
         self._random = random.Random(own.identity.incarnation)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._heartbeats: dict[DaemonId, asyncio.Task[None]] = {}
+        self._heartbeats: dict[VoterId, asyncio.Task[None]] = {}
         self.detector = Detector(
             DetectorSettings(settings.suspect_after_seconds, settings.gone_after_seconds)
         )
@@ -108,7 +108,7 @@
             return self.leader
         return self._relay
 
-    def find(self, identity: DaemonId) -> MemberInfo | None:
+    def find(self, identity: VoterId) -> MemberInfo | None:
         """Return a member by identity, whatever its state."""
         if identity == self.own.identity:
             return self.own
--- a/loomwind/messages/__init__.py
+++ b/loomwind/messages/__init__.py
@@ -16,7 +16,7 @@
     ClaimVerdict,
     VoterAdmitted,
 )
-from loomwind.messages.identity import Acknowledgement, MemberInfo, Message, DaemonId
+from loomwind.messages.identity import Acknowledgement, MemberInfo, Message, VoterId
 from loomwind.messages.membership import (
     Digest,
     Heartbeat,
--- a/loomwind/messages/claims.py
+++ b/loomwind/messages/claims.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import MemberInfo, Message, DaemonId
+from loomwind.messages.identity import MemberInfo, Message, VoterId
 
 
 class ClaimVerdict(enum.Enum):
@@ -28,16 +28,16 @@
     generation: int
     epoch: int
     key: str
-    claimant: DaemonId
+    claimant: VoterId
     attempt: int
 
 
 class ClaimAnswer(Message, frozen=True, tag=True, array_like=True):
     """A voter's verdict on a claim; ``holder`` has the key when it is taken."""
 
-    voter: DaemonId
+    voter: VoterId
     verdict: ClaimVerdict
-    holder: DaemonId | None = None
+    holder: VoterId | None = None
 
 
 class ClaimRelease(Message, frozen=True, tag=True, array_like=True):
@@ -45,7 +45,7 @@
 
     cell: str
     key: str
-    claimant: DaemonId
+    claimant: VoterId
     attempt: int
 
 
@@ -61,7 +61,7 @@
     """A recorded claim. ``age_seconds`` is how long ago it was granted."""
 
     key: str
-    claimant: DaemonId
+    claimant: VoterId
     attempt: int
     age_seconds: float
 
@@ -69,7 +69,7 @@
 class ClaimTransfer(Message, frozen=True, tag=True, array_like=True):
     """The claims of one voter; ``ready`` says whether it was itself ready to grant."""
 
-    voter: DaemonId
+    voter: VoterId
     ready: bool
     records: tuple[ClaimRecord, ...]
 
--- a/loomwind/messages/identity.py
+++ b/loomwind/messages/identity.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 
-class DaemonId(Struct, frozen=True, order=True, array_like=True):
+class VoterId(Struct, frozen=True, order=True, array_like=True):
     """One life of a daemon. A restart has another incarnation and remembers nothing."""
 
     name: str
@@ -16,7 +16,7 @@
     :param address: ``host:port`` for peers.
     """
 
-    identity: DaemonId
+    identity: VoterId
     cell: str
     zone: str
     address: str
--- a/loomwind/messages/register.py
+++ b/loomwind/messages/register.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import Message, DaemonId
+from loomwind.messages.identity import Message, VoterId
 from loomwind.schema import Artifact
 
 
@@ -10,7 +10,7 @@
     """A candidate's claim to lead; unique, since it carries the candidate's identity."""
 
     round: int = 0
-    candidate: DaemonId = DaemonId("", "")
+    candidate: VoterId = VoterId("", "")
 
 
 class Intent(Struct, frozen=True, order=True, array_like=True):
@@ -45,8 +45,8 @@
     """
 
     stamp: Stamp
-    voters: tuple[DaemonId, ...]
-    joint: tuple[DaemonId, ...] = ()
+    voters: tuple[VoterId, ...]
+    joint: tuple[VoterId, ...] = ()
     epoch: int = 0
     fenced_engines: tuple[str, ...] = ()
     intents: tuple[Intent, ...] = ()
@@ -64,7 +64,7 @@
     """A voter's promise, with the value that it accepted last."""
 
     cell: str
-    voter: DaemonId
+    voter: VoterId
     generation: int
     ballot: Ballot
     accepted: RegisterValue | None
@@ -81,7 +81,7 @@
     """A voter holds the value of that stamp, or a newer one of the same ballot."""
 
     cell: str
-    voter: DaemonId
+    voter: VoterId
     stamp: Stamp
 
 
@@ -89,6 +89,6 @@
     """A voter has promised a higher ballot, or is in a newer generation."""
 
     cell: str
-    voter: DaemonId
+    voter: VoterId
     generation: int
     promised: Ballot
--- a/loomwind/messages/routing.py
+++ b/loomwind/messages/routing.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from loomwind.messages.identity import MemberInfo, Message, DaemonId
+from loomwind.messages.identity import MemberInfo, Message, VoterId
 from loomwind.messages.register import Stamp
 from loomwind.schema import Artifact
 
@@ -26,7 +26,7 @@
     """What waits and runs at one router."""
 
     cell: str
-    router: DaemonId
+    router: VoterId
     entries: tuple[DemandEntry, ...]
 
 
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -28,7 +28,7 @@
     Prepare,
     Promise,
     RegisterValue,
-    DaemonId,
+    VoterId,
 )
 from loomwind.schema import Artifact
 from specification import register
@@ -42,8 +42,8 @@
 INSTANCE = "life-1"
 MEMORY_MIB = 1
 ARTIFACT = Artifact("model", "v1")
-VOTER_IDS = tuple(DaemonId(f"voter-{v}", "1") for v in register.VOTERS)
-CANDIDATE_IDS = tuple(DaemonId(f"candidate-{c}", "1") for c in register.CANDIDATES)
+VOTER_IDS = tuple(VoterId(f"voter-{v}", "1") for v in register.VOTERS)
+CANDIDATE_IDS = tuple(VoterId(f"candidate-{c}", "1") for c in register.CANDIDATES)
 LABEL = re.compile(r"([a-z-]+)\((\d)(?:,(\d))?\)")
 
 
