--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -15,7 +15,7 @@
 from loomwind.http.errors import (
     CONNECT_EXCEPTIONS,
     PROTOCOL_EXCEPTIONS,
-    BodyCutShort,
+    BodyTruncated,
     ConnectionBroken,
     ExchangeTimeout,
     map_exceptions,
@@ -206,7 +206,7 @@
             except h11.ProtocolError as error:
                 if pieces:
                     return b"".join(pieces)
-                raise BodyCutShort(str(error)) from error
+                raise BodyTruncated(str(error)) from error
             if isinstance(event, h11.Data):
                 pieces.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -221,9 +221,9 @@
                 try:
                     await self._wait_for_data()
                 except ConnectionBroken as error:
-                    raise BodyCutShort(str(error)) from error
+                    raise BodyTruncated(str(error)) from error
             else:
-                raise BodyCutShort("closed before the body's end")
+                raise BodyTruncated("closed before the body's end")
 
     def _end_exchange(self) -> None:
         self._body_ended = False
--- a/loomwind/http/errors.py
+++ b/loomwind/http/errors.py
@@ -24,7 +24,7 @@
     """The connection ended or broke its protocol after bytes were handed over."""
 
 
-class BodyCutShort(ConnectionBroken):
+class BodyTruncated(ConnectionBroken):
     """The answer's head came, but its body ended before the announced end."""
 
 
