--- a/features/steps/event_stream_steps.py
+++ b/features/steps/event_stream_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 
-from loomwind.http.errors import StreamEndedInsideEvent
+from loomwind.http.errors import EventTruncated
 from loomwind.http.event_stream import EventCutter, StreamTail
 
 
@@ -40,6 +40,6 @@
     for end in (context.cutter.end, tail_of(context).end):
         try:
             end()
-        except StreamEndedInsideEvent:
+        except EventTruncated:
             continue
         raise AssertionError(f"the end was taken for a proper one: {end}")
--- a/loomwind/http/errors.py
+++ b/loomwind/http/errors.py
@@ -28,7 +28,7 @@
     """The answer's head came, but its body ended before the announced end."""
 
 
-class StreamEndedInsideEvent(HttpError):
+class EventTruncated(HttpError):
     """A body ended as its framing says, but in the middle of a server-sent event."""
 
 
--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -5,7 +5,7 @@
 
 import re
 
-from loomwind.http.errors import StreamEndedInsideEvent
+from loomwind.http.errors import EventTruncated
 
 EVENT_END = re.compile(rb"\n\n|\r\n\r\n|\r\r")
 LONGEST_EVENT_END = len(b"\r\n\r\n")
@@ -50,7 +50,7 @@
         :raises StreamEndedInsideEvent: it broke off: an event has begun and is not whole.
         """
         if any(line.strip() and not line.startswith(COMMENT) for line in self._rest.splitlines()):
-            raise StreamEndedInsideEvent(f"the stream ended {len(self._rest)} bytes into an event")
+            raise EventTruncated(f"the stream ended {len(self._rest)} bytes into an event")
         rest = bytes(self._rest)
         self._rest.clear()
         return rest
@@ -77,4 +77,4 @@
         """
         ends = [match.end() for match in EVENT_END.finditer(self._tail)]
         if self._tail and len(self._tail) not in ends:
-            raise StreamEndedInsideEvent("the stream ended inside an event")
+            raise EventTruncated("the stream ended inside an event")
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.http.errors import HttpError, StreamEndedInsideEvent
+from loomwind.http.errors import HttpError, EventTruncated
 from loomwind.http.event_stream import EventCutter
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
@@ -106,7 +106,7 @@
         self._metrics.streams_ended.labels(framing).inc()
         try:
             return self._cutter.end()
-        except StreamEndedInsideEvent as error:
+        except EventTruncated as error:
             detail = f"{entry.instance}: {error}, framed by {framing}"
             raise SendFailed(detail, may_have_run=True, broken=True) from error
 
