--- a/features/steps/endless_answer_steps.py
+++ b/features/steps/endless_answer_steps.py
@@ -11,7 +11,7 @@
 from loomwind import constants
 from loomwind.http.client import ClientConnection
 from loomwind.http.errors import HttpError
-from loomwind.http.event_stream import EventCutter
+from loomwind.http.event_stream import EventStreamBuffer
 from loomwind.http.messages import HttpRequest
 
 LEAST_PIECE_BYTES = 64
@@ -125,11 +125,11 @@
 
 def _feed_event(piece_bytes: int) -> int:
     """Return the bytes that a cutter keeps of an event until it fails, or twice its share."""
-    cutter = EventCutter()
+    event_buffer = EventStreamBuffer()
     kept = 0
     try:
         while kept < 2 * EVENT_SHARE_BYTES:
-            cutter.feed(b"d" * piece_bytes)
+            event_buffer.feed(b"d" * piece_bytes)
             kept += piece_bytes
     except HttpError:
         return kept
--- a/features/steps/event_stream_steps.py
+++ b/features/steps/event_stream_steps.py
@@ -5,21 +5,23 @@
 from behave import then, when
 
 from loomwind.http.errors import EventTruncated
-from loomwind.http.event_stream import EventCutter, StreamTail
+from loomwind.http.event_stream import EventStreamBuffer, StreamTail
 
 
 @when("a stream ends with the bytes {tail}")
 def step_stream(context: Any, tail: str) -> None:
     """Feed the bytes one by one, as a slow server may send them."""
-    context.cutter = EventCutter()
+    context.event_buffer = EventStreamBuffer()
     context.stream = tail.encode().decode("unicode_escape").encode()
-    context.passed = b"".join(context.cutter.feed(bytes([byte])) for byte in context.stream)
+    context.passed = b"".join(context.event_buffer.feed(bytes([byte])) for byte in context.stream)
 
 
 @then("{count:d} events have passed, the last one with id {last}")
 def step_events(context: Any, count: int, last: str) -> None:
-    assert context.cutter.events == count, context.cutter.events
-    assert (context.cutter.last_event_id or "none") == last, context.cutter.last_event_id
+    assert context.event_buffer.events == count, context.event_buffer.events
+    assert (context.event_buffer.last_event_id or "none") == last, (
+        context.event_buffer.last_event_id
+    )
 
 
 def tail_of(context: Any) -> StreamTail:
@@ -32,12 +34,12 @@
 
 @then("the stream is whole")
 def step_whole(context: Any) -> None:
-    assert context.passed + context.cutter.end() == context.stream
+    assert context.passed + context.event_buffer.end() == context.stream
 
 
 @then("the stream broke off")
 def step_broke_off(context: Any) -> None:
-    for end in (context.cutter.end, tail_of(context).end):
+    for end in (context.event_buffer.end, tail_of(context).end):
         try:
             end()
         except EventTruncated:
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from loomwind.http.event_stream import EventCutter
+from loomwind.http.event_stream import EventStreamBuffer
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
 from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.serving.budget import RetryBudget
@@ -140,15 +140,15 @@
 def step_interrupted_stream(context: Any, size: int) -> None:
     events_data = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
     interrupted = events_data[:-9]
-    context.cutter = EventCutter()
+    context.event_buffer = EventStreamBuffer()
     chunks = [interrupted[at : at + size] for at in range(0, len(interrupted), size)]
-    context.relayed = b"".join(context.cutter.feed(piece) for piece in chunks)
+    context.relayed = b"".join(context.event_buffer.feed(piece) for piece in chunks)
 
 
 @then("only complete events were relayed, and the last event id is known")
 def step_complete_events(context: Any) -> None:
     assert context.relayed.endswith(b"\n\n") and context.relayed.count(b"\n\n") == 4
-    assert context.cutter.last_event_id == "4"
+    assert context.event_buffer.last_event_id == "4"
 
 
 OTHER_HOLDER = LeaseHolder("other", "life-1", "a:1")
--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -13,7 +13,7 @@
 COMMENT = b":"
 
 
-class EventCutter:
+class EventStreamBuffer:
     """Keeps back the part of an event that has not arrived yet.
 
     :ivar last_event_id: id of the last whole event; None before the first.
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -5,7 +5,7 @@
 
 from loomwind.clock import MS_PER_SECOND
 from loomwind.http.errors import HttpError, EventTruncated
-from loomwind.http.event_stream import EventCutter
+from loomwind.http.event_stream import EventStreamBuffer
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
 from loomwind.metrics import Metrics
@@ -45,17 +45,17 @@
         self._metrics = metrics
         self._inactivity_timeout = inactivity_timeout
         self._on_first_event = on_first_event
-        self._cutter = EventCutter(caller.last_event_id)
+        self._event_buffer = EventStreamBuffer(caller.last_event_id)
 
     @property
     def last_event_id(self) -> str | None:
         """Return the id of the last relayed event; None before the first."""
-        return self._cutter.last_event_id
+        return self._event_buffer.last_event_id
 
     @property
     def events(self) -> int:
         """Return the number of relayed events."""
-        return self._cutter.events
+        return self._event_buffer.events
 
     async def relay(self, entry: ServerEntry, response: OpenResponse, health: ServerHealth) -> None:
         """Relay complete events as they arrive, until the stream ends.
@@ -72,7 +72,7 @@
                 health.record_received(now)
                 stream_gaps.record_event(now * MS_PER_SECOND)
                 first = self.events == 0
-                await self._exchange.send(self._cutter.feed(chunk))
+                await self._exchange.send(self._event_buffer.feed(chunk))
                 if first and self.events:
                     self._on_first_event(entry)
             await self._exchange.send(self._finish_body(entry, response))
@@ -80,7 +80,7 @@
             self._log_long_gap(entry, stream_gaps, health)
         except BaseException:
             response.connection.close()
-            self._cutter.drop_rest()
+            self._event_buffer.drop_rest()
             raise
 
     async def _next_chunk(self, entry: ServerEntry, response: OpenResponse) -> bytes:
@@ -105,7 +105,7 @@
         framing = response.head.framing.value
         self._metrics.streams_ended.labels(framing).inc()
         try:
-            return self._cutter.end()
+            return self._event_buffer.end()
         except EventTruncated as error:
             detail = f"{entry.instance}: {error}, framed by {framing}"
             raise SendFailed(detail, may_have_run=True, broken=True) from error
