--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -55,7 +55,7 @@
         self._rest.clear()
         return rest
 
-    def drop_rest(self) -> None:
+    def discard_incomplete_event(self) -> None:
         """Forget the event that is not whole: another run sends it again."""
         self._rest.clear()
 
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -80,7 +80,7 @@
             self._log_long_gap(entry, stream_gaps, health)
         except BaseException:
             response.connection.close()
-            self._event_buffer.drop_rest()
+            self._event_buffer.discard_incomplete_event()
             raise
 
     async def _next_chunk(self, entry: ServerEntry, response: OpenResponse) -> bytes:
