--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -194,7 +194,7 @@
     async def read_body(self) -> bytes:
         """Return what has arrived of the body as one piece; empty at its proper end.
 
-        :raises BodyCutShort: the body ended before its announced end.
+        :raises BodyTruncated: the body ended before its announced end.
         """
         if self._body_ended:
             self._end_exchange()
--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -47,7 +47,7 @@
         """Take in that the server has ended its answer in order, however that was framed.
 
         :returns: blank lines and comments after the last event.
-        :raises StreamEndedInsideEvent: it broke off: an event has begun and is not whole.
+        :raises EventTruncated: it broke off: an event has begun and is not whole.
         """
         if any(line.strip() and not line.startswith(COMMENT) for line in self._rest.splitlines()):
             raise EventTruncated(f"the stream ended {len(self._rest)} bytes into an event")
@@ -73,7 +73,7 @@
     def end(self) -> None:
         """Take in that the stream has ended in order, however it was framed.
 
-        :raises StreamEndedInsideEvent: its last bytes end no event.
+        :raises EventTruncated: its last bytes end no event.
         """
         ends = [match.end() for match in EVENT_END.finditer(self._tail)]
         if self._tail and len(self._tail) not in ends:
