--- a/features/steps/event_stream_steps.py
+++ b/features/steps/event_stream_steps.py
@@ -18,7 +18,7 @@
 
 @then("{count:d} events have passed, the last one with id {last}")
 def step_events(context: Any, count: int, last: str) -> None:
-    assert context.event_buffer.events == count, context.event_buffer.events
+    assert context.event_buffer.event_count == count, context.event_buffer.event_count
     assert (context.event_buffer.last_event_id or "none") == last, (
         context.event_buffer.last_event_id
     )
@@ -28,18 +28,18 @@
     """Return the tail of the stream, as a relay that looks for no events has it."""
     tail = StreamTail()
     for byte in context.stream:
-        tail.note(bytes([byte]))
+        tail.feed(bytes([byte]))
     return tail
 
 
 @then("the stream is whole")
 def step_whole(context: Any) -> None:
-    assert context.passed + context.event_buffer.end() == context.stream
+    assert context.passed + context.event_buffer.finish() == context.stream
 
 
 @then("the stream broke off")
 def step_broke_off(context: Any) -> None:
-    for end in (context.event_buffer.end, tail_of(context).end):
+    for end in (context.event_buffer.finish, tail_of(context).finish):
         try:
             end()
         except EventTruncated:
--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -17,13 +17,13 @@
     """Keeps back the part of an event that has not arrived yet.
 
     :ivar last_event_id: id of the last whole event; None before the first.
-    :ivar events: how many whole events went through.
+    :ivar event_count: how many whole events went through.
     """
 
     def __init__(self, last_event_id: str | None = None) -> None:
         self._rest = bytearray()
         self.last_event_id = last_event_id
-        self.events = 0
+        self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of the events that are whole now; empty when none is."""
@@ -34,7 +34,7 @@
             return b""
         whole = bytes(self._rest[: ends[-1]])
         del self._rest[: ends[-1]]
-        self.events += len(ends)
+        self.event_count += len(ends)
         self._note_last_id(whole)
         return whole
 
@@ -43,7 +43,7 @@
             if line.startswith(ID_FIELD):
                 self.last_event_id = line[len(ID_FIELD) :].strip().decode("latin-1")
 
-    def end(self) -> bytes:
+    def finish(self) -> bytes:
         """Take in that the server has ended its answer in order, however that was framed.
 
         :returns: blank lines and comments after the last event.
@@ -66,11 +66,11 @@
     def __init__(self) -> None:
         self._tail = b""
 
-    def note(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Take in the next bytes."""
         self._tail = (self._tail + data)[-LONGEST_EVENT_END:]
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Take in that the stream has ended in order, however it was framed.
 
         :raises EventTruncated: its last bytes end no event.
--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -51,7 +51,7 @@
     def note(self, piece: bytes) -> None:
         """Count a piece that was sent."""
         self.sent_bytes += len(piece)
-        self.tail.note(piece)
+        self.tail.feed(piece)
 
 
 class Relay:
@@ -163,7 +163,7 @@
         try:
             piece = await response.connection.read_body()
             if not piece and response.streamed:
-                progress.tail.end()
+                progress.tail.finish()
         except HttpError as error:
             raise AnswerCutShort(str(error), progress.sent_bytes) from error
         return piece
--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -55,7 +55,7 @@
     @property
     def events(self) -> int:
         """Return the number of relayed events."""
-        return self._event_buffer.events
+        return self._event_buffer.event_count
 
     async def relay(self, entry: ServerEntry, response: OpenResponse, health: ServerHealth) -> None:
         """Relay complete events as they arrive, until the stream ends.
@@ -105,7 +105,7 @@
         framing = response.head.framing.value
         self._metrics.streams_ended.labels(framing).inc()
         try:
-            return self._event_buffer.end()
+            return self._event_buffer.finish()
         except EventTruncated as error:
             detail = f"{entry.instance}: {error}, framed by {framing}"
             raise SendFailed(detail, may_have_run=True, broken=True) from error
