--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -9,7 +9,7 @@
 from features.support.site import LOCALHOST
 from loomwind import constants
 from loomwind.http.client import Connector
-from loomwind.http.sockets import probes_within
+from loomwind.http.sockets import keepalive_probe_count
 from loomwind.messages import AnyMessage, LeaderQuestion
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
@@ -25,7 +25,7 @@
 async def _open(context: Any) -> None:
     server = await asyncio.get_running_loop().create_server(asyncio.Protocol, LOCALHOST, 0)
     port = server.sockets[0].getsockname()[1]
-    connector = Connector(silence_ms=constants.POOL_SILENCE_MS)
+    connector = Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     connection = await connector.open(f"{LOCALHOST}:{port}", OPEN_TIMEOUT_SECONDS)
     context.limits = [limits_of(connection.transport)]
     connection.close()
@@ -41,7 +41,7 @@
     async def answer(message: AnyMessage) -> AnyMessage | None:
         return message
 
-    connector = Connector(silence_ms=constants.POOL_SILENCE_MS)
+    connector = Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     listening = PeerTransport(answer, connector, Metrics())
     await listening.start(LOCALHOST, 0)
     asking = PeerTransport(answer, connector, Metrics())
@@ -76,4 +76,4 @@
 
 @then("{probes:d} probes may go unanswered within {silence_ms:d} ms")
 def step_probes(context: Any, probes: int, silence_ms: int) -> None:
-    assert probes_within(silence_ms) == probes
+    assert keepalive_probe_count(silence_ms) == probes
--- a/loomwind/constants.py
+++ b/loomwind/constants.py
@@ -72,7 +72,7 @@
 MOST_RELAYED_REQUESTS: Final = 256
 SMALL_FLEET_DAEMONS: Final = 25
 # Under the shortest bound on putting a configuration in force, 2 s, by the deployments' sheets.
-POOL_SILENCE_MS: Final = 1500.0
+TCP_USER_TIMEOUT_MS: Final = 1500.0
 
 # Operators.
 DEFAULT_OPERATOR_ADDRESS: Final = "127.0.0.1:7071"
--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -21,7 +21,7 @@
     map_exceptions,
 )
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
-from loomwind.http.sockets import end_when_silent
+from loomwind.http.sockets import enable_dead_peer_detection
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
 KEEP_ALIVE_TIMEOUT = "timeout="
@@ -47,12 +47,12 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to a back end."""
 
-    def __init__(self, address: str, silence_ms: float | None = None) -> None:
+    def __init__(self, address: str, user_timeout_ms: float | None = None) -> None:
         self.address = address
         self.state = ClientState.IDLE
         self.idle_until: float | None = None
         self.on_idle_broken: Callable[[str], None] | None = None
-        self._silence_ms = silence_ms
+        self._user_timeout_ms = user_timeout_ms
         self._h11 = _new_parser()
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -66,8 +66,8 @@
         """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self._silence_ms is not None:
-            end_when_silent(transport, self._silence_ms)
+        if self._user_timeout_ms is not None:
+            enable_dead_peer_detection(transport, self._user_timeout_ms)
 
     @property
     def transport(self) -> asyncio.Transport | None:
@@ -262,14 +262,14 @@
     """Opens connections; an operator may direct an address elsewhere by ``overrides``."""
 
     def __init__(
-        self, overrides: dict[str, str] | None = None, silence_ms: float | None = None
+        self, overrides: dict[str, str] | None = None, user_timeout_ms: float | None = None
     ) -> None:
         """Make a connector.
 
-        :param silence_ms: ends a connection whose peer acknowledges nothing for so long, if given.
+        :param user_timeout_ms: ends a connection whose peer acknowledges nothing for so long, if given.
         """
         self._overrides = overrides or {}
-        self.silence_ms = silence_ms
+        self.user_timeout_ms = user_timeout_ms
 
     def redirect(self, overrides: dict[str, str]) -> None:
         """Use other addresses from now on; links that are open stay open."""
@@ -290,7 +290,7 @@
         with map_exceptions(CONNECT_EXCEPTIONS):
             async with asyncio.timeout(timeout):
                 _, connection = await loop.create_connection(
-                    lambda: ClientConnection(address, self.silence_ms), host, port
+                    lambda: ClientConnection(address, self.user_timeout_ms), host, port
                 )
         return connection
 
--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -9,7 +9,7 @@
 
 from loomwind import constants
 from loomwind.http.client import Connector
-from loomwind.http.sockets import end_when_silent
+from loomwind.http.sockets import enable_dead_peer_detection
 from loomwind.messages import AnyMessage
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import BadFrame, PeerUnreachable
@@ -31,7 +31,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._peers.incoming.add(transport)
-        self._peers.end_when_silent(transport)
+        self._peers.enable_dead_peer_detection(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._transport is not None:
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._peers.end_when_silent(transport)
+        self._peers.enable_dead_peer_detection(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -202,10 +202,10 @@
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
-    def end_when_silent(self, transport: asyncio.Transport) -> None:
+    def enable_dead_peer_detection(self, transport: asyncio.Transport) -> None:
         """End a link whose peer acknowledges nothing for too long, if this daemon limits that."""
-        if self.connector.silence_ms is not None:
-            end_when_silent(transport, self.connector.silence_ms)
+        if self.connector.user_timeout_ms is not None:
+            enable_dead_peer_detection(transport, self.connector.user_timeout_ms)
 
     def count(self, message: AnyMessage, size: int) -> None:
         """Count a sent message of ``size`` bytes."""
--- a/loomwind/platform/deployment.py
+++ b/loomwind/platform/deployment.py
@@ -12,7 +12,7 @@
 
 def pool_daemon(settings: Settings, store: StoreSettings) -> PoolDaemon:
     """Return a daemon for the platform whose store the settings name."""
-    connector = Connector(settings.address_overrides, silence_ms=constants.POOL_SILENCE_MS)
+    connector = Connector(settings.address_overrides, user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     client = HttpClient(connector)
     deployment = Deployment(
         store=PlatformStore(client, store.address, store.timeout_seconds),
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -169,7 +169,7 @@
         """Create the components that communicate with peers."""
         self._transport = PeerTransport(
             self._on_message,
-            Connector(silence_ms=constants.POOL_SILENCE_MS),
+            Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS),
             self.metrics,
         )
         self._leader_watch = LeaderWatch(
