--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -51,7 +51,7 @@
         self.address = address
         self.state = ClientState.IDLE
         self.idle_until: float | None = None
-        self.on_idle_broken: Callable[[str], None] | None = None
+        self.on_idle_connection_error: Callable[[str], None] | None = None
         self._user_timeout_ms = user_timeout_ms
         self._h11 = _new_parser()
         self._transport: asyncio.Transport | None = None
@@ -98,8 +98,8 @@
                 self._h11.receive_data(b"")
         if idle:
             self.state = ClientState.CLOSED
-            if self._reset and self.on_idle_broken is not None:
-                self.on_idle_broken(self.address)
+            if self._reset and self.on_idle_connection_error is not None:
+                self.on_idle_connection_error(self.address)
         self._wake()
 
     def _wake(self) -> None:
@@ -298,7 +298,7 @@
 class HttpClient:
     """Keeps idle connections per address and gives each to one exchange at a time.
 
-    :ivar on_idle_broken: called with the address of an idle connection that ends without a proper
+    :ivar on_idle_connection_error: called with the address of an idle connection that ends without a proper
         end: it is reset, or its peer is silent.
     """
 
@@ -306,7 +306,7 @@
         self._connector = connector
         self._max_idle = max_idle
         self._idle: dict[str, deque[ClientConnection]] = {}
-        self.on_idle_broken: Callable[[str], None] | None = None
+        self.on_idle_connection_error: Callable[[str], None] | None = None
 
     async def acquire(self, address: str, timeout: float) -> ClientConnection:
         """Return an idle connection, or a new one.
@@ -351,7 +351,7 @@
         if len(idle) >= self._max_idle:
             connection.close()
         else:
-            connection.on_idle_broken = self.on_idle_broken
+            connection.on_idle_connection_error = self.on_idle_connection_error
             idle.append(connection)
 
     async def request(
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -251,7 +251,7 @@
             self._pool.connectivity_of,
             self._pool.accepts_requests,
         )
-        self._client.on_idle_broken = self._pool.record_broken_connection
+        self._client.on_idle_connection_error = self._pool.record_broken_connection
         self._probe = ConnectivityProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
