--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -48,16 +48,19 @@
 class Exchange:
     """One request and the means to answer it.
 
-    ``request`` is None when ``bad`` says why it could not be read. ``extra_headers`` are added to
+    ``request`` is None when ``bad_request`` says why it could not be read. ``extra_headers`` are added to
     each answer.
     """
 
     def __init__(
-        self, connection: "ServerConnection", request: HttpRequest | None, bad: BadRequest | None
+        self,
+        connection: "ServerConnection",
+        request: HttpRequest | None,
+        bad_request: BadRequest | None,
     ) -> None:
         self._connection = connection
         self.request = request
-        self.bad = bad
+        self.bad_request = bad_request
         self.started = False
         self.extra_headers: Headers = ()
 
@@ -234,8 +237,8 @@
         request = HttpRequest(head.method.decode("latin-1"), target, headers, bytes(self._body))
         self._handle(Exchange(self, request, None))
 
-    def _reject(self, bad: BadRequest) -> None:
-        self._handle(Exchange(self, None, bad), close=True)
+    def _reject(self, bad_request: BadRequest) -> None:
+        self._handle(Exchange(self, None, bad_request), close=True)
 
     def _handle(self, exchange: Exchange, close: bool = False) -> None:
         self._state = ConnectionState.HANDLING
--- a/loomwind/pipeline/parse.py
+++ b/loomwind/pipeline/parse.py
@@ -21,10 +21,10 @@
 
     :raises RequestRefused: it is malformed.
     """
-    if exchange.bad is not None or exchange.request is None:
-        bad = exchange.bad
-        detail = f"{bad.title}: {bad.detail}" if bad else "no request"
-        status = bad.status if bad else None
+    if exchange.bad_request is not None or exchange.request is None:
+        bad_request = exchange.bad_request
+        detail = f"{bad_request.title}: {bad_request.detail}" if bad_request else "no request"
+        status = bad_request.status if bad_request else None
         raise RequestRefused(Problem.MALFORMED_REQUEST, detail, status=status)
     http = exchange.request
     timeout = _timeout(http, limits.default_request_timeout_seconds)
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -109,8 +109,12 @@
     async def _respond(self, exchange: Exchange) -> None:
         request = exchange.request
         if request is None:
-            bad = exchange.bad
-            status, title = (bad.status, bad.title) if bad else (400, "malformed-request")
+            bad_request = exchange.bad_request
+            status, title = (
+                (bad_request.status, bad_request.title)
+                if bad_request
+                else (400, "malformed-request")
+            )
             await exchange.respond(status, (), title.encode())
             return
         caller = self.dialect.read_request(request)
