--- a/loomwind/http/messages.py
+++ b/loomwind/http/messages.py
@@ -6,7 +6,7 @@
 
 Headers = tuple[tuple[str, str], ...]
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -31,10 +31,10 @@
     return next((value for key, value in headers if key == name), None)
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that may be passed on, without hop-by-hop ones and framing."""
     listed = find_header(headers, "connection") or ""
-    dropped = HOP_BY_HOP | {token.strip().lower() for token in listed.split(",")}
+    dropped = HOP_BY_HOP_HEADERS | {token.strip().lower() for token in listed.split(",")}
     return tuple((name, value) for name, value in headers if name not in dropped)
 
 
--- a/loomwind/pipeline/forward.py
+++ b/loomwind/pipeline/forward.py
@@ -18,7 +18,13 @@
 )
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
-from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end, find_header
+from loomwind.http.messages import (
+    Headers,
+    HttpRequest,
+    HttpResponse,
+    end_to_end_headers,
+    find_header,
+)
 from loomwind.pipeline.errors import AttemptFailed
 from loomwind.pipeline.types import ForwardedResponse, SelectedRequest
 from loomwind.schema import Artifact, Outcome
@@ -47,7 +53,9 @@
     identified = selected.admitted.identified
     http = identified.parsed.http
     headers: Headers = tuple(
-        (name, value) for name, value in end_to_end(http.headers) if name not in INTERNAL_HEADERS
+        (name, value)
+        for name, value in end_to_end_headers(http.headers)
+        if name not in INTERNAL_HEADERS
     )
     headers += ((REQUEST_ID_HEADER, identified.parsed.request_id),)
     if isinstance(identified.target, Artifact):
@@ -110,7 +118,7 @@
             )
         headers = tuple(
             (name, value)
-            for name, value in end_to_end(head.headers)
+            for name, value in end_to_end_headers(head.headers)
             if name not in (STATE_HEADER, OUTCOME_HEADER)
         )
         streamed = (find_header(headers, "content-type") or "").startswith(EVENT_STREAM)
--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -1,6 +1,6 @@
 """The platform's header fields behind :class:`loomwind.serving.ports.Dialect`."""
 
-from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end
+from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end_headers
 from loomwind.serving.ports import Dialect, ResponseCheck
 from loomwind.serving.views import CallerRequest, ModelKey, PromptPart
 
@@ -50,7 +50,9 @@
     ) -> Headers:
         """Return the headers for a server; see :meth:`Dialect.server_headers`."""
         kept = tuple(
-            (name, value) for name, value in end_to_end(request.headers) if name not in OWN_FIELDS
+            (name, value)
+            for name, value in end_to_end_headers(request.headers)
+            if name not in OWN_FIELDS
         )
         own: Headers = (
             ("host", request.header("host") or ""),
@@ -74,7 +76,7 @@
         )
         if last_event_id is not None:
             headers += ((LAST_EVENT_ID, last_event_id),)
-        kept = ((name, value) for name, value in end_to_end(request.headers))
+        kept = ((name, value) for name, value in end_to_end_headers(request.headers))
         return headers + tuple((name, value) for name, value in kept if name not in changed)
 
     def check_response(
@@ -94,7 +96,7 @@
 
     def response_headers(self, head: HttpResponse) -> Headers:
         """Return an answer's headers for the caller; see :meth:`Dialect.response_headers`."""
-        return end_to_end(head.headers)
+        return end_to_end_headers(head.headers)
 
     def refusal_headers(self, request_id: str, retry_after_seconds: float | None) -> Headers:
         """Return the headers of an own answer; see :meth:`Dialect.refusal_headers`."""
