--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -361,7 +361,7 @@
         self.callers.stop_listening()
         try:
             async with asyncio.timeout(grace_seconds):
-                while any(not connection.idle for connection in self.callers.connections):
+                while any(not connection.is_idle for connection in self.callers.connections):
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
         except TimeoutError:
             log_state("daemon", "grace-over", open=len(self.callers.connections))
--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -130,7 +130,7 @@
         return self._server.closing or self._server.draining
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is being read or handled here."""
         return self._state is ConnectionState.IDLE
 
@@ -374,11 +374,11 @@
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
-            if connection.idle:
+            if connection.is_idle:
                 connection.close()
 
     @property
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether new connections are taken."""
         return self._server is not None and self._server.is_serving()
 
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -87,7 +87,7 @@
         """List this server, again and again."""
         while True:
             with contextlib.suppress(HttpError):
-                if self.server.listening:
+                if self.server.is_listening:
                     await self._list()
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
