--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -58,7 +58,7 @@
         writer = logs.log_to_stdout(settings.name)
         flusher = asyncio.get_running_loop().create_task(writer.run())
         daemon = pool_daemon(settings, settings.store)
-        daemon.metrics.log_lines_dropped.set_function(lambda: writer.dropped_in_all)
+        daemon.metrics.log_lines_dropped.set_function(lambda: writer.total_dropped)
         await _run_until_told(daemon, settings, path, overrides)
         flusher.cancel()
         writer.flush()
--- a/loomwind/logs.py
+++ b/loomwind/logs.py
@@ -22,7 +22,7 @@
     """Keeps lines until the loop writes them; drops the newest when the buffer is full.
 
     :ivar dropped: how many lines were dropped since the last one that said so.
-    :ivar dropped_in_all: how many lines were dropped since the start.
+    :ivar total_dropped: how many lines were dropped since the start.
     """
 
     def __init__(self, stream: TextIO, daemon: str) -> None:
@@ -30,13 +30,13 @@
         self._daemon = daemon
         self._lines: deque[bytes] = deque()
         self.dropped = 0
-        self.dropped_in_all = 0
+        self.total_dropped = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Take in a message; an eliot destination."""
         if len(self._lines) >= BUFFER_LINES:
             self.dropped += 1
-            self.dropped_in_all += 1
+            self.total_dropped += 1
             return
         message.pop("task_uuid", None)
         message.pop("task_level", None)
@@ -56,7 +56,7 @@
                 os.write(self._stream.fileno(), piece)
             except BlockingIOError:
                 self.dropped += piece.count(b"\n")
-                self.dropped_in_all += piece.count(b"\n")
+                self.total_dropped += piece.count(b"\n")
                 return
 
     async def run(self) -> None:
