--- a/features/steps/pool_metrics_steps.py
+++ b/features/steps/pool_metrics_steps.py
@@ -62,7 +62,7 @@
 
 @when("{count:d} servers are counted")
 def step_counted(context: Any, count: int) -> None:
-    context.seen = {context.labels.of(f"i-{number}") for number in range(count)}
+    context.seen = {context.labels.label_for(f"i-{number}") for number in range(count)}
 
 
 @then("the labels are the first {count:d} and other")
--- a/loomwind/metrics.py
+++ b/loomwind/metrics.py
@@ -18,7 +18,7 @@
         self._most = most
         self._names: set[str] = set()
 
-    def of(self, name: str) -> str:
+    def label_for(self, name: str) -> str:
         """Return the label's value for a server."""
         if name not in self._names and len(self._names) >= self._most:
             return OTHER_SERVERS
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -83,7 +83,7 @@
 
     def count_send(self, entry: ServerEntry, end: str) -> None:
         """Count the outcome of a send to a server."""
-        self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
+        self.metrics.sends.labels(self.metrics.server_labels.label_for(entry.instance), end).inc()
 
     def reject_waiting(self) -> None:
         """Reject all requests that wait for a model, now and later, as this daemon shuts down."""
