--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -79,7 +79,7 @@
     reloader = SettingsReloader(
         path, lambda: load_settings(str(path), overrides), settings, daemon, Clock()
     )
-    reloader.listen()
+    reloader.install_signal_handler()
     await daemon.start()
     following = loop.create_task(reloader.run())
     await stop.wait()
--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -56,7 +56,7 @@
         self._content = _content(path)
         self._requested = asyncio.Event()
 
-    def listen(self) -> None:
+    def install_signal_handler(self) -> None:
         """Look at the file at each SIGHUP."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._requested.set)
 
