--- a/loomwind/constants.py
+++ b/loomwind/constants.py
@@ -69,7 +69,7 @@
 POOL_DEMAND_INTERVAL_SECONDS: Final = 0.25
 POOL_DIGEST_INTERVAL_SECONDS: Final = 0.5
 # Each takes two descriptors: an eighth of the 4,100 that the deployments' sheets give a process.
-MOST_RELAYED_REQUESTS: Final = 256
+MAX_RELAYED_REQUESTS: Final = 256
 SMALL_FLEET_DAEMONS: Final = 25
 # Under the shortest bound on putting a configuration in force, 2 s, by the deployments' sheets.
 TCP_USER_TIMEOUT_MS: Final = 1500.0
--- a/loomwind/serving/relay_service.py
+++ b/loomwind/serving/relay_service.py
@@ -58,7 +58,7 @@
             raise RelayDeclined("this daemon is leaving")
         if self._handler.configuration_version() < metadata.configuration_version:
             raise RelayDeclined("the configuration here is older")
-        if self._open_count >= constants.MOST_RELAYED_REQUESTS:
+        if self._open_count >= constants.MAX_RELAYED_REQUESTS:
             raise RelayDeclined("too many requests of peers are here")
         headers = strip_relay_headers(request.headers)
         return metadata, HttpRequest(request.method, request.target, headers, request.body)
