--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -48,7 +48,9 @@
     @property
     def max_contact_interval_seconds(self) -> float:
         """Return the longest time between two messages from a leader that answers."""
-        pause = self.peers.scale_interval(constants.LEADER_QUESTION_SECONDS) * (1 + QUESTION_JITTER)
+        pause = self.peers.scale_interval(constants.LEADER_CHECK_INTERVAL_SECONDS) * (
+            1 + QUESTION_JITTER
+        )
         return pause + QUESTION_TIMEOUT_SECONDS
 
     def action_after(self, seconds: float) -> LeaseAction:
--- a/loomwind/constants.py
+++ b/loomwind/constants.py
@@ -65,7 +65,7 @@
 STORE_TIMEOUT_SECONDS: Final = 0.8
 LEASE_RENEW_SECONDS: Final = 0.45
 LEASE_MARGIN_SECONDS: Final = 0.3
-LEADER_QUESTION_SECONDS: Final = 0.4
+LEADER_CHECK_INTERVAL_SECONDS: Final = 0.4
 POOL_DEMAND_INTERVAL_SECONDS: Final = 0.25
 POOL_DIGEST_INTERVAL_SECONDS: Final = 0.5
 # Each takes two descriptors: an eighth of the 4,100 that the deployments' sheets give a process.
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -105,7 +105,7 @@
     def _check_interval_seconds(self) -> float:
         """Return the time until the next check, with jitter."""
         jitter = random.uniform(1 - QUESTION_JITTER, 1 + QUESTION_JITTER)
-        return jitter * self._peers.scale_interval(constants.LEADER_QUESTION_SECONDS)
+        return jitter * self._peers.scale_interval(constants.LEADER_CHECK_INTERVAL_SECONDS)
 
     async def _check_leader(self) -> None:
         """Ask the holder whether it leads, and read the lease row if it does not confirm."""
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -108,7 +108,7 @@
         """
         if self._own.name in self._ranked[:STANDBY_COUNT]:
             return 0.0
-        interval = constants.LEADER_QUESTION_SECONDS
+        interval = constants.LEADER_CHECK_INTERVAL_SECONDS
         return NON_STANDBY_DELAY_SECONDS + self.scale_interval(interval) - interval
 
     def poll_interval_seconds(self) -> float:
