--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -124,7 +124,7 @@
         lease = Lease(
             self._own,
             duration,
-            min(constants.LEASE_RENEW_SECONDS, LEASE_RENEW_FRACTION * duration),
+            min(constants.LEASE_RENEWAL_INTERVAL_SECONDS, LEASE_RENEW_FRACTION * duration),
             min(constants.LEASE_MARGIN_SECONDS, LEASE_MARGIN_FRACTION * duration),
         )
         self._election = Election(store, LEASE_TABLE, self._own, lease, self._health)
