--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -194,7 +194,7 @@
         :raises AttemptFailed: the back end gave no answer.
         :raises RequestRefused: the request ended without one.
         """
-        margin = constants.ANSWER_MARGIN_SECONDS
+        margin = constants.DEADLINE_MARGIN_SECONDS
         try:
             async with asyncio.timeout_at(admitted.deadline - margin):
                 return await self._attempt(admitted, progress)
