--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -218,7 +218,7 @@
             self._content if now < self._lend_again_at else None,
         )
         if now >= self._lend_again_at:
-            self._lend_again_at = now + constants.LEND_INTERVAL_SECONDS
+            self._lend_again_at = now + constants.LENDING_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
         audience = (routers, voters, value.epoch)
