--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -375,7 +375,7 @@
         self._send(propose())
         deadline = self._membership.now + constants.REGISTER_WRITE_TIMEOUT_SECONDS
         while not settled.done():
-            await asyncio.wait([settled], timeout=constants.REGISTER_RETRY_SECONDS)
+            await asyncio.wait([settled], timeout=constants.REGISTER_RETRY_INTERVAL_SECONDS)
             if settled.done():
                 break
             if self._membership.now >= deadline:
