--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -370,7 +370,7 @@
 
     async def _notice(self) -> None:
         """Give peers and load balancers time to notice, while requests are still served."""
-        deadline = self.membership.now + constants.LEAVING_NOTICE_SECONDS
+        deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
         others = [info for info in self.membership.alive() if info != self.membership.own]
         limit = deadline + (HANDOVER_SECONDS if others else 0.0)
         own = self.membership.own.identity
