--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -57,7 +57,7 @@
         backends = {backend.name: backend for backend in self._backends()}
         daemons = [info.identity.name for info in self._membership.alive()]
         own = self._membership.own.identity.name
-        names = watched_by(own, sorted(backends), daemons, constants.ENGINE_WATCHERS)
+        names = watched_by(own, sorted(backends), daemons, constants.WATCHERS_PER_ENGINE)
         return [backends[name] for name in names]
 
     async def _probe(self, backend: WatchedBackend) -> None:
@@ -67,7 +67,7 @@
             )
         except EngineError:
             self._failures[backend.name] = self._failures.get(backend.name, 0) + 1
-            if self._failures[backend.name] == constants.ENGINE_FAILED_PROBES:
+            if self._failures[backend.name] == constants.ENGINE_FAILURE_THRESHOLD:
                 self._reporter.report(backend.name, self._leaving.get(backend.name, False), True)
             return
         self._failures[backend.name] = 0
