--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -84,7 +84,7 @@
             return
         self._h11.receive_data(data)
         self._buffered_bytes += len(data)
-        if self._buffered_bytes > constants.READ_BUFFER_HIGH_BYTES and self._transport:
+        if self._buffered_bytes > constants.READ_BUFFER_HIGH_WATER_BYTES and self._transport:
             self._transport.pause_reading()
         self._wake()
 
--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -24,7 +24,7 @@
     max_header_count: int = constants.MAX_HEADER_COUNT
     head_timeout_seconds: float = constants.HEAD_TIMEOUT_SECONDS
     body_timeout_seconds: float = constants.BODY_TIMEOUT_SECONDS
-    idle_timeout_seconds: float = constants.IDLE_CONNECTION_SECONDS
+    idle_timeout_seconds: float = constants.IDLE_TIMEOUT_SECONDS
 
 
 class BadRequest(Struct, frozen=True):
