--- a/loomwind/serving/stream_relay.py
+++ b/loomwind/serving/stream_relay.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from loomwind.clock import MS_PER_SECOND
-from loomwind.http.errors import HttpError, EventTruncated
+from loomwind.http.errors import EventTruncated, HttpError
 from loomwind.http.event_stream import EventStreamBuffer
 from loomwind.http.server import Exchange
 from loomwind.logs import log_decision
