--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -266,7 +266,8 @@
     ) -> None:
         """Make a connector.
 
-        :param user_timeout_ms: ends a connection whose peer acknowledges nothing for so long, if given.
+        :param user_timeout_ms: ends a connection whose peer acknowledges nothing for this long;
+            None never does.
         """
         self._overrides = overrides or {}
         self.user_timeout_ms = user_timeout_ms
@@ -298,8 +299,8 @@
 class HttpClient:
     """Keeps idle connections per address and gives each to one exchange at a time.
 
-    :ivar on_idle_connection_error: called with the address of an idle connection that ends without a proper
-        end: it is reset, or its peer is silent.
+    :ivar on_idle_connection_error: called with the address of an idle connection that is reset or
+        whose peer stops acknowledging; not when the peer closes it in order.
     """
 
     def __init__(self, connector: Connector, max_idle: int = 64) -> None:
--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -46,10 +46,10 @@
 
 
 class Exchange:
-    """One request and the means to answer it.
+    """One request and the methods that send its response.
 
-    ``request`` is None when ``bad_request`` says why it could not be read. ``extra_headers`` are added to
-    each answer.
+    ``request`` is None if it could not be read; ``bad_request`` then gives the reason.
+    ``extra_headers`` are added to every response.
     """
 
     def __init__(
