--- a/loomwind/serving/errors.py
+++ b/loomwind/serving/errors.py
@@ -1,4 +1,4 @@
-"""Errors of serving; they tell whether a request may have run."""
+"""Errors of serving, with whether the request may have run."""
 
 from loomwind.errors import LoomwindError
 
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -139,7 +139,7 @@
     ) -> None:
         """Find the route of a request and serve it.
 
-        :param relayed: terms of the relaying peer; None for a request that came from a caller.
+        :param relayed: metadata from the relaying peer; None for a request of a caller.
         :raises Refused: no server has served it; the daemon itself has to respond.
         :raises RelayDeclined: this daemon cannot serve the peer's request; another one may.
         :raises StreamTruncated: its stream has begun and cannot be completed.
--- a/loomwind/serving/request_lifecycle.py
+++ b/loomwind/serving/request_lifecycle.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Prepare to serve a request.
 
-        :param relayed: terms of the relaying peer; None for a request that came from a caller.
+        :param relayed: metadata from the relaying peer; None for a request of a caller.
         """
         self._handler = handler
         self._pool = handler.pool
