--- a/features/configuration_effects.feature
+++ b/features/configuration_effects.feature
@@ -7,11 +7,11 @@
     Then the connection is open 8.0 s later, and closed 2.5 s after that
 
   Scenario: a daemon fetches the version by which a peer has served its request
-    Given a daemon that has version 3 in force
-    When a peer has served a request of it by version 4
-    Then it knows that the peer has version 4
+    Given a daemon with configuration version 3
+    When a peer serves a relayed request with configuration version 4
+    Then the daemon knows that the peer has version 4
 
   Scenario: an invalid copy does not stop a daemon from fetching further versions
-    Given a daemon that has version 3 in force
+    Given a daemon with configuration version 3
     When a peer announces version 4 with an invalid copy, and then another peer version 5
     Then it has queried both peers
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -134,7 +134,7 @@
         mirrors = self.mirrors()
         return not mirrors or any(entry.address == self._own for entry in mirrors)
 
-    def paced(self, seconds: float) -> float:
+    def scale_interval(self, seconds: float) -> float:
         """Return an interval, longer in a large fleet."""
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
@@ -227,7 +227,7 @@
             case PoolDigest():
                 self._anti_entropy.on_digest(message)
             case ConfigurationNotice():
-                self._configurations.note_version(message.teller, message.version)
+                self._configurations.record_peer_version(message.sender, message.version)
             case ConfigurationQuestion():
                 return self._configurations.answer(message)
             case DirectoryCopy():
--- a/loomwind/serving/configuration_polling.py
+++ b/loomwind/serving/configuration_polling.py
@@ -43,7 +43,7 @@
         if self._peers.is_mirror():
             return interval
         max_interval = MAX_POLL_INTERVAL_FRACTION * self._bounds().apply_ms / MS_PER_SECOND
-        return min(max_interval, self._peers.paced(interval))
+        return min(max_interval, self._peers.scale_interval(interval))
 
     def long_poll_seconds(self) -> float:
         """Return how long the store may hold its response until there is a new version."""
--- a/loomwind/serving/forwarder.py
+++ b/loomwind/serving/forwarder.py
@@ -9,9 +9,9 @@
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
+from loomwind.serving.connectivity import ServiceConnectivity
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.ports import Dialect, ResponseCheck
-from loomwind.serving.reach import ServerReach
 from loomwind.serving.views import CallerRequest, RouteRule, ServerEntry
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -53,7 +53,7 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        connectivity_of: Callable[[str], ServerReach],
+        connectivity_of: Callable[[str], ServiceConnectivity],
         accepts_requests: Callable[[ServerEntry], bool] = lambda entry: True,
     ) -> None:
         """Create a forwarder.
@@ -118,11 +118,11 @@
         try:
             connection = await self._client.open(entry.address, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            connectivity.note_failed(entry.instance, self._clock.now_ms())
+            connectivity.record_connect_failure(entry.instance, self._clock.now_ms())
             raise SendFailed(
                 f"{entry.instance}: {error}", may_have_run=False, unreachable=True
             ) from error
-        connectivity.note_connected(self._clock.now_ms())
+        connectivity.record_connected(self._clock.now_ms())
         return connection
 
     def _server_request(
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -20,7 +20,7 @@
 from loomwind.serving.pool import ServerPool
 from loomwind.serving.ports import Dialect
 from loomwind.serving.prompt_guard import PromptGuard
-from loomwind.serving.relay_protocol import RelayTerms
+from loomwind.serving.relay_protocol import RelayMetadata
 from loomwind.serving.replicated_state import ReplicatedState
 from loomwind.serving.request_lifecycle import RequestLifecycle
 from loomwind.serving.views import CallerRequest, ServerEntry
@@ -135,7 +135,7 @@
         exchange: Exchange,
         request: HttpRequest,
         caller: CallerRequest,
-        relayed: RelayTerms | None = None,
+        relayed: RelayMetadata | None = None,
     ) -> None:
         """Find the route of a request and serve it.
 
@@ -152,7 +152,7 @@
             detail = f"no route; configuration {routes.configuration.version}"
             raise Refused(404, detail) if relayed is None else RelayDeclined(detail)
         service = routes.next_service(route)
-        if relayed is not None and self.pool.connectivity_of(service).is_cut:
+        if relayed is not None and self.pool.connectivity_of(service).is_unreachable:
             raise RelayDeclined("no server is reached from here")
         await RequestLifecycle(self, exchange, request, caller, route, service, relayed).serve()
 
--- a/loomwind/serving/metered.py
+++ b/loomwind/serving/metered_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted and timed, around any other store."""
+"""A store wrapper that counts and times all calls."""
 
 import asyncio
 from collections import Counter
@@ -19,17 +19,17 @@
 
 Answer = TypeVar("Answer")
 
-# One line of a daemon each time; a day's calls can be told from the last one.
-LINE_INTERVAL_SECONDS = 5.0
+# The logged counts are cumulative, so the last line gives the totals of a daemon process.
+LOG_INTERVAL_SECONDS = 5.0
 
 
 class MeteredStore(Store):
-    """Passes each call on, and notes its kind, its table, its result and how long it took."""
+    """Forwards each call and records its kind, table, result and duration."""
 
     def __init__(self, inner: Store, metrics: Metrics, clock: Clock, life: str = "") -> None:
         """Wrap a store.
 
-        :param life: names this life of the daemon in the log.
+        :param life: the ID of this daemon process in the log.
         """
         self.configuration_table = inner.configuration_table
         self.configuration_key = inner.configuration_key
@@ -41,34 +41,34 @@
         self._calls: Counter[str] = Counter()
 
     def set_address(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store elsewhere; see :meth:`Store.set_address`."""
+        """Switch to another store address; see :meth:`Store.set_address`."""
         self._inner.set_address(address, timeout_seconds)
 
     async def read(self, table: str) -> Snapshot:
         """Return a whole table; see :meth:`Store.read`."""
-        return await self._metered("read", table, self._inner.read(table))
+        return await self._measure("read", table, self._inner.read(table))
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what changed; see :meth:`Store.changes`."""
+        """Return the changes of a table; see :meth:`Store.changes`."""
         work = self._inner.changes(table, after, wait_seconds)
-        return await self._metered("changes", table, work)
+        return await self._measure("changes", table, work)
 
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
         """Write a row; see :meth:`Store.write`."""
         work = self._inner.write(table, write, timeout_seconds)
-        return await self._metered("write", table, work)
+        return await self._measure("write", table, work)
 
     async def log_calls(self) -> None:
-        """Say for ever, now and then, which calls this life has made so far."""
-        said = 0
+        """Log the number of calls so far whenever it has changed; never returns."""
+        logged_total = 0
         while True:
-            await asyncio.sleep(LINE_INTERVAL_SECONDS)
-            if self._calls.total() != said:
-                said = self._calls.total()
+            await asyncio.sleep(LOG_INTERVAL_SECONDS)
+            if self._calls.total() != logged_total:
+                logged_total = self._calls.total()
                 log_state("store", "calls", life=self._life, calls=dict(self._calls))
 
-    async def _metered(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
-        began_ms = self._clock.now_ms()
+    async def _measure(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
+        start_ms = self._clock.now_ms()
         result = "cancelled"
         try:
             answer = await work
@@ -84,7 +84,7 @@
             result = "unknown" if error.outcome_unknown else "unavailable"
             raise
         finally:
-            seconds = (self._clock.now_ms() - began_ms) / MS_PER_SECOND
+            seconds = (self._clock.now_ms() - start_ms) / MS_PER_SECOND
             self._calls[f"{call} {table} {result}"] += 1
             self._metrics.store_calls.labels(call, table, result).inc()
             if call != "changes":
--- a/loomwind/serving/pool.py
+++ b/loomwind/serving/pool.py
@@ -8,11 +8,11 @@
 from loomwind.clock import MS_PER_SECOND
 from loomwind.serving.breaker import ServerHealth
 from loomwind.serving.budget import RetryBudget
+from loomwind.serving.connectivity import ServiceConnectivity
 from loomwind.serving.demand import DemandTracker
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.expectations import Expectations, ExpectedTarget
-from loomwind.serving.reach import ServerReach
 from loomwind.serving.residency import Residency, ServerHolding
 from loomwind.serving.views import ModelKey, ServerEntry
 from loomwind.settings import BoundSettings
@@ -35,7 +35,7 @@
         self.demand = DemandTracker()
         self.expectations = Expectations()
         self.probe_needed = asyncio.Event()
-        self._connectivity: dict[str, ServerReach] = {}
+        self._connectivity: dict[str, ServiceConnectivity] = {}
         self._bounds = bounds
         self._daemon_count = DEFAULT_DAEMON_COUNT
         self._health: dict[str, ServerHealth] = {}
@@ -44,7 +44,10 @@
     def reachable_candidates(
         self, service: str, target: ModelKey | None, now: float
     ) -> list[ServerEntry]:
-        """Return the reachable servers of a service that can run a request for the target now."""
+        """Return the reachable servers of a service that can run a request for the target now.
+
+        Without a target, all usable servers are returned if none is reachable.
+        """
         usable = self.directory.usable(service, now)
         reachable = [e for e in usable if not self.health(e).is_unreachable(now)]
         if target is None:
@@ -67,17 +70,17 @@
         """Return the health of a server as observed by this daemon."""
         health = self._health.get(entry.instance)
         if health is None:
-            health = ServerHealth(self.connectivity_of(entry.service).note_heard)
+            health = ServerHealth(self.connectivity_of(entry.service).record_received)
             self._health[entry.instance] = health
         return health
 
-    def connectivity_of(self, service: str) -> ServerReach:
+    def connectivity_of(self, service: str) -> ServiceConnectivity:
         """Return this daemon's connectivity to the servers of a service."""
         if service not in self._connectivity:
-            forget = partial(self._reset_unreachable_servers, service)
-            reach = ServerReach(service, self.probe_needed.set, forget)
-            reach.list_servers(self._instances_by_service()[service])
-            self._connectivity[service] = reach
+            reset_unreachable = partial(self._reset_unreachable_servers, service)
+            connectivity = ServiceConnectivity(service, self.probe_needed.set, reset_unreachable)
+            connectivity.set_servers(self._instances_by_service()[service])
+            self._connectivity[service] = connectivity
         return self._connectivity[service]
 
     def _instances_by_service(self) -> defaultdict[str, set[str]]:
@@ -88,11 +91,19 @@
 
     def services_to_probe(self) -> list[str]:
         """Return the services whose connectivity should be probed."""
-        return [service for service, reach in self._connectivity.items() if reach.needs_probe]
+        return [
+            service
+            for service, connectivity in self._connectivity.items()
+            if connectivity.needs_probe
+        ]
 
     def unreachable_services(self) -> tuple[str, ...]:
         """Return the services whose servers accept no connections from this daemon."""
-        return tuple(service for service, reach in self._connectivity.items() if reach.is_cut)
+        return tuple(
+            service
+            for service, connectivity in self._connectivity.items()
+            if connectivity.is_unreachable
+        )
 
     def retry_budget(self, service: str) -> RetryBudget:
         """Return the budget for retries of requests to a service."""
@@ -158,7 +169,7 @@
         """Request a probe after an idle connection broke; ignores addresses of unknown servers."""
         for entry in self.directory.entries():
             if entry.address == address:
-                self.connectivity_of(entry.service).doubt()
+                self.connectivity_of(entry.service).request_probe()
 
     def _reset_unreachable_servers(self, service: str) -> None:
         """Mark all servers of a service as reachable: the fault was on this daemon's side."""
@@ -171,8 +182,8 @@
         known = {entry.instance for entry in self.directory.entries()}
         self.residency.retain_only(known)
         by_service = self._instances_by_service()
-        for service, reach in self._connectivity.items():
-            reach.list_servers(by_service[service])
+        for service, connectivity in self._connectivity.items():
+            connectivity.set_servers(by_service[service])
         self._health = {name: health for name, health in self._health.items() if name in known}
         self.demand.wake()
 
--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -65,7 +65,7 @@
             if self._suspicions.was_answered_recently(each, now_ms)
         )
         if answered:
-            self._transport.cast(message.teller, PromptsAnswered(answered))
+            self._transport.cast(message.sender, PromptsAnswered(answered))
         self._add_crashes(message.crashes)
 
     def on_answered(self, message: PromptsAnswered) -> None:
--- a/loomwind/serving/server_selector.py
+++ b/loomwind/serving/server_selector.py
@@ -40,7 +40,7 @@
         return chosen.entry if chosen else None
 
     def _eligible(self, now: float) -> list[ServerEntry]:
-        if self._connectivity.is_cut and (responsive := self._responsive_idle(now)):
+        if self._connectivity.is_unreachable and (responsive := self._responsive_idle(now)):
             return responsive
         return self._pool.reachable_candidates(self._service, self._caller.target, now)
 
@@ -57,7 +57,7 @@
 
     def is_service_unreachable(self, now: float) -> bool:
         """Whether new connections to the servers fail and no idle connection is known to work."""
-        return self._connectivity.is_cut and not self._responsive_idle(now)
+        return self._connectivity.is_unreachable and not self._responsive_idle(now)
 
     def _responsive_idle(self, now: float) -> list[ServerEntry]:
         """Return servers with an idle connection that sent data after connects began to fail."""
