--- a/loomwind/serving/prompt_guard.py
+++ b/loomwind/serving/prompt_guard.py
@@ -1,7 +1,7 @@
 """Stops requests whose prompts have a part that crashes servers.
 
 Daemons share their observations: the parts under which servers crashed, and those of them that were
-later answered completely. New observations are gossiped to the fingers at once. A daemon that has
+later answered completely. New observations are gossiped to peers at once. A daemon that has
 missed some, or has just started, gets all of them from anti-entropy when its digest differs.
 """
 
