--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -58,8 +58,8 @@
     lease = Lease(OWN, 1.8, 0.45, 0.3)
     election = Election(store, "lease", OWN, lease, StoreHealth())
     now = asyncio.get_running_loop().time()
-    lease.note_no_row(0, now)
-    lease.wrote(5, now)
+    lease.record_missing_row(0, now)
+    lease.record_write(5, now)
     pool = ServerPool(BoundSettings())
     controller = PlacementController(
         "own",
@@ -71,11 +71,11 @@
         BoundSettings(),
         Metrics(),
     )
-    assert election.leads()
+    assert election.is_leader()
     controller._spawn(_answer_late(context.events))
     assert election.release()
-    lease.wrote(6, now)
-    context.leads_after = election.leads()
+    lease.record_write(6, now)
+    context.leads_after = election.is_leader()
     await controller.finish_orders()
     await election.hand_over()
 
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -34,27 +34,27 @@
 
     def tick(self, now: float) -> None:
         """Call at a steady pace: a gap shows that this process stood still."""
-        if self.stood_still(now):
+        if self.was_paused(now):
             self._heard.clear()
             self._deaf_until = now + CONFIRMATION_SECONDS
         self._last_tick = now
 
-    def stood_still(self, now: float) -> bool:
+    def was_paused(self, now: float) -> bool:
         """Whether this process has not run for a while."""
         return now - self._last_tick > PAUSE_SECONDS
 
-    def note(self, peer: str, now: float) -> None:
+    def record(self, peer: str, now: float) -> None:
         """A peer confirms."""
-        if now >= self._deaf_until and not self.stood_still(now):
+        if now >= self._deaf_until and not self.was_paused(now):
             self._heard[peer] = now
 
-    def forget(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """A peer does not confirm."""
         self._heard.pop(peer, None)
 
-    def most_confirm(self, daemons: int, now: float) -> bool:
+    def has_majority(self, daemons: int, now: float) -> bool:
         """Whether most of so many daemons, this one included, confirm now."""
-        if self.stood_still(now):
+        if self.was_paused(now):
             return False
         fresh = sum(1 for heard in self._heard.values() if now - heard < CONFIRMATION_SECONDS)
         return 2 * (fresh + 1) > daemons
@@ -84,21 +84,21 @@
         self._health = health
         self._led = False
         self._stopping = False
-        self._paused = False
+        self._suspended = False
         self._unanswered_since: float | None = None
-        self.wrote = asyncio.Event()
-        self.longer_seconds = 0.0
-        self.cut_seconds = 0.0
+        self.write_finished = asyncio.Event()
+        self.extra_wait_seconds = 0.0
+        self.unreachable_wait_seconds = 0.0
         self.confirmations = PeerConfirmations()
-        self.daemons = 1
+        self.daemon_count = 1
 
-    def note_row(self, row: StoredRow) -> None:
+    def record_row(self, row: StoredRow) -> None:
         """Take in the lease row as the store shows it."""
-        self.note_heard(row.version, _holder(row))
+        self.record_announced_row(row.version, _holder(row))
 
-    def note_heard(self, version: int, holder: LeaseHolder | None) -> None:
+    def record_announced_row(self, version: int, holder: LeaseHolder | None) -> None:
         """Take in the lease row as the daemon that wrote it tells."""
-        self.lease.note_row(version, holder, self._now())
+        self.lease.record_row(version, holder, self._now())
         self._report()
 
     async def read_row(self) -> None:
@@ -111,12 +111,12 @@
         self._health.record_success(self._now())
         row = next((row for row in snapshot.rows if row.key == LEASE_KEY), None)
         if row is not None:
-            self.note_row(row)
+            self.record_row(row)
         else:
-            self.lease.note_no_row(snapshot.version, self._now())
+            self.lease.record_missing_row(snapshot.version, self._now())
             self._report()
 
-    async def run_ticks(self) -> None:
+    async def run_pause_detection(self) -> None:
         """Notice for ever when this process stands still, also while a write waits."""
         while True:
             self.confirmations.tick(self._now())
@@ -135,9 +135,9 @@
 
     async def _step(self) -> None:
         now = self._now()
-        if self._paused:
+        if self._suspended:
             return
-        longer = self.longer_seconds + self.cut_seconds
+        longer = self.extra_wait_seconds + self.unreachable_wait_seconds
         action = self.lease.action(now, self._health.available_seconds(now), longer)
         if action is LeaseAction.WAIT:
             return
@@ -152,13 +152,13 @@
             self._health.record_failure(self._now(), str(error))
             if error.outcome_unknown and self._unanswered_since is None:
                 self._unanswered_since = now
-            self.wrote.set()
+            self.write_finished.set()
             await asyncio.sleep(0.0 if error.outcome_unknown else REFUSED_PAUSE_SECONDS)
         else:
             self._health.record_success(self._now())
             self._unanswered_since = None
-            self.lease.wrote(version, now)
-            self.wrote.set()
+            self.lease.record_write(version, now)
+            self.write_finished.set()
 
     def _on_conflict(self, conflict: WriteConflict) -> None:
         """Take in the row as it is; one of this life was written by the write without an answer."""
@@ -167,25 +167,25 @@
                 continue
             holder = _holder(row)
             if holder is not None and holder.life == self._own.life and self._unanswered_since:
-                self.lease.wrote(row.version, self._unanswered_since)
-                self.wrote.set()
+                self.lease.record_write(row.version, self._unanswered_since)
+                self.write_finished.set()
             else:
-                self.note_row(row)
+                self.record_row(row)
         self._unanswered_since = None
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this daemon may act as the leader now; never again once it has released."""
-        if self._stopping or self._paused:
+        if self._stopping or self._suspended:
             return False
         now = self._now()
-        if self.lease.leads(now):
+        if self.lease.is_leader(now):
             return True
         if self.lease.fence is None or self._health.available_since is not None:
             return False
-        return self.confirmations.most_confirm(self.daemons, now)
+        return self.confirmations.has_majority(self.daemon_count, now)
 
     def _report(self) -> None:
-        leads = self.leads()
+        leads = self.is_leader()
         if leads == self._led:
             return
         self._led = leads
@@ -195,30 +195,30 @@
 
     def release(self) -> bool:
         """Lead no more; returns whether this daemon led. Its row stays until it is handed over."""
-        leads = self.leads()
+        leads = self.is_leader()
         self._stopping = True
-        self.lease.released()
+        self.lease.release()
         self._report()
         return leads
 
     @contextlib.contextmanager
-    def paused(self) -> Iterator[None]:
+    def suspended(self) -> Iterator[None]:
         """Lead no more, and neither take nor renew the lease meanwhile."""
-        self._paused = True
-        self.lease.released()
+        self._suspended = True
+        self.lease.release()
         self._report()
         try:
             yield
         finally:
-            self._paused = False
+            self._suspended = False
 
     async def hand_over(self) -> None:
         """Remove the row of a lease that was released: another daemon need not wait for its end."""
         expected = self.lease.expected_version
         try:
             version = await self._store.write(self._table, Write(LEASE_KEY, None, expected))
-            self.note_heard(version, None)
-            self.wrote.set()
+            self.record_announced_row(version, None)
+            self.write_finished.set()
         except (StoreUnavailable, WriteConflict) as error:
             log_state("election", "hand-over-failed", error=str(error))
 
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -30,7 +30,7 @@
     """What to do now."""
 
     WAIT = enum.auto()
-    TAKE = enum.auto()
+    ACQUIRE = enum.auto()
     RENEW = enum.auto()
 
 
@@ -79,11 +79,11 @@
         """Return the version that the next write expects; 0 when there is no row."""
         return self._version if self._exists else 0
 
-    def leads(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this daemon may act as the leader now."""
         return self.fence is not None and now < self._valid_until
 
-    def note_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
+    def record_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
         """Take in the row as the store shows it; None when there is none."""
         if self._known and version <= self._version:
             return
@@ -97,7 +97,7 @@
         if holder is None or holder.life != self._own.life:
             self.fence = None
 
-    def note_no_row(self, version: int, now: float) -> None:
+    def record_missing_row(self, version: int, now: float) -> None:
         """The table was read, and the row is not in it.
 
         :param version: the store's version of that reading.
@@ -107,15 +107,15 @@
             self._seen_at = now
             self._vacant_since = now
         elif self._exists:
-            self.note_row(version, None, now)
+            self.record_row(version, None, now)
 
-    def note_dead(self, life: str, now: float) -> None:
+    def record_ended_process(self, life: str, now: float) -> None:
         """A life of a daemon is known to have ended: its lease need not be waited out."""
         if self._dead_life != life:
             self._vacant_since = now
         self._dead_life = life
 
-    def wrote(self, version: int, sent_at: float) -> None:
+    def record_write(self, version: int, sent_at: float) -> None:
         """A write of this daemon was acknowledged.
 
         :param sent_at: the time before it was sent.
@@ -132,13 +132,13 @@
         self._renewed_at = sent_at
         self._valid_until = sent_at + self._duration - self._margin
 
-    def released(self) -> None:
+    def release(self) -> None:
         """This daemon gave the lease up."""
         self.fence = None
         self._valid_until = 0.0
 
     def action(
-        self, now: float, answers_for_seconds: float, longer_seconds: float = 0.0
+        self, now: float, answers_for_seconds: float, extra_wait_seconds: float = 0.0
     ) -> LeaseAction:
         """Return what to do.
 
@@ -152,11 +152,11 @@
             due = self.fence is None or now - self._renewed_at >= self._renew
             return LeaseAction.RENEW if due else LeaseAction.WAIT
         if self.holder is None or self.holder.life == self._dead_life:
-            vacant = now - self._vacant_since >= longer_seconds
-            return LeaseAction.TAKE if vacant else LeaseAction.WAIT
+            vacant = now - self._vacant_since >= extra_wait_seconds
+            return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
-            return LeaseAction.TAKE
-        silent = now - self._seen_at >= self._duration + longer_seconds
+            return LeaseAction.ACQUIRE
+        silent = now - self._seen_at >= self._duration + extra_wait_seconds
         if silent and answers_for_seconds >= 2 * self._renew:
-            return LeaseAction.TAKE
+            return LeaseAction.ACQUIRE
         return LeaseAction.WAIT
