--- a/features/support/fake_store.py
+++ b/features/support/fake_store.py
@@ -78,7 +78,7 @@
         self.notify()
 
     async def read(self, daemon: str) -> Snapshot:
-        """Return the whole table."""
+        """Return the full table."""
         await self._connect(daemon, READ_TIMEOUT_SECONDS)
         return self._since(0)
 
@@ -91,7 +91,7 @@
         while True:
             if epoch != self._epoch:
                 await asyncio.sleep(until + FEED_MARGIN_SECONDS - loop.time())
-                raise StoreUnavailable("no answer")
+                raise StoreUnavailable("no response")
             if after < self._oldest_version - 1:
                 raise HistoryLost("the history was discarded")
             snapshot = self._since(after)
@@ -115,7 +115,7 @@
     async def _connect(self, daemon: str, timeout: float) -> None:
         if daemon in self.faults.unanswered_daemons:
             await asyncio.sleep(timeout)
-            raise StoreUnavailable("no answer")
+            raise StoreUnavailable("no response")
         await asyncio.sleep(CALL_LATENCY_SECONDS)
         if daemon in self.faults.refused_daemons:
             raise StoreUnavailable("status 503")
@@ -133,7 +133,7 @@
         self.calls = 0
 
     async def read(self, table: str) -> Snapshot:
-        """Return the whole table."""
+        """Return the full table."""
         self.calls += 1
         return await self._store.read(self._daemon)
 
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -75,7 +75,7 @@
                 answer = await self._daemons[address].on_message(message)
                 await self._transmit(sender, address)
         except TimeoutError as error:
-            raise PeerUnreachable("no answer") from error
+            raise PeerUnreachable("no response") from error
         assert answer is not None
         return answer
 
