--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_finger_steps.py
@@ -16,8 +16,8 @@
 class ElectionStub:
     """An election stub that stores the attributes set by a peer table."""
 
-    daemons = 1
-    longer_seconds = 0.0
+    daemon_count = 1
+    extra_wait_seconds = 0.0
 
 
 def peer_table(name: str, rows: Snapshot) -> PeerTable:
--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from loomwind.http.event_stream import EventCutter
+from loomwind.http.event_stream import EventStreamBuffer
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
 from loomwind.placement.load_rate_limiter import LoadRateLimiter
 from loomwind.serving.budget import RetryBudget
@@ -140,15 +140,15 @@
 def step_interrupted_stream(context: Any, size: int) -> None:
     events_data = b"".join(b"id: %d\ndata: token\n\n" % number for number in range(1, 6))
     interrupted = events_data[:-9]
-    context.cutter = EventCutter()
+    context.event_buffer = EventStreamBuffer()
     chunks = [interrupted[at : at + size] for at in range(0, len(interrupted), size)]
-    context.relayed = b"".join(context.cutter.feed(piece) for piece in chunks)
+    context.relayed = b"".join(context.event_buffer.feed(piece) for piece in chunks)
 
 
 @then("only complete events were relayed, and the last event id is known")
 def step_complete_events(context: Any) -> None:
     assert context.relayed.endswith(b"\n\n") and context.relayed.count(b"\n\n") == 4
-    assert context.cutter.last_event_id == "4"
+    assert context.event_buffer.last_event_id == "4"
 
 
 OTHER_HOLDER = LeaseHolder("other", "life-1", "a:1")
@@ -157,7 +157,7 @@
 @given("a lease of {seconds:d} s held by another daemon")
 def step_lease(context: Any, seconds: int) -> None:
     context.lease = Lease(LeaseHolder("own", "life-2", "a:2"), float(seconds), 0.5, 0.3)
-    context.lease.note_row(7, OTHER_HOLDER, 100.0)
+    context.lease.record_row(7, OTHER_HOLDER, 100.0)
 
 
 @then("it is not taken over after {early:f} s, but after {late:f} s if the store is available")
@@ -165,22 +165,22 @@
     lease: Lease = context.lease
     assert lease.action(100.0 + early, 60.0) is LeaseAction.WAIT
     assert lease.action(100.0 + late, 0.1) is LeaseAction.WAIT
-    assert lease.action(100.0 + late, 60.0) is LeaseAction.TAKE
+    assert lease.action(100.0 + late, 60.0) is LeaseAction.ACQUIRE
 
 
 @then("it is taken over at once when the holder is known to have ended")
 def step_taken_over_at_once(context: Any) -> None:
     lease: Lease = context.lease
-    lease.note_dead("life-0", 100.0)
+    lease.record_ended_process("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
-    lease.note_dead(OTHER_HOLDER.life, 100.0)
-    assert lease.action(100.1, 60.0) is LeaseAction.TAKE
+    lease.record_ended_process(OTHER_HOLDER.life, 100.0)
+    assert lease.action(100.1, 60.0) is LeaseAction.ACQUIRE
 
 
 @then("its holder stops leading before another daemon takes it over")
 def step_holder_stops_leading(context: Any) -> None:
     holder = Lease(OTHER_HOLDER, 3.0, 0.5, 0.3)
-    holder.note_no_row(0, 90.0)
-    holder.wrote(7, 100.0)
-    assert holder.leads(102.6) and not holder.leads(102.8)
+    holder.record_missing_row(0, 90.0)
+    holder.record_write(7, 100.0)
+    assert holder.is_leader(102.6) and not holder.is_leader(102.8)
     assert holder.fence == 7
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -302,13 +302,13 @@
             if self._dispatch is not None:
                 self._dispatch.on_routing(update)
         else:
-            self.transport.cast(member.address, update)
+            self.transport.send(member.address, update)
 
     def redirect(self, overrides: dict[str, str]) -> None:
         """Reach some addresses through others from now on, and drop the links to them."""
         self._connector.redirect({**self.settings.address_overrides, **overrides})
         for address in overrides:
-            self.transport.forget(address)
+            self.transport.disconnect(address)
 
     def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
         """Put changed limits on callers in force; all else needs a restart."""
@@ -361,7 +361,7 @@
         self.callers.stop_listening()
         try:
             async with asyncio.timeout(grace_seconds):
-                while any(not connection.idle for connection in self.callers.connections):
+                while any(not connection.is_idle for connection in self.callers.connections):
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
         except TimeoutError:
             log_state("daemon", "grace-over", open=len(self.callers.connections))
@@ -370,7 +370,7 @@
 
     async def _notice(self) -> None:
         """Give peers and load balancers time to notice, while requests are still served."""
-        deadline = self.membership.now + constants.LEAVING_NOTICE_SECONDS
+        deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
         others = [info for info in self.membership.alive() if info != self.membership.own]
         limit = deadline + (HANDOVER_SECONDS if others else 0.0)
         own = self.membership.own.identity
--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -15,13 +15,13 @@
 from loomwind.http.errors import (
     CONNECT_EXCEPTIONS,
     PROTOCOL_EXCEPTIONS,
-    BodyCutShort,
+    BodyTruncated,
     ConnectionBroken,
     ExchangeTimeout,
     map_exceptions,
 )
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
-from loomwind.http.sockets import end_when_silent
+from loomwind.http.sockets import enable_dead_peer_detection
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
 KEEP_ALIVE_TIMEOUT = "timeout="
@@ -47,12 +47,12 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to a back end."""
 
-    def __init__(self, address: str, silence_ms: float | None = None) -> None:
+    def __init__(self, address: str, user_timeout_ms: float | None = None) -> None:
         self.address = address
         self.state = ClientState.IDLE
         self.idle_until: float | None = None
-        self.on_idle_broken: Callable[[str], None] | None = None
-        self._silence_ms = silence_ms
+        self.on_idle_connection_error: Callable[[str], None] | None = None
+        self._user_timeout_ms = user_timeout_ms
         self._h11 = _new_parser()
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -66,8 +66,8 @@
         """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self._silence_ms is not None:
-            end_when_silent(transport, self._silence_ms)
+        if self._user_timeout_ms is not None:
+            enable_dead_peer_detection(transport, self._user_timeout_ms)
 
     @property
     def transport(self) -> asyncio.Transport | None:
@@ -84,7 +84,7 @@
             return
         self._h11.receive_data(data)
         self._buffered_bytes += len(data)
-        if self._buffered_bytes > constants.READ_BUFFER_HIGH_BYTES and self._transport:
+        if self._buffered_bytes > constants.READ_BUFFER_HIGH_WATER_BYTES and self._transport:
             self._transport.pause_reading()
         self._wake()
 
@@ -98,8 +98,8 @@
                 self._h11.receive_data(b"")
         if idle:
             self.state = ClientState.CLOSED
-            if self._reset and self.on_idle_broken is not None:
-                self.on_idle_broken(self.address)
+            if self._reset and self.on_idle_connection_error is not None:
+                self.on_idle_connection_error(self.address)
         self._wake()
 
     def _wake(self) -> None:
@@ -194,7 +194,7 @@
     async def read_body(self) -> bytes:
         """Return what has arrived of the body as one piece; empty at its proper end.
 
-        :raises BodyCutShort: the body ended before its announced end.
+        :raises BodyTruncated: the body ended before its announced end.
         """
         if self._body_ended:
             self._end_exchange()
@@ -206,7 +206,7 @@
             except h11.ProtocolError as error:
                 if pieces:
                     return b"".join(pieces)
-                raise BodyCutShort(str(error)) from error
+                raise BodyTruncated(str(error)) from error
             if isinstance(event, h11.Data):
                 pieces.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -221,9 +221,9 @@
                 try:
                     await self._wait_for_data()
                 except ConnectionBroken as error:
-                    raise BodyCutShort(str(error)) from error
+                    raise BodyTruncated(str(error)) from error
             else:
-                raise BodyCutShort("closed before the body's end")
+                raise BodyTruncated("closed before the body's end")
 
     def _end_exchange(self) -> None:
         self._body_ended = False
@@ -262,14 +262,15 @@
     """Opens connections; an operator may direct an address elsewhere by ``overrides``."""
 
     def __init__(
-        self, overrides: dict[str, str] | None = None, silence_ms: float | None = None
+        self, overrides: dict[str, str] | None = None, user_timeout_ms: float | None = None
     ) -> None:
         """Make a connector.
 
-        :param silence_ms: ends a connection whose peer acknowledges nothing for so long, if given.
+        :param user_timeout_ms: ends a connection whose peer acknowledges nothing for this long;
+            None never does.
         """
         self._overrides = overrides or {}
-        self.silence_ms = silence_ms
+        self.user_timeout_ms = user_timeout_ms
 
     def redirect(self, overrides: dict[str, str]) -> None:
         """Use other addresses from now on; links that are open stay open."""
@@ -290,7 +291,7 @@
         with map_exceptions(CONNECT_EXCEPTIONS):
             async with asyncio.timeout(timeout):
                 _, connection = await loop.create_connection(
-                    lambda: ClientConnection(address, self.silence_ms), host, port
+                    lambda: ClientConnection(address, self.user_timeout_ms), host, port
                 )
         return connection
 
@@ -298,15 +299,15 @@
 class HttpClient:
     """Keeps idle connections per address and gives each to one exchange at a time.
 
-    :ivar on_idle_broken: called with the address of an idle connection that ends without a proper
-        end: it is reset, or its peer is silent.
+    :ivar on_idle_connection_error: called with the address of an idle connection that is reset or
+        whose peer stops acknowledging; not when the peer closes it in order.
     """
 
     def __init__(self, connector: Connector, max_idle: int = 64) -> None:
         self._connector = connector
         self._max_idle = max_idle
         self._idle: dict[str, deque[ClientConnection]] = {}
-        self.on_idle_broken: Callable[[str], None] | None = None
+        self.on_idle_connection_error: Callable[[str], None] | None = None
 
     async def acquire(self, address: str, timeout: float) -> ClientConnection:
         """Return an idle connection, or a new one.
@@ -351,7 +352,7 @@
         if len(idle) >= self._max_idle:
             connection.close()
         else:
-            connection.on_idle_broken = self.on_idle_broken
+            connection.on_idle_connection_error = self.on_idle_connection_error
             idle.append(connection)
 
     async def request(
--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -9,7 +9,7 @@
 
 from loomwind import constants
 from loomwind.http.client import Connector
-from loomwind.http.sockets import end_when_silent
+from loomwind.http.sockets import enable_dead_peer_detection
 from loomwind.messages import AnyMessage
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import BadFrame, PeerUnreachable
@@ -31,7 +31,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._peers.incoming.add(transport)
-        self._peers.end_when_silent(transport)
+        self._peers.enable_dead_peer_detection(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._transport is not None:
@@ -54,7 +54,7 @@
         if answer is None or not envelope.call or self._transport is None:
             return
         frame = encode(Envelope(envelope.call, True, answer))
-        self._peers.count(answer, len(frame))
+        self._peers.record_sent(answer, len(frame))
         if not self._transport.is_closing():
             self._transport.write(frame)
 
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._peers.end_when_silent(transport)
+        self._peers.enable_dead_peer_detection(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -137,10 +137,10 @@
             link.transport.abort()
             raise PeerUnreachable("the peer does not read")
         frame = encode(envelope)
-        self._peers.count(envelope.message, len(frame))
+        self._peers.record_sent(envelope.message, len(frame))
         link.transport.write(frame)
 
-    async def cast(self, message: AnyMessage) -> None:
+    async def send(self, message: AnyMessage) -> None:
         """Send a message that wants no answer.
 
         :raises PeerUnreachable: the link could not be made.
@@ -202,12 +202,12 @@
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
-    def end_when_silent(self, transport: asyncio.Transport) -> None:
+    def enable_dead_peer_detection(self, transport: asyncio.Transport) -> None:
         """End a link whose peer acknowledges nothing for too long, if this daemon limits that."""
-        if self.connector.silence_ms is not None:
-            end_when_silent(transport, self.connector.silence_ms)
+        if self.connector.user_timeout_ms is not None:
+            enable_dead_peer_detection(transport, self.connector.user_timeout_ms)
 
-    def count(self, message: AnyMessage, size: int) -> None:
+    def record_sent(self, message: AnyMessage, size: int) -> None:
         """Count a sent message of ``size`` bytes."""
         self._metrics.peer_messages.labels(type(message).__name__).inc()
         self._metrics.peer_bytes.inc(size)
@@ -217,17 +217,17 @@
             self._links[address] = PeerLink(address, self)
         return self._links[address]
 
-    def cast(self, address: str, message: AnyMessage) -> None:
+    def send(self, address: str, message: AnyMessage) -> None:
         """Send a message in the background; it is dropped when the link is down."""
         if self._closed:
             return
-        task = asyncio.get_running_loop().create_task(self._cast(address, message))
+        task = asyncio.get_running_loop().create_task(self._send(address, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cast(self, address: str, message: AnyMessage) -> None:
+    async def _send(self, address: str, message: AnyMessage) -> None:
         try:
-            await self._link(address).cast(message)
+            await self._link(address).send(message)
         except PeerUnreachable:
             return
 
@@ -243,11 +243,11 @@
         """
         return await self._link(address).call(message, timeout)
 
-    def outgoing(self, address: str) -> asyncio.Transport | None:
+    def connection_to(self, address: str) -> asyncio.Transport | None:
         """Return the connection to an address; None while there is none."""
         return self._link(address).transport
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """End the link to an address that is no longer spoken to."""
         link = self._links.pop(address, None)
         if link is not None:
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -124,7 +124,7 @@
         lease = Lease(
             self._own,
             duration,
-            min(constants.LEASE_RENEW_SECONDS, LEASE_RENEW_FRACTION * duration),
+            min(constants.LEASE_RENEWAL_INTERVAL_SECONDS, LEASE_RENEW_FRACTION * duration),
             min(constants.LEASE_MARGIN_SECONDS, LEASE_MARGIN_FRACTION * duration),
         )
         self._election = Election(store, LEASE_TABLE, self._own, lease, self._health)
@@ -169,7 +169,7 @@
         """Create the components that communicate with peers."""
         self._transport = PeerTransport(
             self._on_message,
-            Connector(silence_ms=constants.POOL_SILENCE_MS),
+            Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS),
             self.metrics,
         )
         self._leader_watch = LeaderWatch(
@@ -251,7 +251,7 @@
             self._pool.connectivity_of,
             self._pool.accepts_requests,
         )
-        self._client.on_idle_broken = self._pool.record_broken_connection
+        self._client.on_idle_connection_error = self._pool.record_broken_connection
         self._probe = ConnectivityProbe(self._pool, forwarder)
         self._handler = RequestHandler(
             self.settings.zone,
@@ -288,7 +288,7 @@
         for follower in self._followers:
             self._spawn(follower.run())
         self._spawn(self._election.run())
-        self._spawn(self._election.run_ticks())
+        self._spawn(self._election.run_pause_detection())
         self._spawn(self._controller.run())
         self._spawn(self._peers.register())
         self._spawn(self._probe.run())
--- a/loomwind/serving/handler.py
+++ b/loomwind/serving/handler.py
@@ -83,7 +83,7 @@
 
     def count_send(self, entry: ServerEntry, end: str) -> None:
         """Count the outcome of a send to a server."""
-        self.metrics.sends.labels(self.metrics.server_labels.of(entry.instance), end).inc()
+        self.metrics.sends.labels(self.metrics.server_labels.label_for(entry.instance), end).inc()
 
     def reject_waiting(self) -> None:
         """Reject all requests that wait for a model, now and later, as this daemon shuts down."""
@@ -109,8 +109,12 @@
     async def _respond(self, exchange: Exchange) -> None:
         request = exchange.request
         if request is None:
-            bad = exchange.bad
-            status, title = (bad.status, bad.title) if bad else (400, "malformed-request")
+            bad_request = exchange.bad_request
+            status, title = (
+                (bad_request.status, bad_request.title)
+                if bad_request
+                else (400, "malformed-request")
+            )
             await exchange.respond(status, (), title.encode())
             return
         caller = self.dialect.read_request(request)
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -32,8 +32,8 @@
         version, _ = lease.INITIAL[0]
         free = LeaseHolder("daemon-9", "life-9", "a:9")
         for each in self._leases:
-            each.note_row(version, free, self._now)
-            each.note_dead(free.life, self._now)
+            each.record_row(version, free, self._now)
+            each.record_ended_process(free.life, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Do in the code what a step of the model does."""
@@ -47,9 +47,9 @@
         elif verb == "decide-to-take":
             self._decide(d, version, holder)
         elif verb == "take":
-            self._leases[d].wrote(after[0][0], self._now)
+            self._leases[d].record_write(after[0][0], self._now)
         elif verb in ("conflict", "renewal-conflict"):
-            self._leases[d].note_row(version, self._holders[holder], self._now)
+            self._leases[d].record_row(version, self._holders[holder], self._now)
         elif verb in ("renew", "renew-late"):
             self._renew(d, after[0][0], late=verb == "renew-late")
 
@@ -57,9 +57,9 @@
         """A daemon sees the row, and nothing of its holder for the whole duration."""
         own = self._leases[d]
         if holder != lease.NOBODY:
-            own.note_row(version, self._holders[holder], self._now)
+            own.record_row(version, self._holders[holder], self._now)
             self._now += DURATION_S
-        if own.action(self._now, ANSWERS_S) is not LeaseAction.TAKE:
+        if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
             raise Disagreement(f"daemon {d} does not take the row at version {version}")
         if own.expected_version != version:
             raise Disagreement(f"daemon {d} expects {own.expected_version}, not {version}")
@@ -69,7 +69,7 @@
         sent_at = self._now - DURATION_S if late else self._now
         if own.expected_version != version - 1:
             raise Disagreement(f"daemon {d} renews at {own.expected_version}, not {version - 1}")
-        own.wrote(version, sent_at)
+        own.record_write(version, sent_at)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
@@ -78,7 +78,7 @@
         """
         for d, expected in enumerate(state[1]):
             own = self._leases[d]
-            leads = own.leads(self._now)
+            leads = own.is_leader(self._now)
             if leads != expected.good:
                 raise Disagreement(f"daemon {d} leads: {leads}, in the model {expected.good}")
             if leads and own.fence != expected.fence:
