--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -100,7 +100,7 @@
     return LogLine(time, str(fields.pop("daemon", "")), kind, fields)
 
 
-def tell(request_id: str, lines: Sequence[LogLine]) -> Story:
+def explain_request(request_id: str, lines: Sequence[LogLine]) -> Story:
     """Return the story of a request.
 
     :param lines: all lines, by time.
@@ -206,7 +206,7 @@
 
 def print_story(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
     """Print a request's story."""
-    story = tell(request_id, read_lines(paths))
+    story = explain_request(request_id, read_lines(paths))
     if as_json:
         print(msgspec.json.encode(story, enc_hook=str).decode())
         return
