--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -63,7 +63,7 @@
         return self.fields.get(name)
 
 
-class Story(Struct, frozen=True):
+class RequestHistory(Struct, frozen=True):
     """What is known of a request.
 
     :param own: the lines about it.
@@ -100,14 +100,14 @@
     return LogLine(time, str(fields.pop("daemon", "")), kind, fields)
 
 
-def explain_request(request_id: str, lines: Sequence[LogLine]) -> Story:
+def explain_request(request_id: str, lines: Sequence[LogLine]) -> RequestHistory:
     """Return the story of a request.
 
     :param lines: all lines, by time.
     """
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
-        return Story(request_id, Cause.NOT_FOUND, (), (), ())
+        return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
     end = own[-1]
     before = [line for line in lines if end.time - BELIEF_SECONDS <= line.time <= end.time]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
@@ -120,7 +120,7 @@
         and str(line.get("target")).partition("/")[0] == model
     )
     beliefs = tuple(_beliefs(before, end.daemon))
-    return Story(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
+    return RequestHistory(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
 
 
 def _beliefs(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
