--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -222,7 +222,7 @@
         """
         from loomwind import explain
 
-        explain.print_story(request, logs, json)
+        explain.print_request_history(request, logs, json)
 
     def timeline(self, *logs: str, start: float = 0.0, end: float = 0.0) -> None:
         """List what daemons came to believe, and how many requests ended badly, second by second.
--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -204,7 +204,7 @@
     return f"{line.time - begin:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
 
 
-def print_story(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
+def print_request_history(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
     """Print a request's story."""
     story = explain_request(request_id, read_lines(paths))
     if as_json:
