--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-BELIEF_SECONDS = 30.0
+LOOKBACK_SECONDS = 30.0
 REQUEST_TYPE = "loomwind:request"
 ENDS = ("given-up", "out-of-time", "caller-left")
 
@@ -109,7 +109,7 @@
     if not own:
         return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
     end = own[-1]
-    before = [line for line in lines if end.time - BELIEF_SECONDS <= line.time <= end.time]
+    before = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
