--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -119,11 +119,11 @@
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    beliefs = tuple(_beliefs(before, end.daemon))
+    beliefs = tuple(_latest_states(before, end.daemon))
     return RequestHistory(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
 
 
-def _beliefs(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
+def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
     newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.daemon == daemon and line.kind not in (REQUEST_TYPE, "loomwind:order"):
