--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -42,7 +42,7 @@
     UNKNOWN = "the lines do not tell"
 
 
-VERDICTS = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
+WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
 class LogLine(Struct, frozen=True):
@@ -180,9 +180,9 @@
     )
     if not orders and (not any(leads.values()) or store_lost):
         return Cause.NO_LEADER
-    verdict = next((line for line in own if line.get("decision") in VERDICTS), None)
+    verdict = next((line for line in own if line.get("decision") in WAIT_CAUSES), None)
     if verdict is not None and verdict.get("ready_in_ms") is not None:
-        return VERDICTS[str(verdict.get("decision"))]
+        return WAIT_CAUSES[str(verdict.get("decision"))]
     return Cause.MODEL_NOT_LOADED
 
 
