--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -15,7 +15,7 @@
 
 LOOKBACK_SECONDS = 30.0
 REQUEST_TYPE = "loomwind:request"
-ENDS = ("given-up", "out-of-time", "caller-left")
+FAILED_DECISIONS = ("given-up", "out-of-time", "caller-left")
 
 
 class Cause(enum.Enum):
@@ -139,7 +139,7 @@
 ) -> Cause:
     """Return the likely cause; the first rule that fits."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
-    ended = next((line for line in own if line.get("decision") in ENDS), None)
+    ended = next((line for line in own if line.get("decision") in FAILED_DECISIONS), None)
     reason = str(refused.get("reason")) if refused else ""
     if refused and refused.get("status") == 404:
         return Cause.NO_ROUTE
