--- a/features/steps/configuration_effect_steps.py
+++ b/features/steps/configuration_effect_steps.py
@@ -8,7 +8,7 @@
 from features.support.fake_store import configuration_document
 from features.support.virtual_time import run_in_virtual_time
 from loomwind.http.server import ServerConnection
-from loomwind.platform.deployment import pool_daemon
+from loomwind.platform.deployment import create_pool_daemon
 from loomwind.serving.daemon import PoolDaemon
 from loomwind.serving.ports import Snapshot, StoredRow
 from loomwind.settings import Settings, StoreSettings
@@ -56,7 +56,7 @@
 
 async def _check_idle_timeout(context: Any, first: float, second: float) -> None:
     store = StoreSettings("store:1")
-    daemon = pool_daemon(Settings("daemon-1", store=store), store)
+    daemon = create_pool_daemon(Settings("daemon-1", store=store), store)
     _apply_configuration(daemon, 1, context.first_seconds)
     ServerConnection(daemon.callers).connection_made(context.transport)
     await asyncio.sleep(context.later)
--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -53,11 +53,11 @@
 
 async def _serve(settings: Settings, path: Path, overrides: dict[str, object]) -> None:
     if settings.store is not None:
-        from loomwind.platform.deployment import pool_daemon
+        from loomwind.platform.deployment import create_pool_daemon
 
         writer = logs.log_to_stdout(settings.name)
         flusher = asyncio.get_running_loop().create_task(writer.run())
-        daemon = pool_daemon(settings, settings.store)
+        daemon = create_pool_daemon(settings, settings.store)
         daemon.metrics.log_lines_dropped.set_function(lambda: writer.total_dropped)
         await _run_until_told(daemon, settings, path, overrides)
         flusher.cancel()
--- a/loomwind/platform/deployment.py
+++ b/loomwind/platform/deployment.py
@@ -10,7 +10,7 @@
 from loomwind.settings import Settings, StoreSettings
 
 
-def pool_daemon(settings: Settings, store: StoreSettings) -> PoolDaemon:
+def create_pool_daemon(settings: Settings, store: StoreSettings) -> PoolDaemon:
     """Return a daemon for the platform whose store the settings name."""
     connector = Connector(settings.address_overrides, user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     client = HttpClient(connector)
