--- a/features/steps/server_entries_steps.py
+++ b/features/steps/server_entries_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from features.steps.server_list_steps import replicated_state
-from loomwind.platform.store import rows_of
+from loomwind.platform.store import parse_rows
 from loomwind.serving.ports import Snapshot, StoredRow
 from loomwind.serving.residency import ServerHolding
 from loomwind.serving.views import HeldModel, ModelKey
@@ -105,7 +105,7 @@
 @when("the store lists {first:w} with a valid value and {second:w} with invalid base64")
 def step_base64(context: Any, first: str, second: str) -> None:
     rows = [{"key": first, "ver": 1, "value": "e30="}, {"key": second, "ver": 2, "value": "e30=="}]
-    context.rows = rows_of(msgspec.json.encode({"ver": 2, "rows": rows}))
+    context.rows = parse_rows(msgspec.json.encode({"ver": 2, "rows": rows}))
 
 
 @then("the rows are {first:w} with its entry and {second:w} with an empty value")
--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -121,7 +121,7 @@
         return response
 
 
-def rows_of(body: bytes) -> list[StoredRow]:
+def parse_rows(body: bytes) -> list[StoredRow]:
     """Return the rows of an answer's body."""
     return [_row(row) for row in msgspec.json.decode(body, type=RowsAnswer).rows]
 
