--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -36,7 +36,7 @@
     gone: bool = False
 
 
-class RowsAnswer(Struct):
+class RowsResponse(Struct):
     """The answer of each call about rows."""
 
     ver: int = 0
@@ -123,12 +123,12 @@
 
 def parse_rows(body: bytes) -> list[StoredRow]:
     """Return the rows of an answer's body."""
-    return [_row(row) for row in msgspec.json.decode(body, type=RowsAnswer).rows]
+    return [_row(row) for row in msgspec.json.decode(body, type=RowsResponse).rows]
 
 
-def _decode(response: HttpResponse) -> RowsAnswer:
+def _decode(response: HttpResponse) -> RowsResponse:
     try:
-        return msgspec.json.decode(response.body, type=RowsAnswer)
+        return msgspec.json.decode(response.body, type=RowsResponse)
     except msgspec.MsgspecError as error:
         raise StoreUnavailable(f"unreadable answer: {error}", outcome_unknown=True) from error
 
