--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -22,7 +22,7 @@
 )
 
 JSON_HEADERS = (("content-type", "application/json"),)
-FEED_MARGIN_SECONDS = 0.6
+LONG_POLL_MARGIN_SECONDS = 0.6
 GONE_STATUS = 410
 CONFLICT_STATUS = 412
 
@@ -78,7 +78,7 @@
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
         """Return what changed; see :meth:`Store.changes`."""
         query = {"table": table, "after": str(after), "wait-ms": str(int(wait_seconds * 1000))}
-        response = await self._get("/rows-feed", query, wait_seconds + FEED_MARGIN_SECONDS)
+        response = await self._get("/rows-feed", query, wait_seconds + LONG_POLL_MARGIN_SECONDS)
         answer = _decode(response)
         return Snapshot(tuple(_row(row) for row in answer.rows), answer.ver)
 
