--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -22,7 +22,7 @@
 )
 from loomwind.settings import Address
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 LEAST_PATIENCE_MS = 2000.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
@@ -153,7 +153,7 @@
             wire = msgspec.json.decode(value, type=WireServer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             raise MalformedDocument(f"server {name}: {error}") from error
-        if int(wire.address.rpartition(":")[2]) > HIGHEST_PORT:
+        if int(wire.address.rpartition(":")[2]) > MAX_PORT:
             raise MalformedDocument(f"server {name}: no port in {wire.address}")
         return ServerEntry(
             name=name,
