--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -189,11 +189,11 @@
         sticky=wire.sticky_sessions,
         resumable=wire.resumable,
         gap_objective_seconds=wire.gap_aim_ms / 1000,
-        event_timeout_seconds=_patience_ms(wire) / 1000,
+        event_timeout_seconds=_event_timeout_ms(wire) / 1000,
     )
 
 
-def _patience_ms(wire: WireRoute) -> float:
+def _event_timeout_ms(wire: WireRoute) -> float:
     """Return how long clients wait for the next event of a stream, by the platform's pages."""
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
