--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -23,7 +23,7 @@
 from loomwind.settings import Address
 
 MAX_PORT = 65_535
-LEAST_PATIENCE_MS = 2000.0
+MIN_EVENT_TIMEOUT_MS = 2000.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
 
@@ -198,7 +198,7 @@
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
     by_objective = PATIENCE_OBJECTIVES * wire.target_latency_ms
-    return max(LEAST_PATIENCE_MS, by_objective, PATIENCE_PAUSES * wire.gap_aim_ms)
+    return max(MIN_EVENT_TIMEOUT_MS, by_objective, PATIENCE_PAUSES * wire.gap_aim_ms)
 
 
 def _service(wire: WireService) -> ServiceProfile:
