--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -24,7 +24,7 @@
 
 MAX_PORT = 65_535
 MIN_EVENT_TIMEOUT_MS = 2000.0
-PATIENCE_OBJECTIVES = 4.0
+EVENT_TIMEOUT_LATENCY_FACTOR = 4.0
 PATIENCE_PAUSES = 8.0
 
 
@@ -197,7 +197,7 @@
     """Return how long clients wait for the next event of a stream, by the platform's pages."""
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
-    by_objective = PATIENCE_OBJECTIVES * wire.target_latency_ms
+    by_objective = EVENT_TIMEOUT_LATENCY_FACTOR * wire.target_latency_ms
     return max(MIN_EVENT_TIMEOUT_MS, by_objective, PATIENCE_PAUSES * wire.gap_aim_ms)
 
 
