--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -25,7 +25,7 @@
 MAX_PORT = 65_535
 MIN_EVENT_TIMEOUT_MS = 2000.0
 EVENT_TIMEOUT_LATENCY_FACTOR = 4.0
-PATIENCE_PAUSES = 8.0
+EVENT_TIMEOUT_GAP_FACTOR = 8.0
 
 
 WireState = Literal["ready", "draining"]
@@ -198,7 +198,7 @@
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
     by_objective = EVENT_TIMEOUT_LATENCY_FACTOR * wire.target_latency_ms
-    return max(MIN_EVENT_TIMEOUT_MS, by_objective, PATIENCE_PAUSES * wire.gap_aim_ms)
+    return max(MIN_EVENT_TIMEOUT_MS, by_objective, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
 
 
 def _service(wire: WireService) -> ServiceProfile:
