--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -31,7 +31,7 @@
 WireState = Literal["ready", "draining"]
 
 
-class WirePart(Struct):
+class WireWeightedService(Struct):
     """A part of a split."""
 
     service: str
@@ -49,7 +49,7 @@
     target_latency_ms: float
     priority: int = 0
     service: str = ""
-    traffic_split: list[WirePart] = []
+    traffic_split: list[WireWeightedService] = []
     max_attempts: int = 1
     sticky_sessions: bool = False
     resumable: bool = False
