--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -105,7 +105,7 @@
     limits: WireLimits
 
 
-class WireHeld(Struct, rename="kebab"):
+class WireHeldModel(Struct, rename="kebab"):
     """A model that a server holds."""
 
     name: str
@@ -121,7 +121,7 @@
     state: WireState
     slots: int = 1
     seq: int = 0
-    models: list[WireHeld] = []
+    models: list[WireHeldModel] = []
     remaining_ms: float | None = None
     born: int | None = None
 
@@ -169,7 +169,7 @@
         )
 
 
-def held_models(models: list[WireHeld]) -> tuple[HeldModel, ...]:
+def held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
     """Return the models of an entry or a report."""
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -7,7 +7,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.platform.dialect import EXPECT_INSTANCE, INSTANCE
-from loomwind.platform.documents import WireHeld, held_models
+from loomwind.platform.documents import WireHeldModel, held_models
 from loomwind.serving.ports import EngineControl
 from loomwind.serving.views import (
     ModelKey,
@@ -39,7 +39,7 @@
 
     seq: int = 0
     busy: bool = False
-    models: list[WireHeld] = []
+    models: list[WireHeldModel] = []
     waiting: int = 0
     running: int = 0
     kv_used: int = 0
