--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -27,7 +27,7 @@
 }
 
 
-class WireCopies(Struct, rename="kebab"):
+class WireCachedWeights(Struct, rename="kebab"):
     """Copies of weights that a server keeps beside its accelerators."""
 
     resident: list[str] = []
@@ -45,7 +45,7 @@
     kv_used: int = 0
     kv_total: int = 0
     pending: list[str] = []
-    available: WireCopies = msgspec.field(default_factory=WireCopies)
+    available: WireCachedWeights = msgspec.field(default_factory=WireCachedWeights)
     born: int | None = None
 
 
