--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -17,7 +17,7 @@
     ServerReport,
 )
 
-ANSWERS = {
+ORDER_ANSWER_BY_STATUS = {
     200: OrderAnswer.ALREADY,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
@@ -88,7 +88,7 @@
             return OrderAnswer.REJECTED
         except HttpError:
             return OrderAnswer.UNKNOWN
-        return ANSWERS.get(response.status, OrderAnswer.UNKNOWN)
+        return ORDER_ANSWER_BY_STATUS.get(response.status, OrderAnswer.UNKNOWN)
 
 
 def _is_other(response: HttpResponse, entry: ServerEntry) -> bool:
