--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -62,7 +62,7 @@
             response = await self._http.request(
                 entry.address, HttpRequest("GET", "/report", headers), timeout
             )
-            if response.status != 200 or _is_other(response, entry):
+            if response.status != 200 or _is_other_server(response, entry):
                 return None
             wire = msgspec.json.decode(response.body, type=WireReport)
             return None if _is_other_life(wire, entry) else _report(wire)
@@ -91,7 +91,7 @@
         return ORDER_ANSWER_BY_STATUS.get(response.status, OrderAnswer.UNKNOWN)
 
 
-def _is_other(response: HttpResponse, entry: ServerEntry) -> bool:
+def _is_other_server(response: HttpResponse, entry: ServerEntry) -> bool:
     return response.header(INSTANCE) not in (None, entry.name)
 
 
