--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -65,7 +65,7 @@
             if response.status != 200 or _is_other_server(response, entry):
                 return None
             wire = msgspec.json.decode(response.body, type=WireReport)
-            return None if _is_other_life(wire, entry) else _report(wire)
+            return None if _was_restarted(wire, entry) else _report(wire)
         except (HttpError, msgspec.MsgspecError):
             return None
 
@@ -95,7 +95,7 @@
     return response.header(INSTANCE) not in (None, entry.name)
 
 
-def _is_other_life(wire: WireReport, entry: ServerEntry) -> bool:
+def _was_restarted(wire: WireReport, entry: ServerEntry) -> bool:
     """Whether the server has started again, under its name, since it was listed."""
     return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
