--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -109,13 +109,13 @@
         running=wire.running,
         kv_used=wire.kv_used,
         kv_total=wire.kv_total,
-        pending_adapters=tuple(_pending(text) for text in wire.pending),
+        pending_adapters=tuple(_parse_pending_adapter(text) for text in wire.pending),
         in_memory=frozenset(wire.available.resident),
         on_disk=frozenset(wire.available.disk_cached),
         started_at_ms=wire.born,
     )
 
 
-def _pending(text: str) -> ModelKey:
+def _parse_pending_adapter(text: str) -> ModelKey:
     model, _, adapter = text.partition("@")[0].partition("/")
     return ModelKey(model, adapter)
