--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -15,7 +15,7 @@
 INSTANCE = "x-instance-id"
 NOT_EXECUTED = "x-not-executed"
 PRIORITY = "x-request-priority"
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 LOWEST_PRIORITY = 9
 
 # Fields that the daemon itself sets on what it sends to a server.
@@ -84,7 +84,7 @@
     ) -> ResponseCheck:
         """Return what the head of an answer says; see :meth:`Dialect.check_response`."""
         matches_request = head.header(REQUEST_ID) == request_id
-        misdirected = head.status == MISDIRECTED
+        misdirected = head.status == MISDIRECTED_STATUS
         refused = misdirected or head.header(NOT_EXECUTED) is not None
         return ResponseCheck(
             matches_request=matches_request or refused,
