--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -16,7 +16,7 @@
 NOT_EXECUTED = "x-not-executed"
 PRIORITY = "x-request-priority"
 MISDIRECTED_STATUS = 421
-LOWEST_PRIORITY = 9
+MAX_PRIORITY_VALUE = 9
 
 # Fields that the daemon itself sets on what it sends to a server.
 DAEMON_SET_HEADERS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
@@ -60,7 +60,7 @@
             (EXPECT_INSTANCE, server_name),
         )
         if priority is not None:
-            own += ((PRIORITY, str(min(priority, LOWEST_PRIORITY))),)
+            own += ((PRIORITY, str(min(priority, MAX_PRIORITY_VALUE))),)
         if last_event_id is not None:
             own += ((LAST_EVENT_ID, last_event_id),)
         return own + kept
