--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -10,7 +10,7 @@
 TOKEN_USAGE = "x-token-usage"
 PROMPT_PREFIX = "x-prompt-prefix"
 LAST_EVENT_ID = "last-event-id"
-STAMP = "x-response-stamp"
+RESPONSE_STAMP = "x-response-stamp"
 EXPECT_INSTANCE = "x-expect-instance"
 INSTANCE = "x-instance-id"
 NOT_EXECUTED = "x-not-executed"
@@ -89,7 +89,7 @@
         return ResponseCheck(
             matches_request=matches_request or refused,
             may_have_run=not refused,
-            from_server=head.header(STAMP) is not None,
+            from_server=head.header(RESPONSE_STAMP) is not None,
             missing_target=misdirected,
             other_instance=head.header(INSTANCE) not in (None, server_name),
         )
