--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -32,7 +32,7 @@
         return CallerRequest(
             request_id=request.header(REQUEST_ID) or "",
             host=request.header("host") or "",
-            remaining_seconds=_seconds(request.header(DEADLINE_MS)),
+            remaining_seconds=_parse_deadline_seconds(request.header(DEADLINE_MS)),
             target=_target(model) if model else None,
             prompt_tokens=prompt_tokens,
             max_new_tokens=max_new_tokens,
@@ -106,7 +106,7 @@
         return headers
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_deadline_seconds(text: str | None) -> float | None:
     try:
         return None if text is None else float(text) / 1000
     except ValueError:
