--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -28,7 +28,7 @@
     def read_request(self, request: HttpRequest) -> CallerRequest:
         """Return what a caller's request says; see :meth:`Dialect.read_request`."""
         model = request.header(MODEL)
-        prompt_tokens, max_new_tokens = _pair(request.header(TOKEN_USAGE))
+        prompt_tokens, max_new_tokens = _parse_token_usage(request.header(TOKEN_USAGE))
         return CallerRequest(
             request_id=request.header(REQUEST_ID) or "",
             host=request.header("host") or "",
@@ -113,7 +113,7 @@
         return None
 
 
-def _pair(text: str | None) -> tuple[int, int]:
+def _parse_token_usage(text: str | None) -> tuple[int, int]:
     first, _, second = (text or "").partition(",")
     try:
         return int(first or 0), int(second or 0)
