--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -33,7 +33,7 @@
             request_id=request.header(REQUEST_ID) or "",
             host=request.header("host") or "",
             remaining_seconds=_parse_deadline_seconds(request.header(DEADLINE_MS)),
-            target=_target(model) if model else None,
+            target=_parse_target(model) if model else None,
             prompt_tokens=prompt_tokens,
             max_new_tokens=max_new_tokens,
             prompt=_prompt(request.header(PROMPT_PREFIX) or ""),
@@ -121,7 +121,7 @@
         return 0, 0
 
 
-def _target(text: str) -> ModelKey:
+def _parse_target(text: str) -> ModelKey:
     model, _, adapter = text.partition("/")
     return ModelKey(model.strip(), adapter.strip())
 
