--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -36,7 +36,7 @@
             target=_parse_target(model) if model else None,
             prompt_tokens=prompt_tokens,
             max_new_tokens=max_new_tokens,
-            prompt=_prompt(request.header(PROMPT_PREFIX) or ""),
+            prompt=_parse_prompt(request.header(PROMPT_PREFIX) or ""),
             last_event_id=request.header(LAST_EVENT_ID),
         )
 
@@ -126,7 +126,7 @@
     return ModelKey(model.strip(), adapter.strip())
 
 
-def _prompt(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(","):
         identity, _, tokens = item.strip().partition(":")
