--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -19,7 +19,7 @@
 MAX_PRIORITY_VALUE = 9
 
 # Fields that the daemon itself sets on what it sends to a server.
-DAEMON_SET_HEADERS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
+DAEMON_HEADERS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
 
 
 class PlatformDialect(Dialect):
@@ -52,7 +52,7 @@
         kept = tuple(
             (name, value)
             for name, value in end_to_end_headers(request.headers)
-            if name not in DAEMON_SET_HEADERS
+            if name not in DAEMON_HEADERS
         )
         own: Headers = (
             ("host", request.header("host") or ""),
