--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -42,7 +42,7 @@
 from loomwind.ports.local import LocalTableService
 from loomwind.settings import LimitSettings, Settings
 
-LEARN_INTERVAL_SECONDS = 0.2
+CATALOG_RETRY_SECONDS = 0.2
 HANDOVER_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.05
 
@@ -230,7 +230,7 @@
     async def _learn_catalog(self) -> None:
         """Take no request before the accepted catalog is known; then add the settings' seed."""
         while not await self.catalog.learn_at_start():
-            await asyncio.sleep(LEARN_INTERVAL_SECONDS)
+            await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
         objects: list[CatalogObject] = [*settings.groups, *settings.models]
         objects += [*settings.adapters, *settings.routes]
