--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -43,7 +43,7 @@
 from loomwind.settings import LimitSettings, Settings
 
 CATALOG_RETRY_SECONDS = 0.2
-HANDOVER_SECONDS = 2.0
+VOTER_REMOVAL_TIMEOUT_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.05
 
 
@@ -372,7 +372,7 @@
         """Give peers and load balancers time to notice, while requests are still served."""
         deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
         others = [info for info in self.membership.alive() if info != self.membership.own]
-        limit = deadline + (HANDOVER_SECONDS if others else 0.0)
+        limit = deadline + (VOTER_REMOVAL_TIMEOUT_SECONDS if others else 0.0)
         own = self.membership.own.identity
         while self.membership.now < deadline or (
             own in self.register.voters and self.membership.now < limit
