--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -53,7 +53,7 @@
     return host, int(port)
 
 
-def _caller_limits(limits: LimitSettings) -> ServerLimits:
+def _server_limits(limits: LimitSettings) -> ServerLimits:
     """Return what the server of callers holds them to."""
     return ServerLimits(
         max_head_bytes=limits.max_head_bytes,
@@ -189,7 +189,7 @@
 
     async def _listen(self) -> None:
         settings = self.settings
-        self.callers = HttpServer(self.router.handler.handle, _caller_limits(settings.limits))
+        self.callers = HttpServer(self.router.handler.handle, _server_limits(settings.limits))
         self.admin = AdminServer(self.metrics, self.is_ready)
         self._operator = await self._start_operator()
         await self.callers.start(*split_address(settings.listen.caller))
@@ -314,7 +314,7 @@
         """Put changed limits on callers in force; all else needs a restart."""
         self.settings = settings
         if "limits" in changed:
-            self.callers.limits = _caller_limits(settings.limits)
+            self.callers.limits = _server_limits(settings.limits)
         return tuple(name for name in changed if name != "limits")
 
     # The controller's role.
