--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -144,13 +144,13 @@
             self.register, self.membership, self.transport, self.claims, settings.control.voters
         )
         self.machines = MachineWatcher(
-            machines or None, settings.backends, settings.cell, self._wants_machine_list
+            machines or None, settings.backends, settings.cell, self._should_poll_machine_list
         )
         self.catalog = CatalogService(
             CatalogStore(table, objects or None), self.membership, self.transport, self.metrics
         )
 
-    def _wants_machine_list(self) -> bool:
+    def _should_poll_machine_list(self) -> bool:
         """The controller reads the list for the cell; others only while there is none."""
         return self.register.leading or self.membership.leader is None
 
