--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -214,7 +214,7 @@
         self._spawn(self.router.reporter.run())
         self._spawn(self.watch.run())
         self._spawn(self._learn_catalog())
-        self._spawn(self.catalog.poll_store(self._reads_catalog_log))
+        self._spawn(self.catalog.poll_store(self._should_poll_catalog))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -238,7 +238,7 @@
         self.router.handler.ready = True
         log_state("daemon", "ready", catalog_version=self.catalog.catalog.version)
 
-    def _reads_catalog_log(self) -> bool:
+    def _should_poll_catalog(self) -> bool:
         """The controller reads the durable log for its cell, and so does whoever hears none."""
         return self.register.leading or not self.membership.hears_leader()
 
