--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -213,7 +213,7 @@
         self._spawn(self.router.run())
         self._spawn(self.router.reporter.run())
         self._spawn(self.watch.run())
-        self._spawn(self._learn_catalog())
+        self._spawn(self._load_catalog())
         self._spawn(self.catalog.poll_store(self._should_poll_catalog))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
@@ -227,7 +227,7 @@
         if not task.cancelled() and task.exception() is not None:
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
-    async def _learn_catalog(self) -> None:
+    async def _load_catalog(self) -> None:
         """Take no request before the accepted catalog is known; then add the settings' seed."""
         while not await self.catalog.learn_at_start():
             await asyncio.sleep(CATALOG_RETRY_SECONDS)
