--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -102,7 +102,7 @@
             lambda: self._controller,
             self.transport,
         )
-        self._connect_parts()
+        self._register_callbacks()
         await self._listen()
         self._spawn_loops()
         log_state("daemon", "started", name=settings.name, peer=self.membership.own.address)
@@ -176,7 +176,7 @@
     def _backends_to_watch(self) -> list[WatchedBackend]:
         return [WatchedBackend(b.name, b.address) for b in self.router.table.all_backends()]
 
-    def _connect_parts(self) -> None:
+    def _register_callbacks(self) -> None:
         self.membership.digest = self._digest
         self.membership.is_leader = lambda: self.register.leading
         self.membership.on_digest = self._on_digest
