--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -263,12 +263,12 @@
         if member.cell != self.membership.own.cell:
             return
         self.register.note_peer_stamp(member.identity, digest.register)
-        if self._is_behind(digest):
+        if self._should_fetch_routing(digest):
             self._spawn(self._fetch_routing(member))
         if self._controller is not None:
             self._controller.on_digest(member, digest)
 
-    def _is_behind(self, digest: Digest) -> bool:
+    def _should_fetch_routing(self, digest: Digest) -> bool:
         """Whether a peer has newer routes that the controller will not send here itself."""
         known, theirs = self.router.table.stamp, digest.routing
         newer_term = (theirs.generation, theirs.ballot) > (known.generation, known.ballot)
