--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -333,9 +333,9 @@
             self.metrics,
         )
         self._controller_task = self._spawn(self._controller.run())
-        self._controller_task.add_done_callback(self._on_term_over)
+        self._controller_task.add_done_callback(self._on_controller_done)
 
-    def _on_term_over(self, task: asyncio.Task[None]) -> None:
+    def _on_controller_done(self, task: asyncio.Task[None]) -> None:
         """A term that ended for any reason gives the role up, so that another can begin."""
         if task is self._controller_task:
             self.register.step_down()
