--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -357,7 +357,7 @@
         log_state("daemon", "leaving", name=self.settings.name)
         self.membership.announce_leaving()
         self.register.retire()
-        await self._notice()
+        await self._wait_before_draining()
         self.callers.stop_listening()
         try:
             async with asyncio.timeout(grace_seconds):
@@ -368,7 +368,7 @@
         self.close()
         log_state("daemon", "stopped", name=self.settings.name)
 
-    async def _notice(self) -> None:
+    async def _wait_before_draining(self) -> None:
         """Give peers and load balancers time to notice, while requests are still served."""
         deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
         others = [info for info in self.membership.alive() if info != self.membership.own]
