--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -59,17 +59,17 @@
         flusher = asyncio.get_running_loop().create_task(writer.run())
         daemon = create_pool_daemon(settings, settings.store)
         daemon.metrics.log_lines_dropped.set_function(lambda: writer.total_dropped)
-        await _run_until_told(daemon, settings, path, overrides)
+        await _run_until_signal(daemon, settings, path, overrides)
         flusher.cancel()
         writer.flush()
     else:
         from loomwind.daemon import Daemon
 
         logs.log_to_stderr()
-        await _run_until_told(Daemon(settings), settings, path, overrides)
+        await _run_until_signal(Daemon(settings), settings, path, overrides)
 
 
-async def _run_until_told(
+async def _run_until_signal(
     daemon: "Daemon | PoolDaemon", settings: Settings, path: Path, overrides: dict[str, object]
 ) -> None:
     stop = asyncio.Event()
