--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -31,7 +31,7 @@
 SETTINGS_VARIABLE = "LOOMWIND_SETTINGS"
 
 
-def _load(path: str, overrides: dict[str, object]) -> Settings:
+def _load_settings_or_exit(path: str, overrides: dict[str, object]) -> Settings:
     try:
         return load_settings(path, overrides)
     except SettingsError as error:
@@ -191,7 +191,7 @@
         flags |= {f"listen.{key}": value for key, value in listen.items()}
         path = _settings_path(settings)
         overrides = {key: value for key, value in flags.items() if value}
-        loaded = _load(path, overrides)
+        loaded = _load_settings_or_exit(path, overrides)
         try:
             asyncio.run(_serve(loaded, Path(path), overrides))
         except OSError as error:
@@ -207,7 +207,7 @@
         """
         from loomwind.settings_table import setting_rows
 
-        loaded = _load(settings, {})
+        loaded = _load_settings_or_exit(settings, {})
         for row in setting_rows(loaded, Path(settings)) if explain else ():
             print(row)
         print(f"{settings}: daemon {loaded.name} of cell {loaded.cell}, no faults")
