--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -81,10 +81,10 @@
     )
     reloader.install_signal_handler()
     await daemon.start()
-    following = loop.create_task(reloader.run())
+    reload_task = loop.create_task(reloader.run())
     await stop.wait()
     await daemon.stop()
-    following.cancel()
+    reload_task.cancel()
 
 
 def _object_commands(name: str, kind: str) -> "ObjectCommands":
