--- a/loomwind/demo.py
+++ b/loomwind/demo.py
@@ -24,7 +24,7 @@
 START_TIMEOUT_SECONDS = 10.0
 
 
-class DemoAnswer(Struct, frozen=True):
+class DemoResult(Struct, frozen=True):
     """What one request brought; the time is to the first byte of the body, in seconds."""
 
     status: int
@@ -51,7 +51,7 @@
     )
 
 
-async def ask(client: HttpClient, address: str, prompt: str) -> DemoAnswer:
+async def ask(client: HttpClient, address: str, prompt: str) -> DemoResult:
     """Send a streamed chat request and print the answer as it comes."""
     message = {"role": "user", "content": prompt}
     body = {"model": "tutor", "stream": True, "messages": [message]}
@@ -66,7 +66,7 @@
         first = first or time.monotonic() - started
         print(piece.decode(), end="", flush=True)
     client.release(connection)
-    return DemoAnswer(head.status, first)
+    return DemoResult(head.status, first)
 
 
 async def run_demo() -> int:
