--- a/loomwind/demo.py
+++ b/loomwind/demo.py
@@ -51,7 +51,7 @@
     )
 
 
-async def ask(client: HttpClient, address: str, prompt: str) -> DemoResult:
+async def send_chat_request(client: HttpClient, address: str, prompt: str) -> DemoResult:
     """Send a streamed chat request and print the answer as it comes."""
     message = {"role": "user", "content": prompt}
     body = {"model": "tutor", "stream": True, "messages": [message]}
@@ -87,9 +87,9 @@
                 await asyncio.sleep(0.05)
         address = f"127.0.0.1:{daemon.callers.port}"
         print("A cold request: the model is not loaded.")
-        cold = await ask(client, address, "madainn mhath")
+        cold = await send_chat_request(client, address, "madainn mhath")
         print("A warm request: the model is loaded.")
-        warm = await ask(client, address, "ciamar a tha thu")
+        warm = await send_chat_request(client, address, "ciamar a tha thu")
     finally:
         client.close()
         daemon.close()
