--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -228,7 +228,7 @@
     if faults:
         raise SettingsError("invalid settings", faults)
     settings = msgspec.convert(raw, Settings)
-    faults = list(_cross_faults(settings))
+    faults = list(_find_consistency_faults(settings))
     if faults:
         raise SettingsError("invalid settings", faults)
     return settings
@@ -293,7 +293,7 @@
     return f" ({text})" if text else ""
 
 
-def _cross_faults(settings: Settings) -> typing.Iterator[SettingFault]:
+def _find_consistency_faults(settings: Settings) -> typing.Iterator[SettingFault]:
     """Yield faults that take more than one key to see."""
     control = settings.control
     if not control.heartbeat_seconds < control.suspect_after_seconds < control.gone_after_seconds:
