--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -224,7 +224,7 @@
 
     :raises SettingsError: with each fault that was found.
     """
-    faults = list(_faults(raw, Settings, ""))
+    faults = list(_find_faults(raw, Settings, ""))
     if faults:
         raise SettingsError("invalid settings", faults)
     settings = msgspec.convert(raw, Settings)
@@ -234,14 +234,14 @@
     return settings
 
 
-def _faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
+def _find_faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
     """Yield every fault below a value, going into tables and lists of tables."""
     kind = _table_type(kind)
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
         yield from _table_faults(value, kind, path)
     elif typing.get_origin(kind) is tuple and isinstance(value, list):
         for index, item in enumerate(value):
-            yield from _faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
+            yield from _find_faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
     else:
         try:
             msgspec.convert(value, kind)
@@ -256,7 +256,7 @@
     prefix = f"{path}." if path else ""
     for key, item in table.items():
         if key in hints:
-            yield from _faults(item, hints[key], prefix + key)
+            yield from _find_faults(item, hints[key], prefix + key)
         else:
             yield SettingFault(prefix + key, f"unknown key; known are {', '.join(sorted(hints))}")
     for field in msgspec.structs.fields(kind):
