--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -238,7 +238,7 @@
     """Yield every fault below a value, going into tables and lists of tables."""
     kind = _table_type(kind)
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
-        yield from _table_faults(value, kind, path)
+        yield from _find_table_faults(value, kind, path)
     elif typing.get_origin(kind) is tuple and isinstance(value, list):
         for index, item in enumerate(value):
             yield from _find_faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
@@ -249,7 +249,7 @@
             yield SettingFault(path, f"{error}{_bracketed(allowed_values(kind))}")
 
 
-def _table_faults(
+def _find_table_faults(
     table: dict[str, Any], kind: type[Struct], path: str
 ) -> typing.Iterator[SettingFault]:
     hints = typing.get_type_hints(kind, include_extras=True)
