--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -236,7 +236,7 @@
 
 def _find_faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
     """Yield every fault below a value, going into tables and lists of tables."""
-    kind = _table_type(kind)
+    kind = _strip_optional(kind)
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
         yield from _find_table_faults(value, kind, path)
     elif typing.get_origin(kind) is tuple and isinstance(value, list):
@@ -266,7 +266,7 @@
             )
 
 
-def _table_type(kind: Any) -> Any:
+def _strip_optional(kind: Any) -> Any:
     """Return the one type beside None of an optional one."""
     if typing.get_origin(kind) in (types.UnionType, typing.Union):
         others = [other for other in typing.get_args(kind) if other is not type(None)]
