--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -246,7 +246,7 @@
         try:
             msgspec.convert(value, kind)
         except msgspec.ValidationError as error:
-            yield SettingFault(path, f"{error}{_bracketed(allowed_values(kind))}")
+            yield SettingFault(path, f"{error}{_parenthesized(allowed_values(kind))}")
 
 
 def _find_table_faults(
@@ -262,7 +262,7 @@
     for field in msgspec.structs.fields(kind):
         if field.required and field.name not in table:
             yield SettingFault(
-                prefix + field.name, f"missing{_bracketed(allowed_values(hints[field.name]))}"
+                prefix + field.name, f"missing{_parenthesized(allowed_values(hints[field.name]))}"
             )
 
 
@@ -289,7 +289,7 @@
     return ", ".join(parts)
 
 
-def _bracketed(text: str) -> str:
+def _parenthesized(text: str) -> str:
     return f" ({text})" if text else ""
 
 
