--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -54,11 +54,11 @@
             yield from _rows(value, table.get(field.name), f"{name}.")
         else:
             source = FROM_FILE if field.name in table else FROM_DEFAULT
-            shown = "(secret)" if value and name in SECRETS else _shown(value)
+            shown = "(secret)" if value and name in SECRETS else _format_value(value)
             yield SettingRow(name, shown, source, allowed_values(hints[field.name]))
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     """Return a value in short; lists by their length."""
     if isinstance(value, tuple | dict):
         return f"{len(value)} given"
