--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -12,7 +12,7 @@
 from loomwind.settings import Settings, allowed_values
 
 SOURCE_FILE = "file"
-FROM_DEFAULT = "default"
+SOURCE_DEFAULT = "default"
 SECRETS = frozenset({"operator_token"})
 
 
@@ -53,7 +53,7 @@
         if isinstance(value, Struct):
             yield from _rows(value, table.get(field.name), f"{name}.")
         else:
-            source = SOURCE_FILE if field.name in table else FROM_DEFAULT
+            source = SOURCE_FILE if field.name in table else SOURCE_DEFAULT
             shown = "(secret)" if value and name in SECRETS else _format_value(value)
             yield SettingRow(name, shown, source, allowed_values(hints[field.name]))
 
