--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -13,7 +13,7 @@
 
 SOURCE_FILE = "file"
 SOURCE_DEFAULT = "default"
-SECRETS = frozenset({"operator_token"})
+SECRET_SETTINGS = frozenset({"operator_token"})
 
 
 @attrs.frozen
@@ -54,7 +54,7 @@
             yield from _rows(value, table.get(field.name), f"{name}.")
         else:
             source = SOURCE_FILE if field.name in table else SOURCE_DEFAULT
-            shown = "(secret)" if value and name in SECRETS else _format_value(value)
+            shown = "(secret)" if value and name in SECRET_SETTINGS else _format_value(value)
             yield SettingRow(name, shown, source, allowed_values(hints[field.name]))
 
 
