--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -40,13 +40,13 @@
 
     :param path: the file that they were read from.
     """
-    given = tomllib.loads(path.read_text(encoding="utf-8"))
-    return list(_rows(settings, given, ""))
+    file_values = tomllib.loads(path.read_text(encoding="utf-8"))
+    return list(_rows(settings, file_values, ""))
 
 
-def _rows(section: Struct, given: Any, prefix: str) -> Iterator[SettingRow]:
+def _rows(section: Struct, file_values: Any, prefix: str) -> Iterator[SettingRow]:
     hints = typing.get_type_hints(type(section), include_extras=True)
-    table = given if isinstance(given, dict) else {}
+    table = file_values if isinstance(file_values, dict) else {}
     for field in structs.fields(type(section)):
         value = getattr(section, field.name)
         name = prefix + field.name
