--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -198,7 +198,7 @@
     return Cause.SERVER_BROKE_OFF
 
 
-def _describe(line: LogLine, begin: float) -> str:
+def _format_line(line: LogLine, begin: float) -> str:
     fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request_id")
     kind = line.kind.removeprefix("loomwind:")
     return f"{line.time - begin:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
@@ -223,7 +223,7 @@
         if lines:
             print(f"-- {title}")
         for line in lines:
-            print(_describe(line, begin))
+            print(_format_line(line, begin))
 
 
 def print_timeline(paths: Sequence[str], start: float = 0.0, end: float = 0.0) -> None:
@@ -247,4 +247,4 @@
         if line.kind == REQUEST_TYPE:
             counts[str(line.get("decision"))] += 1
         else:
-            print(_describe(line, begin))
+            print(_format_line(line, begin))
