--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -120,7 +120,9 @@
         and str(line.get("target")).partition("/")[0] == model
     )
     beliefs = tuple(_latest_states(before, end.daemon))
-    return RequestHistory(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
+    return RequestHistory(
+        request_id, _find_cause(own, beliefs, orders, before), own, beliefs, orders
+    )
 
 
 def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
@@ -131,7 +133,7 @@
     yield from sorted(newest.values(), key=lambda line: line.time)
 
 
-def _cause(
+def _find_cause(
     own: Sequence[LogLine],
     beliefs: Sequence[LogLine],
     orders: Sequence[LogLine],
