--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -152,7 +152,7 @@
     if ended and ended.get("decision") == "caller-left":
         return Cause.CALLER_LEFT
     if ended and ended.get("waiting"):
-        return _cause_of_wait(own, orders, before)
+        return _find_wait_cause(own, orders, before)
     if "no server of the service" in reason:
         return Cause.NO_SERVER
     failure = next((line for line in reversed(own) if line.get("decision") == "send-failed"), None)
@@ -167,7 +167,7 @@
     return Cause.UNKNOWN
 
 
-def _cause_of_wait(
+def _find_wait_cause(
     own: Sequence[LogLine], orders: Sequence[LogLine], before: Sequence[LogLine]
 ) -> Cause:
     if any(line.get("state") == "unknown" for line in orders):
