--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -159,7 +159,7 @@
     if ended and ended.get("decision") == "out-of-time" and ended.get("may_have_run"):
         return Cause.SERVER_SILENT
     if failure is not None:
-        return _cause_of_failure(str(failure.get("reason")))
+        return _find_failure_cause(str(failure.get("reason")))
     if any(line.get("decision") == "late" for line in own):
         return Cause.SERVED_LATE
     if any(line.get("decision") == "paused" for line in own):
@@ -188,7 +188,7 @@
     return Cause.MODEL_NOT_LOADED
 
 
-def _cause_of_failure(reason: str) -> Cause:
+def _find_failure_cause(reason: str) -> Cause:
     if "refused unstarted" in reason:
         return Cause.SERVERS_REFUSED
     if "Connect call failed" in reason or "timed out" in reason:
