--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -83,11 +83,11 @@
     lines: list[LogLine] = []
     for path in paths:
         text = Path(path).read_text(encoding="utf-8", errors="replace")
-        lines += [line for line in map(_parse, text.splitlines()) if line is not None]
+        lines += [line for line in map(_parse_line, text.splitlines()) if line is not None]
     return sorted(lines, key=lambda line: line.time)
 
 
-def _parse(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
