--- a/loomwind/peer_dispatch.py
+++ b/loomwind/peer_dispatch.py
@@ -93,10 +93,10 @@
             case BackendReport():
                 self._on_backend_report(message)
             case DemandReport():
-                self._on_demand(message)
+                self._on_demand_report(message)
         return None
 
-    def _on_demand(self, report: DemandReport) -> None:
+    def _on_demand_report(self, report: DemandReport) -> None:
         """Take in a report, or pass it on for a daemon that cannot reach the controller."""
         controller = self._controller()
         leader = self._membership.leader
