--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -24,13 +24,13 @@
 from loomwind.http.sockets import enable_dead_peer_detection
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
-KEEP_ALIVE_TIMEOUT = "timeout="
+KEEP_ALIVE_TIMEOUT_PREFIX = "timeout="
 
 
-def keep_alive_seconds(head: HttpResponse) -> float | None:
+def parse_keep_alive_timeout(head: HttpResponse) -> float | None:
     """Return the ``timeout`` of an answer's ``Keep-Alive`` field, or None."""
     for item in (head.header("keep-alive") or "").split(","):
-        text = item.strip().removeprefix(KEEP_ALIVE_TIMEOUT)
+        text = item.strip().removeprefix(KEEP_ALIVE_TIMEOUT_PREFIX)
         if text.isdigit():
             return float(text)
     return None
@@ -50,17 +50,17 @@
     def __init__(self, address: str, user_timeout_ms: float | None = None) -> None:
         self.address = address
         self.state = ClientState.IDLE
-        self.idle_until: float | None = None
+        self.expires_at: float | None = None
         self.on_idle_connection_error: Callable[[str], None] | None = None
         self._user_timeout_ms = user_timeout_ms
         self._h11 = _new_parser()
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._buffered_bytes = 0
-        self._ended = False
+        self._disconnected = False
         self._reset = False
-        self._body_ended = False
-        self._given_up = False
+        self._body_complete = False
+        self._read_aborted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -91,8 +91,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell h11 that no more comes, and wake the reader."""
         idle = self.state is ClientState.IDLE
-        if not self._ended:
-            self._ended = True
+        if not self._disconnected:
+            self._disconnected = True
             self._reset = exc is not None
             if not self._reset:
                 self._h11.receive_data(b"")
@@ -111,7 +111,7 @@
 
         :raises ConnectionBroken: the connection has ended.
         """
-        if self._transport is None or self._ended or self._transport.is_closing():
+        if self._transport is None or self._disconnected or self._transport.is_closing():
             self.close()
             raise ConnectionBroken("the connection has ended")
         self.state = ClientState.ACTIVE
@@ -133,28 +133,32 @@
         if self._reset:
             raise ConnectionBroken("the connection was reset")
         self._buffered_bytes = 0
-        if self._transport is not None and not self._transport.is_reading() and not self._ended:
+        if (
+            self._transport is not None
+            and not self._transport.is_reading()
+            and not self._disconnected
+        ):
             self._transport.resume_reading()
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
         finally:
             self._waiter = None
-        if self._given_up:
+        if self._read_aborted:
             raise ExchangeTimeout("nothing came for too long")
         if self._reset and not self._h11.trailing_data[0]:
             raise ConnectionBroken("the connection was reset")
 
     def note_keep_alive(self, head: HttpResponse) -> None:
         """Remember how long the server keeps this connection idle, if the answer says so."""
-        seconds = keep_alive_seconds(head)
+        seconds = parse_keep_alive_timeout(head)
         if seconds is not None:
             now = asyncio.get_running_loop().time()
-            self.idle_until = now + seconds - KEEP_ALIVE_MARGIN_SECONDS
+            self.expires_at = now + seconds - KEEP_ALIVE_MARGIN_SECONDS
 
     def abort_reading(self) -> None:
         """Make a read that waits now fail: the back end is silent for too long."""
-        self._given_up = True
+        self._read_aborted = True
         self._wake()
 
     async def read_head(self) -> HttpResponse:
@@ -177,17 +181,17 @@
 
         :raises ConnectionBroken: it did not come whole.
         """
-        while not self._body_ended:
+        while not self._body_complete:
             await self.read_body()
-        self._body_ended = False
-        surplus, closed = self._h11.trailing_data
+        self._body_complete = False
+        trailing_data, closed = self._h11.trailing_data
         self._h11 = _new_parser()
         with map_exceptions(PROTOCOL_EXCEPTIONS):
             self._h11.send(_head_event(request, self.address))
             self._h11.send(h11.Data(data=request.body))
             self._h11.send(h11.EndOfMessage())
-        if surplus:
-            self._h11.receive_data(surplus)
+        if trailing_data:
+            self._h11.receive_data(trailing_data)
         if closed and not self._reset:
             self._h11.receive_data(b"")
 
@@ -196,28 +200,28 @@
 
         :raises BodyTruncated: the body ended before its announced end.
         """
-        if self._body_ended:
-            self._end_exchange()
+        if self._body_complete:
+            self._finish_exchange()
             return b""
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         while True:
             try:
                 event = self._h11.next_event()
             except h11.ProtocolError as error:
-                if pieces:
-                    return b"".join(pieces)
+                if chunks:
+                    return b"".join(chunks)
                 raise BodyTruncated(str(error)) from error
             if isinstance(event, h11.Data):
-                pieces.append(bytes(event.data))
+                chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._body_ended = True
-                if pieces:
-                    return b"".join(pieces)
-                self._end_exchange()
+                self._body_complete = True
+                if chunks:
+                    return b"".join(chunks)
+                self._finish_exchange()
                 return b""
             elif event is h11.NEED_DATA:
-                if pieces:
-                    return b"".join(pieces)
+                if chunks:
+                    return b"".join(chunks)
                 try:
                     await self._wait_for_data()
                 except ConnectionBroken as error:
@@ -225,10 +229,10 @@
             else:
                 raise BodyTruncated("closed before the body's end")
 
-    def _end_exchange(self) -> None:
-        self._body_ended = False
+    def _finish_exchange(self) -> None:
+        self._body_complete = False
         reusable = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
-        if reusable and not self._ended and not self._h11.trailing_data[0]:
+        if reusable and not self._disconnected and not self._h11.trailing_data[0]:
             self._h11.start_next_cycle()
             self.state = ClientState.IDLE
         else:
@@ -331,7 +335,7 @@
             connection = idle.pop()
             if connection.state is not ClientState.IDLE:
                 continue
-            if connection.idle_until is None or now < connection.idle_until:
+            if connection.expires_at is None or now < connection.expires_at:
                 return connection
             connection.close()
         return None
