--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -77,7 +77,7 @@
         """Send the head. Without a content-length among the headers the body is chunked."""
         self.started = True
         headers = (*headers, *self.extra_headers)
-        if self._connection.ends_after_answer:
+        if self._connection.closes_after_response:
             headers = (*headers, ("connection", "close"))
         raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
         self._connection.send_event(h11.Response(status_code=status, headers=raw))
@@ -125,7 +125,7 @@
         self._writable.set()
 
     @property
-    def ends_after_answer(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether the caller is told to open another connection for its next request."""
         return self._server.closing or self._server.draining
 
@@ -140,13 +140,13 @@
         self._transport = transport
         self._server.connections.add(self)
         self._idle_since = self._now()
-        self._arm(self._server.limits.idle_timeout_seconds)
+        self._start_timer(self._server.limits.idle_timeout_seconds)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the handler: nobody is there to read its answer."""
         self._state = ConnectionState.CLOSED
         self._server.connections.discard(self)
-        self._disarm()
+        self._cancel_timer()
         self._writable.set()
         if self._task is not None:
             self._task.cancel()
@@ -167,7 +167,7 @@
         """Feed h11, and hand over a request as soon as it is whole."""
         if self._state is ConnectionState.IDLE:
             self._state = ConnectionState.READING_HEAD
-            self._arm(self._server.limits.head_timeout_seconds)
+            self._start_timer(self._server.limits.head_timeout_seconds)
         self._h11.receive_data(data)
         if self._state is not ConnectionState.HANDLING:
             self._read_events()
@@ -207,14 +207,14 @@
             detail = "both transfer-encoding and content-length are given"
             self._reject(BadRequest(400, "ambiguous-length", detail))
             return
-        announced = next((v for n, v in head.headers if n == b"content-length"), b"0")
-        if int(announced) > limits.max_body_bytes:
+        content_length = next((v for n, v in head.headers if n == b"content-length"), b"0")
+        if int(content_length) > limits.max_body_bytes:
             self._reject_large_body()
             return
         self._head = head
         self._body = bytearray()
         self._state = ConnectionState.READING_BODY
-        self._arm(limits.body_timeout_seconds)
+        self._start_timer(limits.body_timeout_seconds)
         if self._h11.they_are_waiting_for_100_continue:
             self.send_event(h11.InformationalResponse(status_code=100, headers=[]))
 
@@ -242,7 +242,7 @@
 
     def _handle(self, exchange: Exchange, close: bool = False) -> None:
         self._state = ConnectionState.HANDLING
-        self._disarm()
+        self._cancel_timer()
         self._task = asyncio.get_running_loop().create_task(self._run(exchange, close))
 
     async def _run(self, exchange: Exchange, close: bool) -> None:
@@ -252,9 +252,9 @@
             close = True
         finally:
             self._task = None
-            self._next_request(close)
+            self._finish_exchange(close)
 
-    def _next_request(self, close: bool) -> None:
+    def _finish_exchange(self, close: bool) -> None:
         if self._state is ConnectionState.CLOSED:
             return
         reusable = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
@@ -263,11 +263,13 @@
             return
         self._h11.start_next_cycle()
         self._idle_since = self._now()
-        waiting = bool(self._h11.trailing_data[0])
-        self._state = ConnectionState.READING_HEAD if waiting else ConnectionState.IDLE
+        has_pipelined_data = bool(self._h11.trailing_data[0])
+        self._state = ConnectionState.READING_HEAD if has_pipelined_data else ConnectionState.IDLE
         limits = self._server.limits
-        self._arm(limits.head_timeout_seconds if waiting else limits.idle_timeout_seconds)
-        if waiting:
+        self._start_timer(
+            limits.head_timeout_seconds if has_pipelined_data else limits.idle_timeout_seconds
+        )
+        if has_pipelined_data:
             self._read_events()
 
     def send_event(self, event: h11.Event) -> None:
@@ -301,21 +303,21 @@
 
     def abort(self) -> None:
         """Close at once; what was written may be lost."""
-        self._disarm()
+        self._cancel_timer()
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
         """Close after what was written has been sent."""
-        self._disarm()
+        self._cancel_timer()
         if self._transport is not None:
             self._transport.close()
 
-    def _arm(self, seconds: float) -> None:
-        self._disarm()
+    def _start_timer(self, seconds: float) -> None:
+        self._cancel_timer()
         self._timer = asyncio.get_running_loop().call_later(seconds, self._on_timeout)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -328,9 +330,11 @@
 
     def _on_idle_timeout(self) -> None:
         """Close, unless the limits in force by now let it rest longer."""
-        left = self._idle_since + self._server.limits.idle_timeout_seconds - self._now()
-        if left > 0:
-            self._arm(left)
+        remaining_seconds = (
+            self._idle_since + self._server.limits.idle_timeout_seconds - self._now()
+        )
+        if remaining_seconds > 0:
+            self._start_timer(remaining_seconds)
         else:
             self.close()
 
