--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -8,9 +8,9 @@
 from loomwind.http.errors import EventTruncated
 
 EVENT_END = re.compile(rb"\n\n|\r\n\r\n|\r\r")
-LONGEST_EVENT_END = len(b"\r\n\r\n")
+MAX_EVENT_END_BYTES = len(b"\r\n\r\n")
 ID_FIELD = b"id:"
-COMMENT = b":"
+COMMENT_PREFIX = b":"
 
 
 class EventStreamBuffer:
@@ -21,25 +21,25 @@
     """
 
     def __init__(self, last_event_id: str | None = None) -> None:
-        self._rest = bytearray()
+        self._buffer = bytearray()
         self.last_event_id = last_event_id
         self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of the events that are whole now; empty when none is."""
-        searched = max(0, len(self._rest) - LONGEST_EVENT_END + 1)
-        self._rest += data
-        ends = [match.end() for match in EVENT_END.finditer(self._rest, searched)]
+        search_from = max(0, len(self._buffer) - MAX_EVENT_END_BYTES + 1)
+        self._buffer += data
+        ends = [match.end() for match in EVENT_END.finditer(self._buffer, search_from)]
         if not ends:
             return b""
-        whole = bytes(self._rest[: ends[-1]])
-        del self._rest[: ends[-1]]
+        complete = bytes(self._buffer[: ends[-1]])
+        del self._buffer[: ends[-1]]
         self.event_count += len(ends)
-        self._note_last_id(whole)
-        return whole
+        self._update_last_event_id(complete)
+        return complete
 
-    def _note_last_id(self, whole: bytes) -> None:
-        for line in whole.splitlines():
+    def _update_last_event_id(self, complete: bytes) -> None:
+        for line in complete.splitlines():
             if line.startswith(ID_FIELD):
                 self.last_event_id = line[len(ID_FIELD) :].strip().decode("latin-1")
 
@@ -49,15 +49,18 @@
         :returns: blank lines and comments after the last event.
         :raises EventTruncated: it broke off: an event has begun and is not whole.
         """
-        if any(line.strip() and not line.startswith(COMMENT) for line in self._rest.splitlines()):
-            raise EventTruncated(f"the stream ended {len(self._rest)} bytes into an event")
-        rest = bytes(self._rest)
-        self._rest.clear()
-        return rest
+        if any(
+            line.strip() and not line.startswith(COMMENT_PREFIX)
+            for line in self._buffer.splitlines()
+        ):
+            raise EventTruncated(f"the stream ended {len(self._buffer)} bytes into an event")
+        trailing = bytes(self._buffer)
+        self._buffer.clear()
+        return trailing
 
     def discard_incomplete_event(self) -> None:
         """Forget the event that is not whole: another run sends it again."""
-        self._rest.clear()
+        self._buffer.clear()
 
 
 class StreamTail:
@@ -68,7 +71,7 @@
 
     def feed(self, data: bytes) -> None:
         """Take in the next bytes."""
-        self._tail = (self._tail + data)[-LONGEST_EVENT_END:]
+        self._tail = (self._tail + data)[-MAX_EVENT_END_BYTES:]
 
     def finish(self) -> None:
         """Take in that the stream has ended in order, however it was framed.
