--- a/loomwind/admin.py
+++ b/loomwind/admin.py
@@ -6,7 +6,7 @@
 from loomwind.http.server import Exchange, HttpServer
 from loomwind.metrics import Metrics
 
-TEXT: Headers = (("content-type", "text/plain; charset=utf-8"),)
+TEXT_HEADERS: Headers = (("content-type", "text/plain; charset=utf-8"),)
 
 
 class AdminServer:
@@ -20,14 +20,14 @@
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
         if request is None:
-            await exchange.respond(400, TEXT, b"malformed request\n")
+            await exchange.respond(400, TEXT_HEADERS, b"malformed request\n")
         elif request.path == "/metrics":
-            await exchange.respond(200, TEXT, self._metrics.expose())
+            await exchange.respond(200, TEXT_HEADERS, self._metrics.expose())
         elif request.path == "/healthz":
-            await exchange.respond(200, TEXT, b"alive\n")
+            await exchange.respond(200, TEXT_HEADERS, b"alive\n")
         elif request.path == "/readyz":
             ready = self._is_ready()
             status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
-            await exchange.respond(status, TEXT, body)
+            await exchange.respond(status, TEXT_HEADERS, body)
         else:
-            await exchange.respond(404, TEXT, b"known are /metrics, /healthz and /readyz\n")
+            await exchange.respond(404, TEXT_HEADERS, b"known are /metrics, /healthz and /readyz\n")
