--- a/loomwind/logs.py
+++ b/loomwind/logs.py
@@ -13,9 +13,9 @@
 import eliot
 import msgspec
 
-BUFFER_LINES = 2000
-FLUSH_SECONDS = 0.1
-FLUSH_BYTES = 60_000
+MAX_BUFFERED_LINES = 2000
+FLUSH_INTERVAL_SECONDS = 0.1
+MAX_WRITE_BYTES = 60_000
 
 
 class BoundedWriter:
@@ -34,7 +34,7 @@
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Take in a message; an eliot destination."""
-        if len(self._lines) >= BUFFER_LINES:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             self.total_dropped += 1
             return
@@ -49,20 +49,20 @@
             count, self.dropped = self.dropped, 0
             self._lines.append(msgspec.json.encode({"message_type": "loomwind:log", "lost": count}))
         while self._lines:
-            piece = bytearray()
-            while self._lines and len(piece) < FLUSH_BYTES:
-                piece += self._lines.popleft() + b"\n"
+            batch = bytearray()
+            while self._lines and len(batch) < MAX_WRITE_BYTES:
+                batch += self._lines.popleft() + b"\n"
             try:
-                os.write(self._stream.fileno(), piece)
+                os.write(self._stream.fileno(), batch)
             except BlockingIOError:
-                self.dropped += piece.count(b"\n")
-                self.total_dropped += piece.count(b"\n")
+                self.dropped += batch.count(b"\n")
+                self.total_dropped += batch.count(b"\n")
                 return
 
     async def run(self) -> None:
         """Write for ever, a few times a second."""
         while True:
-            await asyncio.sleep(FLUSH_SECONDS)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             self.flush()
 
 
