--- a/features/steps/pool_metrics_steps.py
+++ b/features/steps/pool_metrics_steps.py
@@ -9,7 +9,7 @@
 from features.steps.pool_steps import first_daemon
 from features.support.processes import wait_until
 from loomwind.explain import LogLine
-from loomwind.metrics import OTHER_SERVERS, ServerLabels
+from loomwind.metrics import OTHER_SERVERS_LABEL, ServerLabels
 
 SAMPLE = re.compile(r"^(\w+)(?:\{(.*)\})? (\S+)$")
 
@@ -67,7 +67,7 @@
 
 @then("the labels are the first {count:d} and other")
 def step_labels_are(context: Any, count: int) -> None:
-    assert context.seen == {f"i-{number}" for number in range(count)} | {OTHER_SERVERS}
+    assert context.seen == {f"i-{number}" for number in range(count)} | {OTHER_SERVERS_LABEL}
 
 
 @given(
--- a/loomwind/metrics.py
+++ b/loomwind/metrics.py
@@ -7,21 +7,21 @@
 REQUEST_BUCKETS_S = (0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 1.5, 3.0, 6.0, 12.0, 30.0)
 LIST_AGE_BUCKETS_S = (0.25, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0, 8.0)
 CALL_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
-MOST_SERVER_LABELS = 64
-OTHER_SERVERS = "other"
+MAX_SERVER_LABELS = 64
+OTHER_SERVERS_LABEL = "other"
 
 
 class ServerLabels:
     """Names of servers as values of a label: the first ones as they are, all others as one."""
 
-    def __init__(self, most: int = MOST_SERVER_LABELS) -> None:
-        self._most = most
+    def __init__(self, max_names: int = MAX_SERVER_LABELS) -> None:
+        self._max_names = max_names
         self._names: set[str] = set()
 
     def label_for(self, name: str) -> str:
         """Return the label's value for a server."""
-        if name not in self._names and len(self._names) >= self._most:
-            return OTHER_SERVERS
+        if name not in self._names and len(self._names) >= self._max_names:
+            return OTHER_SERVERS_LABEL
         self._names.add(name)
         return name
 
@@ -35,11 +35,11 @@
         self._counter = partial(Counter, registry=self.registry)
         self._gauge = partial(Gauge, registry=self.registry)
         self._histogram = partial(Histogram, registry=self.registry)
-        self._make_request_metrics()
-        self._make_fleet_metrics()
-        self._make_placement_metrics()
+        self._create_request_metrics()
+        self._create_fleet_metrics()
+        self._create_placement_metrics()
 
-    def _make_request_metrics(self) -> None:
+    def _create_request_metrics(self) -> None:
         """Make what is told of requests, their streams and the log."""
         self.accepted = self._counter(
             "loomwind_requests_accepted", "Requests read whole from a caller"
@@ -101,7 +101,7 @@
             "loomwind_log_lines_dropped", "Log lines that found the buffer full"
         )
 
-    def _make_fleet_metrics(self) -> None:
+    def _create_fleet_metrics(self) -> None:
         """Make what is told of daemons, of who leads and of the configuration."""
         self.peer_messages = self._counter(
             "loomwind_peer_messages", "Messages sent to peers, by type", ["type"]
@@ -125,7 +125,7 @@
             "loomwind_lease_fence", "Fence under which this daemon leads"
         )
 
-    def _make_placement_metrics(self) -> None:
+    def _create_placement_metrics(self) -> None:
         """Make what is told of servers, loads and the store."""
         self.orders = self._counter(
             "loomwind_orders", "Orders sent to engines, by result", ["result"]
