--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -53,7 +53,7 @@
         self._current = current
         self._daemon = daemon
         self._clock = clock
-        self._content = _content(path)
+        self._content = _read_bytes(path)
         self._requested = asyncio.Event()
 
     def install_signal_handler(self) -> None:
@@ -63,47 +63,49 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self._wait_for_next_look()
-            told = self._requested.is_set()
+            await self._wait_for_trigger()
+            signalled = self._requested.is_set()
             self._requested.clear()
-            self.look(told)
+            self.check_file(signalled)
 
-    async def _wait_for_next_look(self) -> None:
-        waits = [
+    async def _wait_for_trigger(self) -> None:
+        triggers = [
             asyncio.ensure_future(self._requested.wait()),
             asyncio.ensure_future(self._clock.sleep_ms(POLL_INTERVAL_MS)),
         ]
         try:
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(triggers, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for wait in waits:
-                wait.cancel()
+            for trigger in triggers:
+                trigger.cancel()
 
-    def look(self, told: bool) -> None:
+    def check_file(self, signalled: bool) -> None:
         """Read the file if it has changed, or if an operator said so.
 
-        :param told: whether a signal asked for it.
+        :param signalled: whether a signal asked for it.
         """
-        content = _content(self._path)
-        if content == self._content and not told:
+        content = _read_bytes(self._path)
+        if content == self._content and not signalled:
             return
         self._content = content
         try:
             settings = self._load()
         except SettingsError as error:
             faults = [str(fault) for fault in error.exceptions]
-            log_state("settings", "rejected", path=str(self._path), faults=faults, told=told)
+            log_state("settings", "rejected", path=str(self._path), faults=faults, told=signalled)
             return
-        self._put_in_force(settings, told)
+        self._apply(settings, signalled)
 
-    def _put_in_force(self, settings: Settings, told: bool) -> None:
+    def _apply(self, settings: Settings, signalled: bool) -> None:
         changed = changed_sections(self._current, settings)
         need_restart = self._daemon.apply_settings(settings, changed) if changed else ()
         self._current = settings
-        log_state("settings", "reloaded", changed=changed, need_restart=need_restart, told=told)
+        log_state(
+            "settings", "reloaded", changed=changed, need_restart=need_restart, told=signalled
+        )
 
 
-def _content(path: Path) -> bytes | None:
+def _read_bytes(path: Path) -> bytes | None:
     """Return a file's bytes; None when it cannot be read."""
     try:
         return path.read_bytes()
