--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client: connections with one exchange at a time, and a pool that reuses them.
+"""HTTP/1.1 client connections, each with one exchange at a time, and a pool that reuses them.
 
-A connection whose exchange did not end properly is closed and never used again, so that no caller
-can be given another's answer.
+A connection whose exchange did not complete is closed and never reused, so that no caller can
+receive the response to another caller's request.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 def parse_keep_alive_timeout(head: HttpResponse) -> float | None:
-    """Return the ``timeout`` of an answer's ``Keep-Alive`` field, or None."""
+    """Return the ``timeout`` of a response's ``Keep-Alive`` header, or None."""
     for item in (head.header("keep-alive") or "").split(","):
         text = item.strip().removeprefix(KEEP_ALIVE_TIMEOUT_PREFIX)
         if text.isdigit():
@@ -37,7 +37,7 @@
 
 
 class ClientState(enum.Enum):
-    """Where a client connection stands."""
+    """State of a client connection; it is active from sending a request to the response's end."""
 
     IDLE = enum.auto()
     ACTIVE = enum.auto()
@@ -45,7 +45,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a back end."""
+    """One connection to a server.
+
+    :ivar expires_at: loop time from which the connection is not reused, since the server may close
+        it; None if the server has announced no keep-alive timeout.
+    :ivar on_idle_connection_error: see :class:`HttpClient`.
+    """
 
     def __init__(self, address: str, user_timeout_ms: float | None = None) -> None:
         self.address = address
@@ -63,7 +68,7 @@
         self._read_aborted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and enable dead peer detection if it is configured."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if self._user_timeout_ms is not None:
@@ -71,13 +76,13 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Return what carries the connection; None before it is made."""
+        """Return the transport; None before the connection is made."""
         return self._transport
 
     def data_received(self, data: bytes) -> None:
-        """Feed h11 and wake the reader; stop reading while much is unread.
+        """Feed h11 and wake the reader; pause reading above the high-water mark.
 
-        Bytes that come while no answer is due belong to no request, and end the connection.
+        Bytes that arrive while no response is due belong to no request: the connection is closed.
         """
         if self.state is ClientState.IDLE:
             self.close()
@@ -89,7 +94,7 @@
         self._wake()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell h11 that no more comes, and wake the reader."""
+        """Signal the end of the stream to h11, and wake the reader."""
         idle = self.state is ClientState.IDLE
         if not self._disconnected:
             self._disconnected = True
@@ -107,9 +112,9 @@
             self._waiter.set_result(None)
 
     def send_request(self, request: HttpRequest) -> None:
-        """Write a whole request as one piece.
+        """Write a complete request in a single write.
 
-        :raises ConnectionBroken: the connection has ended.
+        :raises ConnectionBroken: the connection is closed.
         """
         if self._transport is None or self._disconnected or self._transport.is_closing():
             self.close()
@@ -150,21 +155,21 @@
             raise ConnectionBroken("the connection was reset")
 
     def note_keep_alive(self, head: HttpResponse) -> None:
-        """Remember how long the server keeps this connection idle, if the answer says so."""
+        """Set the expiry from the keep-alive timeout in a response, if it has one."""
         seconds = parse_keep_alive_timeout(head)
         if seconds is not None:
             now = asyncio.get_running_loop().time()
             self.expires_at = now + seconds - KEEP_ALIVE_MARGIN_SECONDS
 
     def abort_reading(self) -> None:
-        """Make a read that waits now fail: the back end is silent for too long."""
+        """Make the pending read fail with :class:`ExchangeTimeout`: the server has stalled."""
         self._read_aborted = True
         self._wake()
 
     async def read_head(self) -> HttpResponse:
         """Return the response's status and headers, without its body.
 
-        :raises ConnectionBroken: it did not come whole.
+        :raises ConnectionBroken: the connection ended before the head was complete.
         """
         event: object = None
         while not isinstance(event, h11.Response):
@@ -177,9 +182,12 @@
         return HttpResponse(event.status_code, headers)
 
     async def skip_answer(self, request: HttpRequest) -> None:
-        """Read the rest of an answer that belongs to another request, and wait for the next one.
+        """Discard the rest of a response to another request; the next response can then be read.
+
+        A new h11 parser is put into the state after sending ``request``, and takes over the bytes
+        that have arrived already.
 
-        :raises ConnectionBroken: it did not come whole.
+        :raises ConnectionBroken: the response was not complete.
         """
         while not self._body_complete:
             await self.read_body()
@@ -196,9 +204,9 @@
             self._h11.receive_data(b"")
 
     async def read_body(self) -> bytes:
-        """Return what has arrived of the body as one piece; empty at its proper end.
+        """Return the part of the body that has arrived; empty at the end of the body.
 
-        :raises BodyTruncated: the body ended before its announced end.
+        :raises BodyTruncated: the connection ended before the end of the body.
         """
         if self._body_complete:
             self._finish_exchange()
@@ -239,7 +247,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately, without sending buffered data."""
         self.state = ClientState.CLOSED
         if self._transport is not None:
             self._transport.abort()
@@ -250,7 +258,7 @@
 
 
 def _head_event(request: HttpRequest, address: str) -> h11.Request:
-    """Return the head of a request; a ``host`` among its headers goes before the address."""
+    """Return the head of a request; a ``host`` header of its own overrides the address."""
     headers = list(request.headers)
     if request.header("host") is None:
         headers.insert(0, ("host", address))
@@ -263,32 +271,32 @@
 
 
 class Connector:
-    """Opens connections; an operator may direct an address elsewhere by ``overrides``."""
+    """Opens connections; ``overrides`` maps an address to the one to connect to instead."""
 
     def __init__(
         self, overrides: dict[str, str] | None = None, user_timeout_ms: float | None = None
     ) -> None:
-        """Make a connector.
+        """Create a connector.
 
-        :param user_timeout_ms: ends a connection whose peer acknowledges nothing for this long;
-            None never does.
+        :param user_timeout_ms: closes a connection whose peer acknowledges nothing for this long;
+            None disables it.
         """
         self._overrides = overrides or {}
         self.user_timeout_ms = user_timeout_ms
 
     def redirect(self, overrides: dict[str, str]) -> None:
-        """Use other addresses from now on; links that are open stay open."""
+        """Replace the overrides; open connections are kept."""
         self._overrides = overrides
 
     def resolve(self, address: str) -> tuple[str, int]:
-        """Return host and port of ``host:port``, after overrides."""
+        """Return the host and port to connect to for a ``host:port`` address."""
         host, _, port = self._overrides.get(address, address).rpartition(":")
         return host, int(port)
 
     async def open(self, address: str, timeout: float) -> ClientConnection:
         """Open one HTTP connection.
 
-        :raises ConnectFailed: it could not be made in time.
+        :raises ConnectFailed: it could not be opened within ``timeout`` seconds.
         """
         host, port = self.resolve(address)
         loop = asyncio.get_running_loop()
@@ -301,10 +309,10 @@
 
 
 class HttpClient:
-    """Keeps idle connections per address and gives each to one exchange at a time.
+    """Connection pool: keeps idle connections per address, each used by one exchange at a time.
 
     :ivar on_idle_connection_error: called with the address of an idle connection that is reset or
-        whose peer stops acknowledging; not when the peer closes it in order.
+        whose peer stops acknowledging; not called for an orderly close.
     """
 
     def __init__(self, connector: Connector, max_idle: int = 64) -> None:
@@ -314,21 +322,21 @@
         self.on_idle_connection_error: Callable[[str], None] | None = None
 
     async def acquire(self, address: str, timeout: float) -> ClientConnection:
-        """Return an idle connection, or a new one.
+        """Return an idle connection, or open one.
 
-        :raises ConnectFailed: none could be made in time.
+        :raises ConnectFailed: none could be opened within ``timeout`` seconds.
         """
         return self.take_idle(address) or await self.open(address, timeout)
 
     async def open(self, address: str, timeout: float) -> ClientConnection:
-        """Return a new connection.
+        """Open a new connection.
 
-        :raises ConnectFailed: it could not be made in time.
+        :raises ConnectFailed: it could not be opened within ``timeout`` seconds.
         """
         return await self._connector.open(address, timeout)
 
     def take_idle(self, address: str) -> ClientConnection | None:
-        """Return an idle connection that its server will not close right now, or None."""
+        """Remove and return an idle connection that has not expired, or None."""
         idle = self._idle.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
@@ -341,14 +349,14 @@
         return None
 
     def has_idle(self, address: str) -> bool:
-        """Whether a connection to an address is open and idle."""
+        """Return whether there is an open idle connection to an address."""
         idle = self._idle.get(address)
         while idle and idle[-1].state is not ClientState.IDLE:
             idle.pop()
         return bool(idle)
 
     def release(self, connection: ClientConnection) -> None:
-        """Take a connection back; one with an unfinished exchange is closed."""
+        """Return a connection to the pool; one with an unfinished exchange is closed."""
         if connection.state is not ClientState.IDLE:
             connection.close()
             return
@@ -362,11 +370,13 @@
     async def request(
         self, address: str, request: HttpRequest, timeout: float, max_bytes: int = 64 << 20
     ) -> HttpResponse:
-        """Do one whole exchange.
+        """Send a request and return the complete response.
 
-        :raises ConnectFailed: nothing was handed over.
-        :raises ExchangeTimeout: no whole answer in ``timeout`` seconds; it may have run.
-        :raises ConnectionBroken: the connection ended first; it may have run.
+        :raises ConnectFailed: no connection could be opened; nothing was sent.
+        :raises ExchangeTimeout: no complete response within ``timeout`` seconds; the request may
+            have run.
+        :raises ConnectionBroken: the connection broke, or the body exceeds ``max_bytes``; the
+            request may have run.
         """
         connection = await self.acquire(address, timeout)
         try:
