--- a/loomwind/http/__init__.py
+++ b/loomwind/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over h11: a server connection, a client connection and a pool, each with one job."""
+"""HTTP/1.1 server, client and connection pool on top of h11."""
