--- a/loomwind/http/errors.py
+++ b/loomwind/http/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the HTTP layer, and how those of h11 and of sockets are turned into them."""
+"""Errors of the HTTP layer, and the mapping of h11 and socket errors to them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -9,38 +9,38 @@
 
 
 class HttpError(LoomwindError):
-    """Base class of the HTTP layer's errors."""
+    """Base class of all errors of the HTTP layer."""
 
 
 class ConnectFailed(HttpError):
-    """No connection could be made: no byte was handed over."""
+    """No connection could be opened; nothing was sent."""
 
 
 class ConnectRefused(ConnectFailed):
-    """The host answered that nothing listens there: the process is gone, the host is not."""
+    """The host refused the connection: it is up, but no process listens on the port."""
 
 
 class ConnectionBroken(HttpError):
-    """The connection ended or broke its protocol after bytes were handed over."""
+    """The connection ended or violated the protocol after data may have been sent."""
 
 
 class BodyTruncated(ConnectionBroken):
-    """The answer's head came, but its body ended before the announced end."""
+    """The response head arrived, but the connection ended before the end of the body."""
 
 
 class EventTruncated(HttpError):
-    """A body ended as its framing says, but in the middle of a server-sent event."""
+    """The body ended as its framing says, but in the middle of a server-sent event."""
 
 
 class ExchangeTimeout(HttpError):
-    """The peer did not answer in time after bytes were handed over."""
+    """The peer did not respond in time after data was sent."""
 
 
 @contextmanager
 def map_exceptions(mapping: dict[type[Exception], type[HttpError]]) -> Iterator[None]:
-    """Raise the mapped error in place of one of a lower layer.
+    """Translate errors of a lower layer into errors of this one.
 
-    :param mapping: lower error to own error; the first match in order counts.
+    :param mapping: from lower-layer errors to this layer's; the first match in order applies.
     """
     try:
         yield
