--- a/loomwind/http/event_stream.py
+++ b/loomwind/http/event_stream.py
@@ -1,6 +1,6 @@
-"""Where server-sent events end, and whether a stream of them has ended between two.
+"""Finds the ends of server-sent events, and detects streams that end in the middle of one.
 
-Pure and without I/O. Format: https://html.spec.whatwg.org/multipage/server-sent-events.html
+Does no I/O. Format: https://html.spec.whatwg.org/multipage/server-sent-events.html
 """
 
 import re
@@ -14,10 +14,10 @@
 
 
 class EventStreamBuffer:
-    """Keeps back the part of an event that has not arrived yet.
+    """Buffers a stream so that only complete events are passed on.
 
-    :ivar last_event_id: id of the last whole event; None before the first.
-    :ivar event_count: how many whole events went through.
+    :ivar last_event_id: id of the last complete event; None before the first.
+    :ivar event_count: number of complete events so far.
     """
 
     def __init__(self, last_event_id: str | None = None) -> None:
@@ -26,7 +26,7 @@
         self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are whole now; empty when none is."""
+        """Add data; return the bytes of the events that it completes, empty if none."""
         search_from = max(0, len(self._buffer) - MAX_EVENT_END_BYTES + 1)
         self._buffer += data
         ends = [match.end() for match in EVENT_END.finditer(self._buffer, search_from)]
@@ -44,10 +44,10 @@
                 self.last_event_id = line[len(ID_FIELD) :].strip().decode("latin-1")
 
     def finish(self) -> bytes:
-        """Take in that the server has ended its answer in order, however that was framed.
+        """Handle the end of the body, whatever its framing.
 
         :returns: blank lines and comments after the last event.
-        :raises EventTruncated: it broke off: an event has begun and is not whole.
+        :raises EventTruncated: the stream ended inside an event.
         """
         if any(
             line.strip() and not line.startswith(COMMENT_PREFIX)
@@ -59,24 +59,24 @@
         return trailing
 
     def discard_incomplete_event(self) -> None:
-        """Forget the event that is not whole: another run sends it again."""
+        """Discard a partially received event; a retried request sends it again."""
         self._buffer.clear()
 
 
 class StreamTail:
-    """The last bytes of a stream that is passed on as it comes, without looking for its events."""
+    """Keeps the last bytes of a stream that is relayed unbuffered, to check how it ends."""
 
     def __init__(self) -> None:
         self._tail = b""
 
     def feed(self, data: bytes) -> None:
-        """Take in the next bytes."""
+        """Add the next bytes of the stream."""
         self._tail = (self._tail + data)[-MAX_EVENT_END_BYTES:]
 
     def finish(self) -> None:
-        """Take in that the stream has ended in order, however it was framed.
+        """Handle the end of the body, whatever its framing.
 
-        :raises EventTruncated: its last bytes end no event.
+        :raises EventTruncated: the last bytes do not end an event.
         """
         ends = [match.end() for match in EVENT_END.finditer(self._tail)]
         if self._tail and len(self._tail) not in ends:
