--- a/loomwind/http/messages.py
+++ b/loomwind/http/messages.py
@@ -1,4 +1,4 @@
-"""Typed HTTP requests and response heads, without sockets."""
+"""HTTP requests and responses as plain data, without I/O."""
 
 import enum
 
@@ -6,6 +6,7 @@
 
 Headers = tuple[tuple[str, str], ...]
 
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and those that each connection sets anew.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -26,20 +27,20 @@
 def find_header(headers: Headers, name: str) -> str | None:
     """Return the first value of a header, or None.
 
-    :param name: the header's name in lower case.
+    :param name: the header name in lower case.
     """
     return next((value for key, value in headers if key == name), None)
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that may be passed on, without hop-by-hop ones and framing."""
+    """Return the headers that a proxy forwards: no hop-by-hop headers, framing or host."""
     listed = find_header(headers, "connection") or ""
     dropped = HOP_BY_HOP_HEADERS | {token.strip().lower() for token in listed.split(",")}
     return tuple((name, value) for name, value in headers if name not in dropped)
 
 
 class HttpRequest(Struct, frozen=True):
-    """One whole request. Header names are in lower case; ``body`` is complete."""
+    """A complete request. Header names are in lower case."""
 
     method: str
     target: str
@@ -48,16 +49,16 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the target without its query string."""
         return self.target.partition("?")[0]
 
     def header(self, name: str) -> str | None:
-        """Return the first value of the header of that lower-case name."""
+        """Return the first value of a header, or None; see :func:`find_header`."""
         return find_header(self.headers, name)
 
 
 class Framing(enum.Enum):
-    """What marks the end of a response's body (RFC 9112, section 6.3)."""
+    """What marks the end of a response body (RFC 9112, section 6.3)."""
 
     CHUNKED = "chunked"
     LENGTH = "length"
@@ -65,7 +66,7 @@
 
 
 class HttpResponse(Struct, frozen=True):
-    """One whole response."""
+    """A response; ``body`` is empty while only the head has been read."""
 
     status: int
     headers: Headers = ()
@@ -73,11 +74,11 @@
 
     @property
     def framing(self) -> Framing:
-        """Return what marks the end of the body; for responses that may have one."""
+        """Return what marks the end of the body; only valid for responses that may have one."""
         if self.header("transfer-encoding") is not None:
             return Framing.CHUNKED
         return Framing.CLOSE if self.header("content-length") is None else Framing.LENGTH
 
     def header(self, name: str) -> str | None:
-        """Return the first value of the header of that lower-case name."""
+        """Return the first value of a header, or None; see :func:`find_header`."""
         return find_header(self.headers, name)
