--- a/loomwind/http/sockets.py
+++ b/loomwind/http/sockets.py
@@ -1,18 +1,19 @@
-"""Options of TCP sockets that end a connection which has fallen silent without a reset."""
+"""TCP socket options that detect a dead peer: one that vanished without closing."""
 
 import asyncio
 import socket
 
 from loomwind.clock import MS_PER_SECOND
 
-# The shortest time that TCP_KEEPIDLE and TCP_KEEPINTVL can hold: they count whole seconds.
+# The minimum of TCP_KEEPIDLE and TCP_KEEPINTVL, which are in whole seconds.
 KEEPALIVE_INTERVAL_SECONDS = 1
 
 
 def enable_dead_peer_detection(transport: asyncio.BaseTransport, user_timeout_ms: float) -> None:
-    """End a connection whose peer acknowledges nothing for so long, neither data nor probes.
+    """Close the connection if its peer acknowledges neither data nor probes for the timeout.
 
-    An idle connection is probed each second, so that its end is known before it is used again.
+    An idle connection is probed every second, so that a dead peer is detected before the connection
+    is reused. No-op on platforms without ``TCP_USER_TIMEOUT``.
     """
     raw = transport.get_extra_info("socket")
     if raw is None or not hasattr(socket, "TCP_USER_TIMEOUT"):
@@ -25,5 +26,5 @@
 
 
 def keepalive_probe_count(user_timeout_ms: float) -> int:
-    """Return how many probes in a row may go unanswered."""
+    """Return the number of unanswered keepalive probes after which the peer counts as dead."""
     return max(1, int(user_timeout_ms / (KEEPALIVE_INTERVAL_SECONDS * MS_PER_SECOND)))
