--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server: one h11 connection per caller, one request at a time on each.
+"""HTTP/1.1 server with one h11 connection per client connection, one request at a time on each.
 
-The request's body is read whole, within limits, before the handler sees it. The handler answers
-through an :class:`Exchange`. When the caller goes away, the handler's task is cancelled.
+The complete request body is read, within limits, before the handler is called. The handler responds
+through an :class:`Exchange`. The handler's task is cancelled when the client disconnects.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class ServerLimits(Struct, frozen=True):
-    """What one connection may ask for. Sizes in bytes, times in seconds."""
+    """Limits that each connection enforces on its requests."""
 
     max_head_bytes: int = constants.MAX_HEAD_BYTES
     max_body_bytes: int = constants.MAX_BODY_BYTES
@@ -28,7 +28,7 @@
 
 
 class BadRequest(Struct, frozen=True):
-    """Why a request could not be read, with the HTTP status that fits."""
+    """The reason why a request could not be read, and the HTTP status to respond with."""
 
     status: int
     title: str
@@ -36,7 +36,7 @@
 
 
 class ConnectionState(enum.Enum):
-    """Where a server connection stands."""
+    """State of a server connection."""
 
     IDLE = enum.auto()
     READING_HEAD = enum.auto()
@@ -65,16 +65,16 @@
         self.extra_headers: Headers = ()
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole response of known length.
+        """Send a complete response with a content-length header.
 
-        :raises ConnectionBroken: the caller is gone.
+        :raises ConnectionBroken: the client has disconnected.
         """
         await self.start(status, (*headers, ("content-length", str(len(body)))))
         await self.send(body)
         await self.finish()
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head. Without a content-length among the headers the body is chunked."""
+        """Send the response head; without a content-length header the body is sent chunked."""
         self.started = True
         headers = (*headers, *self.extra_headers)
         if self._connection.closes_after_response:
@@ -84,22 +84,22 @@
         await self._connection.drain()
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body as one write, waiting while the caller reads slowly."""
+        """Send a part of the body in a single write, and wait while the client reads slowly."""
         if data:
             self._connection.send_event(h11.Data(data=data))
             await self._connection.drain()
 
     async def finish(self) -> None:
-        """End the body properly."""
+        """Send the end of the body."""
         self._connection.send_event(h11.EndOfMessage())
         await self._connection.drain()
 
     def send_raw(self, data: bytes) -> None:
-        """Write bytes that are part of no answer; stand-ins misbehave so."""
+        """Write bytes outside of any response; simulated servers use it to violate the protocol."""
         self._connection.write_raw(data)
 
     def abort(self) -> None:
-        """Break the connection off so that the caller sees that the answer is not whole."""
+        """Close the connection early, so that the client detects an incomplete response."""
         self._connection.close()
 
 
@@ -107,7 +107,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """A connection from a client."""
 
     def __init__(self, server: "HttpServer") -> None:
         self._server = server
@@ -126,16 +126,16 @@
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether the caller is told to open another connection for its next request."""
+        """Return whether responses tell the client that the connection closes after them."""
         return self._server.closing or self._server.draining
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read or handled here."""
+        """Return whether no request is being read or handled."""
         return self._state is ConnectionState.IDLE
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and start the idle timer."""
+        """Register the connection and start the idle timer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.connections.add(self)
@@ -143,7 +143,7 @@
         self._start_timer(self._server.limits.idle_timeout_seconds)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the handler: nobody is there to read its answer."""
+        """Cancel the handler, since nobody can receive its response."""
         self._state = ConnectionState.CLOSED
         self._server.connections.discard(self)
         self._cancel_timer()
@@ -152,19 +152,19 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Treat the end of the caller's stream as its leaving, as most servers do."""
+        """Treat a half-close by the client as a disconnect, as most servers do."""
         return False
 
     def pause_writing(self) -> None:
-        """Stop the handler's writes while the caller reads slowly."""
+        """Block the handler's writes while the client reads slowly."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let the handler write again."""
+        """Unblock the handler's writes."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Feed h11, and hand over a request as soon as it is whole."""
+        """Feed h11, and call the handler once a request is complete."""
         if self._state is ConnectionState.IDLE:
             self._state = ConnectionState.READING_HEAD
             self._start_timer(self._server.limits.head_timeout_seconds)
@@ -273,12 +273,13 @@
             self._read_events()
 
     def send_event(self, event: h11.Event) -> None:
-        """Frame and write one h11 event.
+        """Encode and write one h11 event.
 
-        :raises ConnectionBroken: the caller is gone, or the event does not fit the state.
+        :raises ConnectionBroken: the client has disconnected, or h11 rejects the event in its
+            current state.
         """
         if self._transport is None or self._state is ConnectionState.CLOSED:
-            raise ConnectionBroken("the caller is gone")
+            raise ConnectionBroken("the client has disconnected")
         try:
             data = self._h11.send(event)
         except h11.LocalProtocolError as error:
@@ -287,28 +288,28 @@
             self._transport.write(data)
 
     def write_raw(self, data: bytes) -> None:
-        """Write bytes past the protocol."""
+        """Write bytes that bypass h11."""
         if self._transport is not None:
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the caller has read enough.
+        """Wait until the write buffer has room.
 
-        :raises ConnectionBroken: the caller went away meanwhile.
+        :raises ConnectionBroken: the client has disconnected meanwhile.
         """
         if not self._writable.is_set():
             await self._writable.wait()
         if self._state is ConnectionState.CLOSED:
-            raise ConnectionBroken("the caller is gone")
+            raise ConnectionBroken("the client has disconnected")
 
     def abort(self) -> None:
-        """Close at once; what was written may be lost."""
+        """Close immediately; written data may be lost."""
         self._cancel_timer()
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close once written data has been sent."""
         self._cancel_timer()
         if self._transport is not None:
             self._transport.close()
@@ -329,7 +330,7 @@
             self._reject(BadRequest(408, "request-too-slow", "the request did not arrive in time"))
 
     def _on_idle_timeout(self) -> None:
-        """Close, unless the limits in force by now let it rest longer."""
+        """Close, unless the idle timeout has been raised since the timer was started."""
         remaining_seconds = (
             self._idle_since + self._server.limits.idle_timeout_seconds - self._now()
         )
@@ -344,7 +345,11 @@
 
 
 class HttpServer:
-    """Listens on one address and gives each request to ``handler``."""
+    """Listens on one address and calls ``handler`` for each request.
+
+    :ivar closing: connections are closed after the current response.
+    :ivar draining: responses ask clients to open a new connection; requests are still accepted.
+    """
 
     def __init__(self, handler: Handler, limits: ServerLimits | None = None) -> None:
         self.handler = handler
@@ -355,7 +360,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen. A port of 0 takes any free one; see :attr:`port`."""
+        """Start listening; port 0 picks a free port, see :attr:`port`."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=1024
@@ -363,17 +368,17 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the listening port."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def start_draining(self) -> None:
-        """Serve on, but ask callers to take their next request elsewhere."""
+        """Keep serving, but have responses close their connection, so that clients reconnect."""
         self.draining = True
 
     def stop_listening(self) -> None:
-        """Take no new connections; close idle ones; let requests in progress finish."""
+        """Accept no new connections, close idle ones, and let requests in progress finish."""
         self.closing = True
         if self._server is not None:
             self._server.close()
@@ -383,18 +388,18 @@
 
     @property
     def is_listening(self) -> bool:
-        """Whether new connections are taken."""
+        """Return whether new connections are accepted."""
         return self._server is not None and self._server.is_serving()
 
     def abort(self) -> None:
-        """Listen no more, and break all connections off; it may be started again."""
+        """Stop listening and abort all connections; the server can be started again."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop listening and close all connections, without waiting for requests in progress."""
         self.stop_listening()
         for connection in list(self.connections):
             connection.close()
