--- a/loomwind/__init__.py
+++ b/loomwind/__init__.py
@@ -1,3 +1,3 @@
-"""Loomwind: a serving system for many rarely used models that share one pool of accelerators."""
+"""Loomwind serves many rarely used models from one shared pool of accelerators."""
 
 __version__ = "0.1.0"
