--- a/loomwind/__main__.py
+++ b/loomwind/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m loomwind`` run the command line."""
+"""Entry point of ``python -m loomwind``."""
 
 from loomwind.cli import main
 
