--- a/loomwind/admin.py
+++ b/loomwind/admin.py
@@ -1,4 +1,4 @@
-"""The admin address: metrics for Prometheus, and health for whoever restarts daemons."""
+"""Admin HTTP server: Prometheus metrics, and liveness and readiness checks."""
 
 from collections.abc import Callable
 
