--- a/loomwind/errors.py
+++ b/loomwind/errors.py
@@ -1,5 +1,5 @@
-"""The root of every Loomwind error. Each layer derives its own errors from it."""
+"""Base class of the errors of all layers."""
 
 
 class LoomwindError(Exception):
-    """Base class of all errors that Loomwind raises on purpose."""
+    """Base class of all errors that Loomwind raises deliberately."""
