--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -75,7 +75,7 @@
                 answer = await self._daemons[address].on_message(message)
                 await self._transmit(sender, address)
         except TimeoutError as error:
-            raise PeerUnreachable("no answer") from error
+            raise PeerUnreachable("no response") from error
         assert answer is not None
         return answer
 
@@ -138,7 +138,7 @@
         """Return an interval, longer in a large fleet."""
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
-    def fingers(self) -> list[PeerEntry]:
+    def gossip_targets(self) -> list[PeerEntry]:
         """Return the daemons that this one forwards gossip to."""
         count = len(self._entries)
         if not count:
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -163,7 +163,9 @@
         """Apply the servers' holdings; messages of an earlier leader are ignored."""
         if message.fence >= self._holdings_fence:
             self._holdings_fence = message.fence
-            self._pool.residency.store_limits.update({pace.service: pace for pace in message.paces})
+            self._pool.residency.store_limits.update(
+                {limit.service: limit for limit in message.store_limits}
+            )
             self._pool.update_holdings(message.holdings)
 
     def _on_expectations(self, message: PoolExpectations) -> None:
@@ -192,8 +194,8 @@
 
     def _broadcast_pending(self, fence: int) -> None:
         self._broadcast_timer = None
-        paces = tuple(self._pool.residency.store_limits.values())
-        message = PoolHoldings(fence, tuple(self._pending_holdings.values()), paces)
+        store_limits = tuple(self._pool.residency.store_limits.values())
+        message = PoolHoldings(fence, tuple(self._pending_holdings.values()), store_limits)
         self._pending_holdings.clear()
         for peer in self._peers.others():
             self._transport.send(peer.address, message)
@@ -204,14 +206,14 @@
 
     async def send_demand(self) -> None:
         """Send demand reports to the leader, immediately when a request starts to wait."""
-        told_life = ""
+        reported_incarnation = ""
         while True:
             await self._next_report()
             holder = self._election.lease.holder
             if holder is None:
                 continue
-            report = self._report(holder.life != told_life)
-            told_life = holder.life
+            report = self._report(holder.life != reported_incarnation)
+            reported_incarnation = holder.life
             if holder.life == self._own.life:
                 self.inbox.put(report)
             else:
