--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -42,7 +42,11 @@
     """
 
     def __init__(
-        self, own: LeaseHolder, duration_seconds: float, renew_seconds: float, margin_seconds: float
+        self,
+        own: LeaseHolder,
+        duration_seconds: float,
+        renew_interval_seconds: float,
+        margin_seconds: float,
     ) -> None:
         """Make a lease.
 
@@ -51,23 +55,23 @@
         :param margin_seconds: how much earlier the holder itself stops to act.
         """
         self._own = own
-        self._duration = duration_seconds
-        self._renew = renew_seconds
-        self._margin = margin_seconds
+        self._duration_seconds = duration_seconds
+        self._renew_interval_seconds = renew_interval_seconds
+        self._margin_seconds = margin_seconds
         self.holder: LeaseHolder | None = None
         self.fence: int | None = None
-        self._dead_life = ""
+        self._ended_process_id = ""
         self._vacant_since = 0.0
-        self._known = False
-        self._exists = False
+        self._row_known = False
+        self._row_exists = False
         self._version = 0
-        self._seen_at = 0.0
+        self._last_change_at = 0.0
         self._valid_until = 0.0
         self._renewed_at = 0.0
 
     def set_duration(self, duration_seconds: float) -> None:
         """Change how long others wait; the next renewal counts with it."""
-        self._duration = duration_seconds
+        self._duration_seconds = duration_seconds
 
     @property
     def version(self) -> int:
@@ -77,7 +81,7 @@
     @property
     def expected_version(self) -> int:
         """Return the version that the next write expects; 0 when there is no row."""
-        return self._version if self._exists else 0
+        return self._version if self._row_exists else 0
 
     def is_leader(self, now: float) -> bool:
         """Whether this daemon may act as the leader now."""
@@ -85,12 +89,12 @@
 
     def record_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
         """Take in the row as the store shows it; None when there is none."""
-        if self._known and version <= self._version:
+        if self._row_known and version <= self._version:
             return
-        self._known = True
+        self._row_known = True
         self._version = version
-        self._exists = holder is not None
-        self._seen_at = now
+        self._row_exists = holder is not None
+        self._last_change_at = now
         self.holder = holder
         if holder is None:
             self._vacant_since = now
@@ -102,18 +106,18 @@
 
         :param version: the store's version of that reading.
         """
-        if not self._known:
-            self._known = True
-            self._seen_at = now
+        if not self._row_known:
+            self._row_known = True
+            self._last_change_at = now
             self._vacant_since = now
-        elif self._exists:
+        elif self._row_exists:
             self.record_row(version, None, now)
 
-    def record_ended_process(self, life: str, now: float) -> None:
+    def record_ended_process(self, process_id: str, now: float) -> None:
         """A life of a daemon is known to have ended: its lease need not be waited out."""
-        if self._dead_life != life:
+        if self._ended_process_id != process_id:
             self._vacant_since = now
-        self._dead_life = life
+        self._ended_process_id = process_id
 
     def record_write(self, version: int, sent_at: float) -> None:
         """A write of this daemon was acknowledged.
@@ -125,12 +129,12 @@
         if self.fence is None:
             self.fence = version
         self.holder = self._own
-        self._known = True
-        self._exists = True
+        self._row_known = True
+        self._row_exists = True
         self._version = version
-        self._seen_at = sent_at
+        self._last_change_at = sent_at
         self._renewed_at = sent_at
-        self._valid_until = sent_at + self._duration - self._margin
+        self._valid_until = sent_at + self._duration_seconds - self._margin_seconds
 
     def release(self) -> None:
         """This daemon gave the lease up."""
@@ -138,7 +142,7 @@
         self._valid_until = 0.0
 
     def action(
-        self, now: float, answers_for_seconds: float, extra_wait_seconds: float = 0.0
+        self, now: float, store_available_seconds: float, extra_wait_seconds: float = 0.0
     ) -> LeaseAction:
         """Return what to do.
 
@@ -146,17 +150,17 @@
             a row that stood still while the store was away says nothing about its holder.
         :param longer_seconds: how much longer to wait for a renewal than the lease asks.
         """
-        if not self._known:
+        if not self._row_known:
             return LeaseAction.WAIT
         if self.holder is not None and self.holder.life == self._own.life:
-            due = self.fence is None or now - self._renewed_at >= self._renew
+            due = self.fence is None or now - self._renewed_at >= self._renew_interval_seconds
             return LeaseAction.RENEW if due else LeaseAction.WAIT
-        if self.holder is None or self.holder.life == self._dead_life:
+        if self.holder is None or self.holder.life == self._ended_process_id:
             vacant = now - self._vacant_since >= extra_wait_seconds
             return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
             return LeaseAction.ACQUIRE
-        silent = now - self._seen_at >= self._duration + extra_wait_seconds
-        if silent and answers_for_seconds >= 2 * self._renew:
+        expired = now - self._last_change_at >= self._duration_seconds + extra_wait_seconds
+        if expired and store_available_seconds >= 2 * self._renew_interval_seconds:
             return LeaseAction.ACQUIRE
         return LeaseAction.WAIT
