--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -12,12 +12,12 @@
 from loomwind.serving.ports import Store, StoredRow, StoreUnavailable, Write, WriteConflict
 
 LEASE_KEY = "leader"
-STEP_SECONDS = 0.1
-REFUSED_PAUSE_SECONDS = 0.2
-FIRST_WRITE_SECONDS = 0.5
-SECOND_WRITE_SECONDS = 0.9
-PAUSE_SECONDS = 0.5
-CONFIRMATION_SECONDS = 1.0
+TICK_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.2
+FIRST_WRITE_TIMEOUT_SECONDS = 0.5
+RETRY_WRITE_TIMEOUT_SECONDS = 0.9
+PROCESS_PAUSE_SECONDS = 0.5
+CONFIRMATION_TTL_SECONDS = 1.0
 
 
 class PeerConfirmations:
@@ -28,36 +28,40 @@
     """
 
     def __init__(self) -> None:
-        self._heard: dict[str, float] = {}
+        self._confirmed_at: dict[str, float] = {}
         self._last_tick = 0.0
-        self._deaf_until = 0.0
+        self._ignore_until = 0.0
 
     def tick(self, now: float) -> None:
         """Call at a steady pace: a gap shows that this process stood still."""
         if self.was_paused(now):
-            self._heard.clear()
-            self._deaf_until = now + CONFIRMATION_SECONDS
+            self._confirmed_at.clear()
+            self._ignore_until = now + CONFIRMATION_TTL_SECONDS
         self._last_tick = now
 
     def was_paused(self, now: float) -> bool:
         """Whether this process has not run for a while."""
-        return now - self._last_tick > PAUSE_SECONDS
+        return now - self._last_tick > PROCESS_PAUSE_SECONDS
 
     def record(self, peer: str, now: float) -> None:
         """A peer confirms."""
-        if now >= self._deaf_until and not self.was_paused(now):
-            self._heard[peer] = now
+        if now >= self._ignore_until and not self.was_paused(now):
+            self._confirmed_at[peer] = now
 
     def remove(self, peer: str) -> None:
         """A peer does not confirm."""
-        self._heard.pop(peer, None)
+        self._confirmed_at.pop(peer, None)
 
-    def has_majority(self, daemons: int, now: float) -> bool:
+    def has_majority(self, daemon_count: int, now: float) -> bool:
         """Whether most of so many daemons, this one included, confirm now."""
         if self.was_paused(now):
             return False
-        fresh = sum(1 for heard in self._heard.values() if now - heard < CONFIRMATION_SECONDS)
-        return 2 * (fresh + 1) > daemons
+        fresh = sum(
+            1
+            for confirmed_at in self._confirmed_at.values()
+            if now - confirmed_at < CONFIRMATION_TTL_SECONDS
+        )
+        return 2 * (fresh + 1) > daemon_count
 
 
 class Election:
@@ -82,10 +86,10 @@
         self._own = own
         self.lease = lease
         self._health = health
-        self._led = False
+        self._was_leader = False
         self._stopping = False
         self._suspended = False
-        self._unanswered_since: float | None = None
+        self._unknown_write_sent_at: float | None = None
         self.write_finished = asyncio.Event()
         self.extra_wait_seconds = 0.0
         self.unreachable_wait_seconds = 0.0
@@ -99,7 +103,7 @@
     def record_announced_row(self, version: int, holder: LeaseHolder | None) -> None:
         """Take in the lease row as the daemon that wrote it tells."""
         self.lease.record_row(version, holder, self._now())
-        self._report()
+        self._log_role_change()
 
     async def read_row(self) -> None:
         """Read the lease row from the store."""
@@ -114,14 +118,14 @@
             self.record_row(row)
         else:
             self.lease.record_missing_row(snapshot.version, self._now())
-            self._report()
+            self._log_role_change()
 
     async def run_pause_detection(self) -> None:
         """Notice for ever when this process stands still, also while a write waits."""
         while True:
             self.confirmations.tick(self._now())
-            self._report()
-            await asyncio.sleep(STEP_SECONDS)
+            self._log_role_change()
+            await asyncio.sleep(TICK_SECONDS)
 
     async def run(self) -> None:
         """Take part for ever."""
@@ -130,33 +134,33 @@
                 await self._step()
             except Exception as error:
                 log_state("election", "failed", error=repr(error))
-            self._report()
-            await asyncio.sleep(STEP_SECONDS)
+            self._log_role_change()
+            await asyncio.sleep(TICK_SECONDS)
 
     async def _step(self) -> None:
         now = self._now()
         if self._suspended:
             return
-        longer = self.extra_wait_seconds + self.unreachable_wait_seconds
-        action = self.lease.action(now, self._health.available_seconds(now), longer)
+        extra_wait = self.extra_wait_seconds + self.unreachable_wait_seconds
+        action = self.lease.action(now, self._health.available_seconds(now), extra_wait)
         if action is LeaseAction.WAIT:
             return
         write = Write(LEASE_KEY, msgspec.json.encode(self._own), self.lease.expected_version)
-        patient = self._unanswered_since is not None
-        timeout = SECOND_WRITE_SECONDS if patient else FIRST_WRITE_SECONDS
+        is_retry = self._unknown_write_sent_at is not None
+        timeout = RETRY_WRITE_TIMEOUT_SECONDS if is_retry else FIRST_WRITE_TIMEOUT_SECONDS
         try:
             version = await self._store.write(self._table, write, timeout)
         except WriteConflict as conflict:
             self._on_conflict(conflict)
         except StoreUnavailable as error:
             self._health.record_failure(self._now(), str(error))
-            if error.outcome_unknown and self._unanswered_since is None:
-                self._unanswered_since = now
+            if error.outcome_unknown and self._unknown_write_sent_at is None:
+                self._unknown_write_sent_at = now
             self.write_finished.set()
-            await asyncio.sleep(0.0 if error.outcome_unknown else REFUSED_PAUSE_SECONDS)
+            await asyncio.sleep(0.0 if error.outcome_unknown else RETRY_DELAY_SECONDS)
         else:
             self._health.record_success(self._now())
-            self._unanswered_since = None
+            self._unknown_write_sent_at = None
             self.lease.record_write(version, now)
             self.write_finished.set()
 
@@ -166,12 +170,12 @@
             if row.key != LEASE_KEY:
                 continue
             holder = _holder(row)
-            if holder is not None and holder.life == self._own.life and self._unanswered_since:
-                self.lease.record_write(row.version, self._unanswered_since)
+            if holder is not None and holder.life == self._own.life and self._unknown_write_sent_at:
+                self.lease.record_write(row.version, self._unknown_write_sent_at)
                 self.write_finished.set()
             else:
                 self.record_row(row)
-        self._unanswered_since = None
+        self._unknown_write_sent_at = None
 
     def is_leader(self) -> bool:
         """Whether this daemon may act as the leader now; never again once it has released."""
@@ -184,29 +188,29 @@
             return False
         return self.confirmations.has_majority(self.daemon_count, now)
 
-    def _report(self) -> None:
-        leads = self.is_leader()
-        if leads == self._led:
+    def _log_role_change(self) -> None:
+        is_leader = self.is_leader()
+        if is_leader == self._was_leader:
             return
-        self._led = leads
-        state = "leader" if leads else "follower"
+        self._was_leader = is_leader
+        state = "leader" if is_leader else "follower"
         holder = self.lease.holder.name if self.lease.holder else None
         log_state("election", state, fence=self.lease.fence, holder=holder)
 
     def release(self) -> bool:
         """Lead no more; returns whether this daemon led. Its row stays until it is handed over."""
-        leads = self.is_leader()
+        is_leader = self.is_leader()
         self._stopping = True
         self.lease.release()
-        self._report()
-        return leads
+        self._log_role_change()
+        return is_leader
 
     @contextlib.contextmanager
     def suspended(self) -> Iterator[None]:
         """Lead no more, and neither take nor renew the lease meanwhile."""
         self._suspended = True
         self.lease.release()
-        self._report()
+        self._log_role_change()
         try:
             yield
         finally:
