--- a/loomwind/leadership/__init__.py
+++ b/loomwind/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""One leader at a time: a lease in a row of the store, and a fence that rises with each leader."""
+"""Leader election by a lease in a row of the store, with a fencing token for each leader."""
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -1,11 +1,13 @@
-"""The lease state machine. Pure: no I/O, and time is passed in.
-
-The lease is a row that its holder writes again and again, each time only if it is as the holder
-left it. Whoever sees the row unchanged for the whole duration may take it over. The fence is the
-store's version at the taking; it rises with each new leader for ever. A leader acts only while its
-own steady clock says that the lease is good, counted from before its last good write was sent.
-A holder whose process is known to have ended is not waited for: another life of the same daemon, or
-a host that refuses connections at its address.
+"""The lease state machine. It does no I/O; the caller passes in the time.
+
+The lease is a row in the store. Its holder renews it by conditional writes, which fail if the row
+changed since the holder's last write. A daemon that sees the row unchanged for the lease duration
+may acquire the lease. The fencing token is the store's version at the acquisition, so each leader
+has a higher one than its predecessors. A holder acts as the leader only while the lease is valid by
+its own monotonic clock, measured from just before it sent its last successful write.
+
+A holder whose process is known to have ended does not block the lease until it expires. This is
+known when a new process of the same daemon runs, or the host refuses connections at its address.
 """
 
 import enum
@@ -14,11 +16,11 @@
 
 
 class LeaseHolder(Struct, frozen=True):
-    """Who holds the lease.
+    """The daemon that holds the lease; stored as JSON in the lease row.
 
-    :param name: the daemon's name; orders are given in it.
-    :param life: names one life of its process.
-    :param address: ``host:port`` for peers.
+    :param name: the daemon's name, under which it sends orders to servers.
+    :param life: the ID of the daemon process.
+    :param address: the daemon's peer address, ``host:port``.
     """
 
     name: str
@@ -27,7 +29,7 @@
 
 
 class LeaseAction(enum.Enum):
-    """What to do now."""
+    """What a daemon should do about the lease."""
 
     WAIT = enum.auto()
     ACQUIRE = enum.auto()
@@ -37,8 +39,8 @@
 class Lease:
     """One daemon's view of the lease.
 
-    :ivar holder: who holds it as far as is known; None when it is free or not known.
-    :ivar fence: set while this daemon leads.
+    :ivar holder: the last known holder; None if the lease is free or its state is unknown.
+    :ivar fence: the fencing token of this daemon; None while it does not hold the lease.
     """
 
     def __init__(
@@ -48,11 +50,11 @@
         renew_interval_seconds: float,
         margin_seconds: float,
     ) -> None:
-        """Make a lease.
+        """Initialize a lease of unknown state.
 
-        :param duration_seconds: how long others wait for the next renewal.
-        :param renew_seconds: the time between renewals.
-        :param margin_seconds: how much earlier the holder itself stops to act.
+        :param duration_seconds: how long other daemons wait for a renewal before they acquire it.
+        :param renew_interval_seconds: the time between renewals.
+        :param margin_seconds: how long before the lease expires the holder stops acting as leader.
         """
         self._own = own
         self._duration_seconds = duration_seconds
@@ -70,25 +72,25 @@
         self._renewed_at = 0.0
 
     def set_duration(self, duration_seconds: float) -> None:
-        """Change how long others wait; the next renewal counts with it."""
+        """Set the lease duration; the holder applies it from its next renewal."""
         self._duration_seconds = duration_seconds
 
     @property
     def version(self) -> int:
-        """Return the version of the row's last change that is known."""
+        """Return the row version of the last known change."""
         return self._version
 
     @property
     def expected_version(self) -> int:
-        """Return the version that the next write expects; 0 when there is no row."""
+        """Return the row version that the next write requires; 0 if there is no row."""
         return self._version if self._row_exists else 0
 
     def is_leader(self, now: float) -> bool:
-        """Whether this daemon may act as the leader now."""
+        """Return whether this daemon holds a valid lease."""
         return self.fence is not None and now < self._valid_until
 
     def record_row(self, version: int, holder: LeaseHolder | None, now: float) -> None:
-        """Take in the row as the store shows it; None when there is none."""
+        """Apply a version of the lease row; ``holder`` is None if the row was deleted."""
         if self._row_known and version <= self._version:
             return
         self._row_known = True
@@ -102,9 +104,9 @@
             self.fence = None
 
     def record_missing_row(self, version: int, now: float) -> None:
-        """The table was read, and the row is not in it.
+        """Record that a read of the table found no lease row.
 
-        :param version: the store's version of that reading.
+        :param version: the store's version at the read.
         """
         if not self._row_known:
             self._row_known = True
@@ -114,15 +116,18 @@
             self.record_row(version, None, now)
 
     def record_ended_process(self, process_id: str, now: float) -> None:
-        """A life of a daemon is known to have ended: its lease need not be waited out."""
+        """Record that a process has ended, so that its lease may be acquired before it expires.
+
+        :param process_id: the :attr:`LeaseHolder.life` of the process.
+        """
         if self._ended_process_id != process_id:
             self._vacant_since = now
         self._ended_process_id = process_id
 
     def record_write(self, version: int, sent_at: float) -> None:
-        """A write of this daemon was acknowledged.
+        """Record a successful write of this daemon.
 
-        :param sent_at: the time before it was sent.
+        :param sent_at: the time just before the write was sent.
         """
         if version < self._version:
             return
@@ -137,18 +142,19 @@
         self._valid_until = sent_at + self._duration_seconds - self._margin_seconds
 
     def release(self) -> None:
-        """This daemon gave the lease up."""
+        """Stop holding the lease; the row in the store is unchanged."""
         self.fence = None
         self._valid_until = 0.0
 
     def action(
         self, now: float, store_available_seconds: float, extra_wait_seconds: float = 0.0
     ) -> LeaseAction:
-        """Return what to do.
+        """Return the next action.
 
-        :param answers_for_seconds: for how long the store has answered every call of this daemon;
-            a row that stood still while the store was away says nothing about its holder.
-        :param longer_seconds: how much longer to wait for a renewal than the lease asks.
+        :param store_available_seconds: how long the store has answered every call of this daemon.
+            While the store is unavailable, an unchanged row does not mean that the holder stopped.
+        :param extra_wait_seconds: how long to wait before acquiring the lease once it is free or
+            has expired.
         """
         if not self._row_known:
             return LeaseAction.WAIT
