--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -1,4 +1,4 @@
-"""Carries out what the lease state machine decides, by writes to the store."""
+"""Acquires, renews and releases the leader lease by conditional writes to the store."""
 
 import asyncio
 import contextlib
@@ -21,10 +21,11 @@
 
 
 class PeerConfirmations:
-    """Which peers lately said that they follow this leader and do not reach the store.
+    """Tracks which peers recently confirmed this leader and reported the store unreachable.
 
-    While the store is away nobody can take the lease, so one that most daemons confirm goes on.
-    After a pause of this process its messages may be old: none counts for a while.
+    While the store is unavailable, no daemon can acquire the lease, so a leader that a majority of
+    the daemons confirms remains the leader. After a pause of this process, received messages may
+    be old, so confirmations are ignored for a while.
     """
 
     def __init__(self) -> None:
@@ -33,27 +34,27 @@
         self._ignore_until = 0.0
 
     def tick(self, now: float) -> None:
-        """Call at a steady pace: a gap shows that this process stood still."""
+        """Detect process pauses by gaps between the calls; called at a fixed interval."""
         if self.was_paused(now):
             self._confirmed_at.clear()
             self._ignore_until = now + CONFIRMATION_TTL_SECONDS
         self._last_tick = now
 
     def was_paused(self, now: float) -> bool:
-        """Whether this process has not run for a while."""
+        """Return whether the last tick is so old that the process must have been paused."""
         return now - self._last_tick > PROCESS_PAUSE_SECONDS
 
     def record(self, peer: str, now: float) -> None:
-        """A peer confirms."""
+        """Record a confirmation by a peer."""
         if now >= self._ignore_until and not self.was_paused(now):
             self._confirmed_at[peer] = now
 
     def remove(self, peer: str) -> None:
-        """A peer does not confirm."""
+        """Discard a peer's confirmation."""
         self._confirmed_at.pop(peer, None)
 
     def has_majority(self, daemon_count: int, now: float) -> bool:
-        """Whether most of so many daemons, this one included, confirm now."""
+        """Return whether a majority of the daemons, including this one, confirm the leader."""
         if self.was_paused(now):
             return False
         fresh = sum(
@@ -65,12 +66,14 @@
 
 
 class Election:
-    """Takes, renews and gives up the lease.
-
-    :ivar wrote: set when this daemon wrote the row, or failed to: others want to know.
-    :ivar longer_seconds: how much longer this daemon waits for a renewal than the lease asks.
-    :ivar daemons: how many daemons there are.
-    :ivar cut_seconds: how much longer it waits in any case, since it does not reach the servers.
+    """Acquires, renews and releases the lease.
+
+    :ivar write_finished: set after each write of the lease row, also a failed one, so that other
+        daemons can be notified.
+    :ivar extra_wait_seconds: how long this daemon waits before it acquires a free or expired lease;
+        longer on daemons that learn of renewals late.
+    :ivar unreachable_wait_seconds: an additional wait while this daemon cannot reach the servers.
+    :ivar daemon_count: the number of daemons in the fleet, including this one.
     """
 
     def __init__(
@@ -97,16 +100,16 @@
         self.daemon_count = 1
 
     def record_row(self, row: StoredRow) -> None:
-        """Take in the lease row as the store shows it."""
+        """Apply the lease row as read from the store."""
         self.record_announced_row(row.version, _holder(row))
 
     def record_announced_row(self, version: int, holder: LeaseHolder | None) -> None:
-        """Take in the lease row as the daemon that wrote it tells."""
+        """Apply the lease row as announced by the daemon that wrote it."""
         self.lease.record_row(version, holder, self._now())
         self._log_role_change()
 
     async def read_row(self) -> None:
-        """Read the lease row from the store."""
+        """Read the lease row from the store and apply it."""
         try:
             snapshot = await self._store.read(self._table)
         except StoreUnavailable as error:
@@ -121,14 +124,14 @@
             self._log_role_change()
 
     async def run_pause_detection(self) -> None:
-        """Notice for ever when this process stands still, also while a write waits."""
+        """Detect pauses of this process, also while a write is in progress; never returns."""
         while True:
             self.confirmations.tick(self._now())
             self._log_role_change()
             await asyncio.sleep(TICK_SECONDS)
 
     async def run(self) -> None:
-        """Take part for ever."""
+        """Take part in the election until the lease is released."""
         while not self._stopping:
             try:
                 await self._step()
@@ -165,7 +168,10 @@
             self.write_finished.set()
 
     def _on_conflict(self, conflict: WriteConflict) -> None:
-        """Take in the row as it is; one of this life was written by the write without an answer."""
+        """Apply the current row after a write conflict.
+
+        If this process wrote the row, an earlier write of unknown outcome has succeeded.
+        """
         for row in conflict.rows:
             if row.key != LEASE_KEY:
                 continue
@@ -178,7 +184,11 @@
         self._unknown_write_sent_at = None
 
     def is_leader(self) -> bool:
-        """Whether this daemon may act as the leader now; never again once it has released."""
+        """Return whether this daemon may act as the leader.
+
+        Without a valid lease it may do so only if the store is unavailable and a majority of the
+        daemons confirms it. After :meth:`release` it never may.
+        """
         if self._stopping or self._suspended:
             return False
         now = self._now()
@@ -198,7 +208,10 @@
         log_state("election", state, fence=self.lease.fence, holder=holder)
 
     def release(self) -> bool:
-        """Lead no more; returns whether this daemon led. Its row stays until it is handed over."""
+        """Stop leading for good, and return whether this daemon was the leader.
+
+        The lease row remains until :meth:`hand_over` deletes it.
+        """
         is_leader = self.is_leader()
         self._stopping = True
         self.lease.release()
@@ -207,7 +220,7 @@
 
     @contextlib.contextmanager
     def suspended(self) -> Iterator[None]:
-        """Lead no more, and neither take nor renew the lease meanwhile."""
+        """Stop leading, and neither acquire nor renew the lease inside the context."""
         self._suspended = True
         self.lease.release()
         self._log_role_change()
@@ -217,7 +230,7 @@
             self._suspended = False
 
     async def hand_over(self) -> None:
-        """Remove the row of a lease that was released: another daemon need not wait for its end."""
+        """Delete the row of a released lease, so that others need not wait until it expires."""
         expected = self.lease.expected_version
         try:
             version = await self._store.write(self._table, Write(LEASE_KEY, None, expected))
