--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -68,8 +68,8 @@
 class Election:
     """Acquires, renews and releases the lease.
 
-    :ivar write_finished: set after each write of the lease row, also a failed one, so that other
-        daemons can be notified.
+    :ivar write_finished: set when this daemon has written the lease row, or the store did not
+        answer its write; other daemons are then notified.
     :ivar extra_wait_seconds: how long this daemon waits before it acquires a free or expired lease;
         longer on daemons that learn of renewals late.
     :ivar unreachable_wait_seconds: an additional wait while this daemon cannot reach the servers.
