--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -18,11 +18,11 @@
 MessageHandler = Callable[[AnyMessage], Awaitable[AnyMessage | None]]
 
 
-class _IncomingLink(asyncio.Protocol):
+class _IncomingConnection(asyncio.Protocol):
     """The receiving end of a peer's link."""
 
-    def __init__(self, transport: "PeerTransport") -> None:
-        self._peers = transport
+    def __init__(self, peer_transport: "PeerTransport") -> None:
+        self._peer_transport = peer_transport
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -30,12 +30,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._peers.incoming.add(transport)
-        self._peers.end_when_silent(transport)
+        self._peer_transport.incoming.add(transport)
+        self._peer_transport.end_when_silent(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._transport is not None:
-            self._peers.incoming.discard(self._transport)
+            self._peer_transport.incoming.discard(self._transport)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -50,20 +50,20 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _handle(self, envelope: Envelope) -> None:
-        answer = await self._peers.handler(envelope.message)
+        answer = await self._peer_transport.handler(envelope.message)
         if answer is None or not envelope.call or self._transport is None:
             return
         frame = encode(Envelope(envelope.call, True, answer))
-        self._peers.record_sent(answer, len(frame))
+        self._peer_transport.record_sent(answer, len(frame))
         if not self._transport.is_closing():
             self._transport.write(frame)
 
 
-class _OutgoingLink(asyncio.Protocol):
+class _OutgoingConnection(asyncio.Protocol):
     """The sending end: writes messages and matches answers to calls."""
 
-    def __init__(self, transport: "PeerTransport") -> None:
-        self._peers = transport
+    def __init__(self, peer_transport: "PeerTransport") -> None:
+        self._peer_transport = peer_transport
         self._reader = FrameReader()
         self.transport: asyncio.Transport | None = None
         self.calls: dict[int, asyncio.Future[AnyMessage]] = {}
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._peers.end_when_silent(transport)
+        self._peer_transport.end_when_silent(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -92,89 +92,93 @@
                 future.set_result(envelope.message)
 
 
-class PeerLink:
+class PeerClient:
     """The way to one peer address; reconnects when it is used after a break."""
 
     def __init__(self, address: str, transport: "PeerTransport") -> None:
         self._address = address
-        self._peers = transport
-        self._link: _OutgoingLink | None = None
-        self._connecting: asyncio.Task[_OutgoingLink] | None = None
-        self._next_call = 1
+        self._peer_transport = transport
+        self._connection: _OutgoingConnection | None = None
+        self._connecting: asyncio.Task[_OutgoingConnection] | None = None
+        self._next_call_id = 1
 
     @property
     def transport(self) -> asyncio.Transport | None:
         """Return the connection; None while there is none."""
-        return self._link.transport if self._link is not None else None
-
-    async def _connected(self) -> _OutgoingLink:
-        link = self._link
-        if link is not None and link.transport is not None and not link.transport.is_closing():
-            return link
+        return self._connection.transport if self._connection is not None else None
+
+    async def _connect_if_needed(self) -> _OutgoingConnection:
+        connection = self._connection
+        if (
+            connection is not None
+            and connection.transport is not None
+            and not connection.transport.is_closing()
+        ):
+            return connection
         if self._connecting is None or self._connecting.done():
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
         return await asyncio.shield(self._connecting)
 
-    async def _connect(self) -> _OutgoingLink:
-        host, port = self._peers.connector.resolve(self._address)
+    async def _connect(self) -> _OutgoingConnection:
+        host, port = self._peer_transport.connector.resolve(self._address)
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(constants.PEER_CONNECT_TIMEOUT_SECONDS):
-                _, link = await loop.create_connection(
-                    lambda: _OutgoingLink(self._peers), host, port
+                _, connection = await loop.create_connection(
+                    lambda: _OutgoingConnection(self._peer_transport), host, port
                 )
         except ConnectionRefusedError as error:
             raise PeerUnreachable(f"{self._address} refused", refused=True) from error
         except OSError as error:
             raise PeerUnreachable(f"{self._address}: {error}") from error
-        self._link = link
-        return link
+        self._connection = connection
+        return connection
 
-    def _write(self, link: _OutgoingLink, envelope: Envelope) -> None:
-        if link.transport is None or link.transport.is_closing():
+    def _write(self, connection: _OutgoingConnection, envelope: Envelope) -> None:
+        if connection.transport is None or connection.transport.is_closing():
             raise PeerUnreachable("the link ended")
-        if link.transport.get_write_buffer_size() > constants.PEER_BACKLOG_MAX_BYTES:
-            link.transport.abort()
+        if connection.transport.get_write_buffer_size() > constants.PEER_BACKLOG_MAX_BYTES:
+            connection.transport.abort()
             raise PeerUnreachable("the peer does not read")
         frame = encode(envelope)
-        self._peers.record_sent(envelope.message, len(frame))
-        link.transport.write(frame)
+        self._peer_transport.record_sent(envelope.message, len(frame))
+        connection.transport.write(frame)
 
     async def send(self, message: AnyMessage) -> None:
         """Send a message that wants no answer.
 
         :raises PeerUnreachable: the link could not be made.
         """
-        link = await self._connected()
-        self._write(link, Envelope(0, False, message))
+        connection = await self._connect_if_needed()
+        self._write(connection, Envelope(0, False, message))
 
     async def call(self, message: AnyMessage, timeout: float) -> AnyMessage:
         """Send a message and return the answer.
 
         :raises PeerUnreachable: no answer in ``timeout`` seconds.
         """
-        number = self._next_call
-        self._next_call += 1
-        link: _OutgoingLink | None = None
+        call_id = self._next_call_id
+        self._next_call_id += 1
+        connection: _OutgoingConnection | None = None
         try:
             async with asyncio.timeout(timeout):
-                link = await self._connected()
+                connection = await self._connect_if_needed()
                 future: asyncio.Future[AnyMessage] = asyncio.get_running_loop().create_future()
-                link.calls[number] = future
-                self._write(link, Envelope(number, False, message))
+                connection.calls[call_id] = future
+                self._write(connection, Envelope(call_id, False, message))
                 return await future
         except TimeoutError as error:
             raise PeerUnreachable(f"{self._address} did not answer in {timeout} s") from error
         finally:
-            if link is not None:
-                link.calls.pop(number, None)
+            if connection is not None:
+                connection.calls.pop(call_id, None)
 
     def close(self) -> None:
         """End the link."""
         if self._connecting is not None:
             self._connecting.cancel()
-        if self._link is not None and self._link.transport is not None:
-            self._link.transport.abort()
+        if self._connection is not None and self._connection.transport is not None:
+            self._connection.transport.abort()
 
 
 class PeerTransport:
@@ -185,7 +189,7 @@
         self.connector = connector
         self.incoming: set[asyncio.Transport] = set()
         self._metrics = metrics
-        self._links: dict[str, PeerLink] = {}
+        self._clients: dict[str, PeerClient] = {}
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
@@ -193,7 +197,7 @@
     async def start(self, host: str, port: int) -> None:
         """Listen for peers."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _IncomingLink(self), host, port)
+        self._server = await loop.create_server(lambda: _IncomingConnection(self), host, port)
 
     @property
     def port(self) -> int:
@@ -212,10 +216,10 @@
         self._metrics.peer_messages.labels(type(message).__name__).inc()
         self._metrics.peer_bytes.inc(size)
 
-    def _link(self, address: str) -> PeerLink:
-        if address not in self._links:
-            self._links[address] = PeerLink(address, self)
-        return self._links[address]
+    def _client(self, address: str) -> PeerClient:
+        if address not in self._clients:
+            self._clients[address] = PeerClient(address, self)
+        return self._clients[address]
 
     def send(self, address: str, message: AnyMessage) -> None:
         """Send a message in the background; it is dropped when the link is down."""
@@ -227,7 +231,7 @@
 
     async def _send(self, address: str, message: AnyMessage) -> None:
         try:
-            await self._link(address).send(message)
+            await self._client(address).send(message)
         except PeerUnreachable:
             return
 
@@ -241,25 +245,25 @@
 
         :raises PeerUnreachable: no answer in ``timeout`` seconds.
         """
-        return await self._link(address).call(message, timeout)
+        return await self._client(address).call(message, timeout)
 
     def connection_to(self, address: str) -> asyncio.Transport | None:
         """Return the connection to an address; None while there is none."""
-        return self._link(address).transport
+        return self._client(address).transport
 
     def disconnect(self, address: str) -> None:
         """End the link to an address that is no longer spoken to."""
-        link = self._links.pop(address, None)
-        if link is not None:
-            link.close()
+        client = self._clients.pop(address, None)
+        if client is not None:
+            client.close()
 
     def close(self) -> None:
         """End all links and stop listening."""
         self._closed = True
         for task in list(self._tasks):
             task.cancel()
-        for link in self._links.values():
-            link.close()
+        for client in self._clients.values():
+            client.close()
         for transport in list(self.incoming):
             transport.abort()
         if self._server is not None:
