--- a/loomwind/http/errors.py
+++ b/loomwind/http/errors.py
@@ -24,11 +24,11 @@
     """The connection ended or broke its protocol after bytes were handed over."""
 
 
-class BodyCutShort(ConnectionBroken):
+class BodyTruncated(ConnectionBroken):
     """The answer's head came, but its body ended before the announced end."""
 
 
-class StreamEndedInsideEvent(HttpError):
+class EventTruncated(HttpError):
     """A body ended as its framing says, but in the middle of a server-sent event."""
 
 
--- a/loomwind/http/server.py
+++ b/loomwind/http/server.py
@@ -24,7 +24,7 @@
     max_header_count: int = constants.MAX_HEADER_COUNT
     head_timeout_seconds: float = constants.HEAD_TIMEOUT_SECONDS
     body_timeout_seconds: float = constants.BODY_TIMEOUT_SECONDS
-    idle_timeout_seconds: float = constants.IDLE_CONNECTION_SECONDS
+    idle_timeout_seconds: float = constants.IDLE_TIMEOUT_SECONDS
 
 
 class BadRequest(Struct, frozen=True):
@@ -46,18 +46,21 @@
 
 
 class Exchange:
-    """One request and the means to answer it.
+    """One request and the methods that send its response.
 
-    ``request`` is None when ``bad`` says why it could not be read. ``extra_headers`` are added to
-    each answer.
+    ``request`` is None if it could not be read; ``bad_request`` then gives the reason.
+    ``extra_headers`` are added to every response.
     """
 
     def __init__(
-        self, connection: "ServerConnection", request: HttpRequest | None, bad: BadRequest | None
+        self,
+        connection: "ServerConnection",
+        request: HttpRequest | None,
+        bad_request: BadRequest | None,
     ) -> None:
         self._connection = connection
         self.request = request
-        self.bad = bad
+        self.bad_request = bad_request
         self.started = False
         self.extra_headers: Headers = ()
 
@@ -127,7 +130,7 @@
         return self._server.closing or self._server.draining
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is being read or handled here."""
         return self._state is ConnectionState.IDLE
 
@@ -234,8 +237,8 @@
         request = HttpRequest(head.method.decode("latin-1"), target, headers, bytes(self._body))
         self._handle(Exchange(self, request, None))
 
-    def _reject(self, bad: BadRequest) -> None:
-        self._handle(Exchange(self, None, bad), close=True)
+    def _reject(self, bad_request: BadRequest) -> None:
+        self._handle(Exchange(self, None, bad_request), close=True)
 
     def _handle(self, exchange: Exchange, close: bool = False) -> None:
         self._state = ConnectionState.HANDLING
@@ -371,11 +374,11 @@
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
-            if connection.idle:
+            if connection.is_idle:
                 connection.close()
 
     @property
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether new connections are taken."""
         return self._server is not None and self._server.is_serving()
 
