--- a/features/steps/gossip_finger_steps.py
+++ b/features/steps/gossip_target_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the fingers to which daemons forward gossip messages."""
+"""Steps about the peers to which daemons forward gossip messages."""
 
 from typing import Any, cast
 
@@ -46,16 +46,16 @@
     context.rows = rows
 
 
-@when("one of them sends a message, and each daemon forwards it once to its fingers")
+@when("one of them sends a message, and each daemon forwards it once to its gossip targets")
 def step_forwards(context: Any) -> None:
     tables: dict[str, PeerTable] = context.tables
     table = peer_table(context.first, Snapshot(context.rows, 1))
     context.hops_by_address = {context.first: 0} if tables else {}
     pending = [context.first] if tables else []
-    assert tables or table.fingers() == []
+    assert tables or table.gossip_targets() == []
     while pending:
         sender = pending.pop(0)
-        for peer in tables[sender].fingers():
+        for peer in tables[sender].gossip_targets():
             if peer.address not in context.hops_by_address:
                 context.hops_by_address[peer.address] = context.hops_by_address[sender] + 1
                 pending.append(peer.address)
--- a/loomwind/messages/serving.py
+++ b/loomwind/messages/serving.py
@@ -33,13 +33,13 @@
 class LeaderAnswer(Message, frozen=True, tag=True, array_like=True):
     """Identifies the process that answers a :class:`LeaderQuestion`.
 
-    :param life: the ID of the daemon process.
+    :param incarnation: the ID of the daemon process.
     :param lease_version: the version of its last write to the lease row; 0 if it is not the
         leader.
     :param store_answers: whether the daemon reaches the store.
     """
 
-    life: str
+    incarnation: str
     lease_version: int = 0
     store_answers: bool = True
 
@@ -61,12 +61,12 @@
     """Distributes the models held by each server, as last read by the leader.
 
     :param fence: the leader's fencing token; messages with a lower token than seen are ignored.
-    :param paces: learned load rates of the weight store, so that the next leader has them.
+    :param store_limits: learned concurrency limits of the weight store, for the next leader.
     """
 
     fence: int
     holdings: tuple[ServerHolding, ...]
-    paces: tuple[LearnedConcurrencyLimit, ...] = ()
+    store_limits: tuple[LearnedConcurrencyLimit, ...] = ()
 
 
 class PoolExpectations(Message, frozen=True, tag=True, array_like=True):
--- a/loomwind/serving/metered_store.py
+++ b/loomwind/serving/metered_store.py
@@ -26,10 +26,10 @@
 class MeteredStore(Store):
     """Forwards each call and records its kind, table, result and duration."""
 
-    def __init__(self, inner: Store, metrics: Metrics, clock: Clock, life: str = "") -> None:
+    def __init__(self, inner: Store, metrics: Metrics, clock: Clock, incarnation: str = "") -> None:
         """Wrap a store.
 
-        :param life: the ID of this daemon process in the log.
+        :param incarnation: the ID of this daemon process, for the log.
         """
         self.configuration_table = inner.configuration_table
         self.configuration_key = inner.configuration_key
@@ -37,7 +37,7 @@
         self._inner = inner
         self._metrics = metrics
         self._clock = clock
-        self._life = life
+        self._incarnation = incarnation
         self._calls: Counter[str] = Counter()
 
     def set_address(self, address: str, timeout_seconds: float) -> None:
@@ -65,7 +65,7 @@
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
             if self._calls.total() != logged_total:
                 logged_total = self._calls.total()
-                log_state("store", "calls", life=self._life, calls=dict(self._calls))
+                log_state("store", "calls", life=self._incarnation, calls=dict(self._calls))
 
     async def _measure(self, call: str, table: str, work: Awaitable[Answer]) -> Answer:
         start_ms = self._clock.now_ms()
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -30,7 +30,7 @@
         exchange: Exchange,
         outgoing: OutgoingRequest,
         service: str,
-        choice: ServerSelector,
+        selector: ServerSelector,
         stream: StreamRelay,
         allowed: bool,
     ) -> None:
@@ -42,7 +42,7 @@
         self._exchange = exchange
         self._outgoing = outgoing
         self._service = service
-        self._choice = choice
+        self._selector = selector
         self._stream = stream
         self._allowed = allowed
         self._asked: set[str] = set()
@@ -54,7 +54,7 @@
 
     def should_relay(self) -> bool:
         """Whether to relay the request, because no server can be reached from here."""
-        return self._allowed and self._choice.is_service_unreachable(self._handler.now())
+        return self._allowed and self._selector.is_service_unreachable(self._handler.now())
 
     def next_peer(self) -> PeerEntry | None:
         """Return the next peer to ask; None, which ends the attempts, if there is none left."""
@@ -79,7 +79,7 @@
         relay = self._handler.relay
         connection = await relay.connect(peer, self._service)
         on_sent()
-        answer = await relay.send(
+        response = await relay.send(
             connection,
             peer,
             self._service,
@@ -89,21 +89,21 @@
             RelayMetadata(runs, self._handler.configuration_version()),
         )
         self.log_result("relayed", peer, "")
-        await self._forward_answer(peer, answer)
+        await self._forward_answer(peer, response)
 
-    async def _forward_answer(self, peer: PeerEntry, answer: OpenResponse) -> None:
-        if answer.streamed:
+    async def _forward_answer(self, peer: PeerEntry, response: OpenResponse) -> None:
+        if response.streamed:
             entry = ServerEntry(
                 peer.address, self._service, peer.relay, peer.zone, 1, ServerState.READY
             )
-            await self._stream.relay(entry, answer, ServerHealth())
-            self._handler.forwarder.release(answer.connection)
+            await self._stream.relay(entry, response, ServerHealth())
+            self._handler.forwarder.release(response.connection)
             return
-        body = await self._handler.forwarder.read_full_body(answer)
-        status = answer.head.status
+        body = await self._handler.forwarder.read_full_body(response)
+        status = response.head.status
         if self._exchange.started:
             raise SendFailed(f"{peer.address}: a resumed stream got {status}", may_have_run=True)
-        headers = self._handler.dialect.response_headers(answer.head)
+        headers = self._handler.dialect.response_headers(response.head)
         await self._exchange.respond(status, headers, body)
 
     def log_result(self, decision: str, peer: PeerEntry, reason: str) -> None:
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -20,7 +20,7 @@
     RelayMetadata,
     configuration_version_of,
     decode_error,
-    is_server_answer,
+    is_server_response,
     strip_relay_headers,
 )
 
@@ -28,7 +28,7 @@
 # How long a peer that declined or was unreachable is skipped for a service.
 DECLINE_BACKOFF_MS = 1000.0
 # Lets a peer's refusal, which tells whether the request has run, arrive before the deadline.
-ANSWER_MARGIN_SECONDS = 0.05
+RESPONSE_MARGIN_SECONDS = 0.05
 
 
 class PeerRelay:
@@ -83,7 +83,7 @@
         try:
             return await self._client.acquire(peer.relay, CONNECT_TIMEOUT_SECONDS)
         except ConnectFailed as error:
-            self._note_declined(peer, service)
+            self._record_declined(peer, service)
             raise RelayDeclined(f"not reached: {error}") from error
 
     async def send(
@@ -105,7 +105,7 @@
         try:
             connection.send_request(self._relay_request(outgoing, now, last_event_id, metadata))
             head = await connection.read_head()
-            if not is_server_answer(head):
+            if not is_server_response(head):
                 raise decode_error(head, await self._read_body(connection))
         except HttpError as error:
             connection.close()
@@ -113,7 +113,7 @@
             raise SendFailed(f"{peer.address}: {error}", may_have_run=True) from error
         except RelayDeclined:
             self._client.release(connection)
-            self._note_declined(peer, service)
+            self._record_declined(peer, service)
             raise
         except BaseException:
             self._client.release(connection)
@@ -133,7 +133,7 @@
         metadata: RelayMetadata,
     ) -> HttpRequest:
         request = outgoing.request
-        remaining = outgoing.deadline - now - ANSWER_MARGIN_SECONDS
+        remaining = outgoing.deadline - now - RESPONSE_MARGIN_SECONDS
         headers = self._dialect.peer_headers(request, remaining, last_event_id)
         version = max(metadata.configuration_version, self._newest_configuration)
         metadata = RelayMetadata(metadata.runs, version)
@@ -145,7 +145,7 @@
             body += chunk
         return bytes(body)
 
-    def _note_declined(self, peer: PeerEntry, service: str) -> None:
+    def _record_declined(self, peer: PeerEntry, service: str) -> None:
         self._count("declined")
         now_ms = self._clock.now_ms()
         self._declined_until_ms = {
