--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -46,11 +46,11 @@
     """Allows retries as a share of requests, and a few more so that quiet times can retry."""
 
     def __init__(self) -> None:
-        self._tokens = constants.RETRY_BUDGET_MINIMUM
+        self._tokens = constants.RETRY_BUDGET_CAPACITY
 
     def on_request(self) -> None:
         """Count a first attempt."""
-        limit = constants.RETRY_BUDGET_MINIMUM
+        limit = constants.RETRY_BUDGET_CAPACITY
         self._tokens = min(limit, self._tokens + constants.RETRY_BUDGET_RATIO)
 
     def take(self) -> bool:
