--- a/bench/relay_daemon.py
+++ b/bench/relay_daemon.py
@@ -30,7 +30,7 @@
         self._backend = Backend("source", backend, "zone")
         self._forwarder = Forwarder(client, lambda backend: None)
         self._relay = Relay(
-            client, self._forwarder, Metrics().relayed_bytes, constants.STREAM_STALL_SECONDS
+            client, self._forwarder, Metrics().relayed_bytes, constants.STREAM_STALL_TIMEOUT_SECONDS
         )
         self._limits = LimitSettings()
         self.server = HttpServer(self._serve)
--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -88,7 +88,7 @@
         still learns of changes.
         """
         while True:
-            await asyncio.sleep(constants.CATALOG_POLL_SECONDS)
+            await asyncio.sleep(constants.CATALOG_POLL_INTERVAL_SECONDS)
             if wanted():
                 try:
                     await self.learn_from_store()
--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -132,7 +132,7 @@
     head_timeout_seconds: Seconds = constants.HEAD_TIMEOUT_SECONDS
     body_timeout_seconds: Seconds = constants.BODY_TIMEOUT_SECONDS
     default_request_timeout_seconds: Seconds = constants.DEFAULT_REQUEST_TIMEOUT_SECONDS
-    stream_stall_seconds: Seconds = constants.STREAM_STALL_SECONDS
+    stream_stall_seconds: Seconds = constants.STREAM_STALL_TIMEOUT_SECONDS
     idempotency_retention_seconds: Seconds = constants.IDEMPOTENCY_RETENTION_SECONDS
 
 
