--- a/loomwind/constants.py
+++ b/loomwind/constants.py
@@ -1,11 +1,11 @@
-"""Named constants with units in their names. Settings override those an operator may tune."""
+"""Default limits, timeouts and intervals. Settings override those that operators may tune."""
 
 from typing import Final
 
 KIBIBYTE: Final = 1024
 MEBIBYTE: Final = 1024 * KIBIBYTE
 
-# Caller-facing HTTP limits.
+# Limits of HTTP connections.
 MAX_HEAD_BYTES: Final = 16 * KIBIBYTE
 MAX_BODY_BYTES: Final = MEBIBYTE
 MAX_HEADER_COUNT: Final = 64
@@ -14,7 +14,7 @@
 IDLE_TIMEOUT_SECONDS: Final = 60.0
 READ_BUFFER_HIGH_WATER_BYTES: Final = 256 * KIBIBYTE
 
-# Requests.
+# Request handling.
 DEFAULT_REQUEST_TIMEOUT_SECONDS: Final = 30.0
 MAX_REQUEST_TIMEOUT_SECONDS: Final = 3600.0
 DEADLINE_MARGIN_SECONDS: Final = 0.05
@@ -40,7 +40,7 @@
 WATCHERS_PER_ENGINE: Final = 2
 ENGINE_FAILURE_THRESHOLD: Final = 2
 
-# Control.
+# Control plane: voters, register and controller.
 MAX_VOTERS: Final = 3
 CAMPAIGN_TIMEOUT_SECONDS: Final = 0.6
 CAMPAIGN_STAGGER_SECONDS: Final = 0.25
@@ -61,23 +61,25 @@
 PEER_REQUEST_TIMEOUT_SECONDS: Final = 1.0
 PEER_BACKLOG_MAX_BYTES: Final = 4 * MEBIBYTE
 
-# Serving on a store.
+# Serving with a shared store.
 STORE_TIMEOUT_SECONDS: Final = 0.8
 LEASE_RENEWAL_INTERVAL_SECONDS: Final = 0.45
 LEASE_MARGIN_SECONDS: Final = 0.3
 LEADER_CHECK_INTERVAL_SECONDS: Final = 0.4
 POOL_DEMAND_INTERVAL_SECONDS: Final = 0.25
 POOL_DIGEST_INTERVAL_SECONDS: Final = 0.5
-# Each takes two descriptors: an eighth of the 4,100 that the deployments' sheets give a process.
+# Each uses two file descriptors: in total an eighth of the 4,100 that the deployment requirements
+# allow a process.
 MAX_RELAYED_REQUESTS: Final = 256
+# Above this number of daemons, intervals between polls and reports grow with the fleet.
 SMALL_FLEET_DAEMONS: Final = 25
-# Under the shortest bound on putting a configuration in force, 2 s, by the deployments' sheets.
+# Below 2 s, the shortest time that the deployment requirements allow for applying a configuration.
 TCP_USER_TIMEOUT_MS: Final = 1500.0
 
-# Operators.
+# Operator interface.
 DEFAULT_OPERATOR_ADDRESS: Final = "127.0.0.1:7071"
 
-# Platform.
+# Platform calls and shutdown.
 PLATFORM_TIMEOUT_SECONDS: Final = 1.0
 SHUTDOWN_GRACE_SECONDS: Final = 30.0
 SHUTDOWN_DELAY_SECONDS: Final = 1.0
