--- a/loomwind/logs.py
+++ b/loomwind/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs by eliot: one line of JSON for each change of state and each decision.
+"""Structured logs with eliot: one JSON line for each state change and each decision.
 
-Lines go through a bounded buffer that a task of the loop empties, so that writing never blocks a
-request. What did not fit is counted, and said in the next line.
+Lines go through a bounded buffer that a background task flushes, so that logging never blocks a
+request. Lines that do not fit are dropped; the next line written gives their number.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 class BoundedWriter:
-    """Keeps lines until the loop writes them; drops the newest when the buffer is full.
+    """Buffers log lines until they are flushed; drops new lines while the buffer is full.
 
-    :ivar dropped: how many lines were dropped since the last one that said so.
-    :ivar total_dropped: how many lines were dropped since the start.
+    :ivar dropped: number of lines dropped since the last line that reported drops.
+    :ivar total_dropped: number of lines dropped since the start.
     """
 
     def __init__(self, stream: TextIO, daemon: str) -> None:
@@ -33,7 +33,7 @@
         self.total_dropped = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take in a message; an eliot destination."""
+        """Buffer a message; implements an eliot destination."""
         if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             self.total_dropped += 1
@@ -44,7 +44,7 @@
         self._lines.append(msgspec.json.encode(message, enc_hook=str))
 
     def flush(self) -> None:
-        """Write what is buffered; a reader that is slow costs lines, not time."""
+        """Write the buffered lines; drops lines instead of blocking if the reader is slow."""
         if self.dropped:
             count, self.dropped = self.dropped, 0
             self._lines.append(msgspec.json.encode({"message_type": "loomwind:log", "lost": count}))
@@ -60,21 +60,21 @@
                 return
 
     async def run(self) -> None:
-        """Write for ever, a few times a second."""
+        """Flush periodically until cancelled."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             self.flush()
 
 
 def log_to_stderr() -> None:
-    """Send all log lines of this process to standard error."""
+    """Log to standard error, unbuffered."""
     eliot.to_file(sys.stderr)
 
 
 def log_to_stdout(daemon: str) -> BoundedWriter:
-    """Send all log lines of this process to standard output, through a bounded buffer.
+    """Log to standard output through a bounded buffer.
 
-    :param daemon: the daemon's name, which each line carries.
+    :param daemon: name of the daemon, added to each line.
     """
     writer = BoundedWriter(sys.stdout, daemon)
     eliot.add_destinations(writer)
@@ -82,19 +82,19 @@
 
 
 def log_state(subject: str, state: str, **fields: object) -> None:
-    """Write one line about a change of state.
+    """Log a state change.
 
     :param subject: what changed, such as ``controller`` or ``engine``.
-    :param state: the state that it is in now.
-    :param fields: identities and figures that explain the change.
+    :param state: the new state.
+    :param fields: names and values that explain the change.
     """
     eliot.log_message(message_type=f"loomwind:{subject}", state=state, **fields)
 
 
 def log_decision(decision: str, request_id: str, **fields: object) -> None:
-    """Write one line about a decision that touches a request.
+    """Log a decision about a request.
 
-    :param fields: the inputs that decided it, and the outcome.
+    :param fields: the inputs of the decision, and its outcome.
     """
     eliot.log_message(
         message_type="loomwind:request", decision=decision, request_id=request_id, **fields
