--- a/loomwind/metrics.py
+++ b/loomwind/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and latency histograms of one daemon, in the Prometheus text format."""
+"""Prometheus metrics of a daemon."""
 
 from functools import partial
 
@@ -12,14 +12,14 @@
 
 
 class ServerLabels:
-    """Names of servers as values of a label: the first ones as they are, all others as one."""
+    """Label values for servers: bounds their number by mapping later names to one shared value."""
 
     def __init__(self, max_names: int = MAX_SERVER_LABELS) -> None:
         self._max_names = max_names
         self._names: set[str] = set()
 
     def label_for(self, name: str) -> str:
-        """Return the label's value for a server."""
+        """Return the label value for a server."""
         if name not in self._names and len(self._names) >= self._max_names:
             return OTHER_SERVERS_LABEL
         self._names.add(name)
@@ -27,7 +27,7 @@
 
 
 class Metrics:
-    """All metrics of a daemon, in a registry of its own so that several can share a process."""
+    """All metrics of one daemon, in its own registry so that daemons can share a process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -40,7 +40,7 @@
         self._create_placement_metrics()
 
     def _create_request_metrics(self) -> None:
-        """Make what is told of requests, their streams and the log."""
+        """Create the metrics of requests, streams and the log."""
         self.accepted = self._counter(
             "loomwind_requests_accepted", "Requests read whole from a caller"
         )
@@ -102,7 +102,7 @@
         )
 
     def _create_fleet_metrics(self) -> None:
-        """Make what is told of daemons, of who leads and of the configuration."""
+        """Create the metrics of peers, leadership and configuration."""
         self.peer_messages = self._counter(
             "loomwind_peer_messages", "Messages sent to peers, by type", ["type"]
         )
@@ -126,7 +126,7 @@
         )
 
     def _create_placement_metrics(self) -> None:
-        """Make what is told of servers, loads and the store."""
+        """Create the metrics of servers, loads and the store."""
         self.orders = self._counter(
             "loomwind_orders", "Orders sent to engines, by result", ["result"]
         )
