--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -1,7 +1,7 @@
-"""Takes up a changed settings file while a daemon runs: at SIGHUP, and when its bytes differ.
+"""Reloads the settings file of a running daemon: on SIGHUP, and when its content changes.
 
-A file that cannot be read or has faults changes nothing: what is in force stays, and each fault is
-logged once. Which sections can change without a restart is the daemon's to say.
+If the file is unreadable or invalid, the current settings stay in effect and each fault is logged
+once. The daemon decides which sections can change without a restart.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 
 
 class Reloadable(Protocol):
-    """A daemon that can take up new settings."""
+    """A daemon that can apply changed settings while it runs."""
 
     def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
-        """Put changed sections in force; returns those that need a restart."""
+        """Apply the changed sections; returns those that need a restart."""
 
 
 def changed_sections(before: Settings, after: Settings) -> tuple[str, ...]:
-    """Return the names of the top-level settings that differ."""
+    """Return the names of the top-level sections that differ."""
     fields = msgspec.structs.fields(Settings)
     return tuple(f.name for f in fields if getattr(before, f.name) != getattr(after, f.name))
 
 
 class SettingsReloader:
-    """Follows one settings file."""
+    """Watches a settings file and applies its changes to a daemon."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         daemon: Reloadable,
         clock: Clock,
     ) -> None:
-        """Make a reloader.
+        """Create a reloader.
 
-        :param load: reads and checks the file; raises :class:`SettingsError`.
-        :param current: the settings in force.
+        :param load: reads and validates the file; raises :class:`SettingsError`.
+        :param current: the settings in effect.
         """
         self._path = path
         self._load = load
@@ -57,11 +57,11 @@
         self._requested = asyncio.Event()
 
     def install_signal_handler(self) -> None:
-        """Look at the file at each SIGHUP."""
+        """Check the file on each SIGHUP."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._requested.set)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Check the file periodically and on SIGHUP, until cancelled."""
         while True:
             await self._wait_for_trigger()
             signalled = self._requested.is_set()
@@ -80,9 +80,9 @@
                 trigger.cancel()
 
     def check_file(self, signalled: bool) -> None:
-        """Read the file if it has changed, or if an operator said so.
+        """Reload the file if its content has changed.
 
-        :param signalled: whether a signal asked for it.
+        :param signalled: whether SIGHUP was received; the file is then reloaded in any case.
         """
         content = _read_bytes(self._path)
         if content == self._content and not signalled:
@@ -106,7 +106,7 @@
 
 
 def _read_bytes(path: Path) -> bytes | None:
-    """Return a file's bytes; None when it cannot be read."""
+    """Return the content of a file; None if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError:
