--- a/loomwind/peering/__init__.py
+++ b/loomwind/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Links between daemons: length-prefixed MessagePack frames over TCP."""
+"""Messaging between daemons: length-prefixed MessagePack frames over TCP."""
