--- a/loomwind/peering/errors.py
+++ b/loomwind/peering/errors.py
@@ -8,9 +8,10 @@
 
 
 class PeerUnreachable(PeeringError):
-    """No answer came: the link is down, or the peer did not answer in time.
+    """The connection to the peer failed, or the peer did not answer in time.
 
-    :param refused: whether the host refused the connection, so that the process is gone.
+    :param refused: whether the host refused the connection, which means that the peer process has
+        ended.
     """
 
     def __init__(self, detail: str, refused: bool = False) -> None:
@@ -19,4 +20,4 @@
 
 
 class BadFrame(PeeringError):
-    """A peer sent what is not a frame of this protocol."""
+    """A peer sent bytes that are not a valid frame."""
