--- a/loomwind/peering/frames.py
+++ b/loomwind/peering/frames.py
@@ -1,4 +1,4 @@
-"""Frames: a four-byte length, then a MessagePack envelope."""
+"""Framing of peer messages: a four-byte big-endian length, then a MessagePack envelope."""
 
 import struct
 
@@ -12,10 +12,10 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message on its way.
+    """A message with the data that matches answers to calls.
 
-    :param call: 0 for a message that wants no answer; else the number that its answer carries.
-    :param answer: whether this is the answer to a call.
+    :param call: the ID of the call, repeated in its answer; 0 for a one-way message.
+    :param answer: whether the message is the answer to a call.
     """
 
     call: int
@@ -28,28 +28,28 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the bytes of one frame."""
+    """Return an envelope encoded as one frame."""
     payload = _encoder.encode(envelope)
     return _LENGTH.pack(len(payload)) + payload
 
 
 class FrameReader:
-    """Cuts a stream of bytes into envelopes."""
+    """Decodes a byte stream into envelopes."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Envelope]:
-        """Return the envelopes that are whole now.
+        """Add received bytes, and return the envelopes that they complete.
 
-        :raises BadFrame: the bytes are no frame of this protocol.
+        :raises BadFrame: a frame is too large or cannot be decoded.
         """
         self._buffer += data
         envelopes = []
         while len(self._buffer) >= _LENGTH.size:
             (size,) = _LENGTH.unpack_from(self._buffer)
             if size > constants.PEER_FRAME_MAX_BYTES:
-                raise BadFrame(f"a frame of {size} bytes")
+                raise BadFrame(f"frame of {size} bytes is too large")
             end = _LENGTH.size + size
             if len(self._buffer) < end:
                 break
