--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -1,7 +1,7 @@
-"""The peer transport: a server for incoming messages, and one link to each peer that is spoken to.
+"""The peer transport: a server for incoming messages, and a client for each peer address.
 
-A link connects when there is something to say. Messages that want no answer are dropped while the
-link is down; whoever sends them repeats them on its own. Calls fail with an error at once then.
+A client connects when it has a message to send. If it cannot connect, a one-way message is dropped,
+since its sender repeats it periodically, and a call raises an error.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class _IncomingConnection(asyncio.Protocol):
-    """The receiving end of a peer's link."""
+    """A connection accepted from a peer: handles its messages and answers its calls."""
 
     def __init__(self, peer_transport: "PeerTransport") -> None:
         self._peer_transport = peer_transport
@@ -60,7 +60,7 @@
 
 
 class _OutgoingConnection(asyncio.Protocol):
-    """The sending end: writes messages and matches answers to calls."""
+    """A connection to a peer: matches received answers to pending calls."""
 
     def __init__(self, peer_transport: "PeerTransport") -> None:
         self._peer_transport = peer_transport
@@ -77,7 +77,7 @@
         self.transport = None
         for future in self.calls.values():
             if not future.done():
-                future.set_exception(PeerUnreachable("the link ended"))
+                future.set_exception(PeerUnreachable("connection closed"))
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -93,7 +93,7 @@
 
 
 class PeerClient:
-    """The way to one peer address; reconnects when it is used after a break."""
+    """Sends messages to one peer address; reconnects on use if the connection was lost."""
 
     def __init__(self, address: str, transport: "PeerTransport") -> None:
         self._address = address
@@ -104,7 +104,7 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Return the connection; None while there is none."""
+        """Return the current connection, or None."""
         return self._connection.transport if self._connection is not None else None
 
     async def _connect_if_needed(self) -> _OutgoingConnection:
@@ -128,7 +128,9 @@
                     lambda: _OutgoingConnection(self._peer_transport), host, port
                 )
         except ConnectionRefusedError as error:
-            raise PeerUnreachable(f"{self._address} refused", refused=True) from error
+            raise PeerUnreachable(
+                f"{self._address} refused the connection", refused=True
+            ) from error
         except OSError as error:
             raise PeerUnreachable(f"{self._address}: {error}") from error
         self._connection = connection
@@ -136,18 +138,18 @@
 
     def _write(self, connection: _OutgoingConnection, envelope: Envelope) -> None:
         if connection.transport is None or connection.transport.is_closing():
-            raise PeerUnreachable("the link ended")
+            raise PeerUnreachable("connection closed")
         if connection.transport.get_write_buffer_size() > constants.PEER_BACKLOG_MAX_BYTES:
             connection.transport.abort()
-            raise PeerUnreachable("the peer does not read")
+            raise PeerUnreachable("send buffer full: the peer does not read")
         frame = encode(envelope)
         self._peer_transport.record_sent(envelope.message, len(frame))
         connection.transport.write(frame)
 
     async def send(self, message: AnyMessage) -> None:
-        """Send a message that wants no answer.
+        """Send a one-way message.
 
-        :raises PeerUnreachable: the link could not be made.
+        :raises PeerUnreachable: the connection failed.
         """
         connection = await self._connect_if_needed()
         self._write(connection, Envelope(0, False, message))
@@ -174,7 +176,7 @@
                 connection.calls.pop(call_id, None)
 
     def close(self) -> None:
-        """End the link."""
+        """Close the connection."""
         if self._connecting is not None:
             self._connecting.cancel()
         if self._connection is not None and self._connection.transport is not None:
@@ -182,7 +184,7 @@
 
 
 class PeerTransport:
-    """All links of one daemon."""
+    """Exchanges messages with the other daemons."""
 
     def __init__(self, handler: MessageHandler, connector: Connector, metrics: Metrics) -> None:
         self.handler = handler
@@ -195,24 +197,24 @@
         self._closed = False
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for peers."""
+        """Start listening for peers."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _IncomingConnection(self), host, port)
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the listening port."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def enable_dead_peer_detection(self, transport: asyncio.Transport) -> None:
-        """End a link whose peer acknowledges nothing for too long, if this daemon limits that."""
+        """Enable dead peer detection on a connection if the connector has a user timeout."""
         if self.connector.user_timeout_ms is not None:
             enable_dead_peer_detection(transport, self.connector.user_timeout_ms)
 
     def record_sent(self, message: AnyMessage, size: int) -> None:
-        """Count a sent message of ``size`` bytes."""
+        """Count a sent message of ``size`` bytes in the metrics."""
         self._metrics.peer_messages.labels(type(message).__name__).inc()
         self._metrics.peer_bytes.inc(size)
 
@@ -222,7 +224,7 @@
         return self._clients[address]
 
     def send(self, address: str, message: AnyMessage) -> None:
-        """Send a message in the background; it is dropped when the link is down."""
+        """Send a one-way message in the background; it is dropped if the connection fails."""
         if self._closed:
             return
         task = asyncio.get_running_loop().create_task(self._send(address, message))
@@ -248,17 +250,17 @@
         return await self._client(address).call(message, timeout)
 
     def connection_to(self, address: str) -> asyncio.Transport | None:
-        """Return the connection to an address; None while there is none."""
+        """Return the current connection to an address, or None."""
         return self._client(address).transport
 
     def disconnect(self, address: str) -> None:
-        """End the link to an address that is no longer spoken to."""
+        """Close the connection to an address that is no longer needed."""
         client = self._clients.pop(address, None)
         if client is not None:
             client.close()
 
     def close(self) -> None:
-        """End all links and stop listening."""
+        """Close all connections and stop listening."""
         self._closed = True
         for task in list(self._tasks):
             task.cancel()
