--- a/loomwind/messages/__init__.py
+++ b/loomwind/messages/__init__.py
@@ -1,7 +1,7 @@
-"""The internal protocol between daemons: typed messages, coded as MessagePack by msgspec.
+"""The messages of the protocol between daemons, encoded as MessagePack by msgspec.
 
-Everything that is decided belongs to a cell, so control messages name the cell that they are for.
-Stamps compare as tuples: a higher one is newer.
+Control decisions are made per cell, so control messages carry the name of their cell.
+Stamps are ordered like tuples; the higher one is newer.
 """
 
 from loomwind.messages.catalog import CatalogAnswer, CatalogRequest, CatalogUpdate
