--- a/loomwind/messages/catalog.py
+++ b/loomwind/messages/catalog.py
@@ -1,4 +1,4 @@
-"""Changes of the catalog on their way between daemons."""
+"""Messages that replicate the catalog between daemons."""
 
 from loomwind.catalog.changes import ChangeRecord
 from loomwind.catalog.model import CatalogSnapshot
@@ -6,19 +6,19 @@
 
 
 class CatalogUpdate(Message, frozen=True, tag=True, array_like=True):
-    """Accepted changes, in order, each with its version."""
+    """Distributes accepted changes, in the order of their versions."""
 
     changes: tuple[ChangeRecord, ...]
 
 
 class CatalogRequest(Message, frozen=True, tag=True, array_like=True):
-    """Ask for all that came after a version."""
+    """Requests all changes after a version."""
 
     after_version: int
 
 
 class CatalogAnswer(Message, frozen=True, tag=True, array_like=True):
-    """Changes after the version, or a snapshot when the log no longer reaches back."""
+    """The changes after the requested version, or a snapshot if the log no longer has them all."""
 
     version: int
     changes: tuple[ChangeRecord, ...]
