--- a/loomwind/messages/claims.py
+++ b/loomwind/messages/claims.py
@@ -1,4 +1,4 @@
-"""Claims on requests that run at most once, and their transfer to new voters."""
+"""Messages about claims on requests that must run at most once."""
 
 import enum
 
@@ -8,7 +8,14 @@
 
 
 class ClaimVerdict(enum.Enum):
-    """What a voter says to a claim."""
+    """A voter's decision on a claim.
+
+    GRANTED: the voter recorded the claim.
+    TAKEN: another claim to the key is recorded.
+    SEALED: the claim belongs to an earlier generation or epoch than the voter accepts.
+    NOT_READY: the voter does not have the claims of the present voters.
+    BARRIER: claims of an earlier generation were lost, and may not have expired.
+    """
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -18,10 +25,11 @@
 
 
 class Claim(Message, frozen=True, tag=True, array_like=True):
-    """Ask a voter to record that one daemon may run a request that must run at most once.
+    """Asks a voter to let one daemon run a request that must run at most once.
 
-    :param generation: generation of the voter set that the claim counts in.
-    :param epoch: epoch of that voter set.
+    :param generation: the generation of the voter set that decides on the claim.
+    :param epoch: the epoch of that voter set.
+    :param key: the key that identifies the request.
     """
 
     cell: str
@@ -33,7 +41,10 @@
 
 
 class ClaimAnswer(Message, frozen=True, tag=True, array_like=True):
-    """A voter's verdict on a claim; ``holder`` has the key when it is taken."""
+    """A voter's decision on a claim.
+
+    :param holder: the claimant of the recorded claim to the key; None if there is none.
+    """
 
     voter: VoterId
     verdict: ClaimVerdict
@@ -41,7 +52,7 @@
 
 
 class ClaimRelease(Message, frozen=True, tag=True, array_like=True):
-    """The claimant says that the request did not run under its claim, and will not."""
+    """Withdraws a claim: the request did not run under it, and will not."""
 
     cell: str
     key: str
@@ -50,7 +61,10 @@
 
 
 class ClaimTransferRequest(Message, frozen=True, tag=True, array_like=True):
-    """A new voter asks an earlier one for its claims, and to grant none in an earlier epoch."""
+    """Requests a voter's claims for a new voter.
+
+    The voter grants no claims in earlier epochs afterwards, since the new voter would miss them.
+    """
 
     cell: str
     generation: int
@@ -58,7 +72,10 @@
 
 
 class ClaimRecord(Struct, frozen=True, array_like=True):
-    """A recorded claim. ``age_seconds`` is how long ago it was granted."""
+    """A recorded claim.
+
+    :param age_seconds: the time since it was granted.
+    """
 
     key: str
     claimant: VoterId
@@ -67,7 +84,10 @@
 
 
 class ClaimTransfer(Message, frozen=True, tag=True, array_like=True):
-    """The claims of one voter; ``ready`` says whether it was itself ready to grant."""
+    """The claims of one voter.
+
+    :param ready: whether this voter has all earlier claims, and so can grant claims itself.
+    """
 
     voter: VoterId
     ready: bool
@@ -75,9 +95,10 @@
 
 
 class AdmitVoter(Message, frozen=True, tag=True, array_like=True):
-    """The controller asks a daemon to become a voter: to fetch the claims of the present ones.
+    """Asks a daemon to become a voter, by fetching the claims of the present voters.
 
-    :param voter_count: how many present voters there are, also where an address is not known.
+    :param present: the present voters whose addresses are known.
+    :param voter_count: the number of present voters, including those with unknown addresses.
     """
 
     cell: str
@@ -88,6 +109,6 @@
 
 
 class VoterAdmitted(Message, frozen=True, tag=True, array_like=True):
-    """Whether the daemon has the claims of a majority of the present voters."""
+    """Reports whether the daemon has the claims of a majority of the present voters."""
 
     ready: bool
