--- a/loomwind/messages/identity.py
+++ b/loomwind/messages/identity.py
@@ -1,19 +1,24 @@
-"""Who speaks, and the base class of all messages."""
+"""The identity of daemons, and the base class of all messages."""
 
 from msgspec import Struct
 
 
 class VoterId(Struct, frozen=True, order=True, array_like=True):
-    """One life of a daemon. A restart has another incarnation and remembers nothing."""
+    """Identifies a daemon process, whether or not it is a voter.
+
+    :param name: the daemon's name.
+    :param incarnation: changes with each restart, which loses the daemon's state.
+    """
 
     name: str
     incarnation: str
 
 
 class MemberInfo(Struct, frozen=True, order=True, array_like=True):
-    """A daemon as its peers know it.
+    """A daemon as known to its peers.
 
-    :param address: ``host:port`` for peers.
+    :param address: the daemon's peer address, ``host:port``.
+    :param leaving: whether the daemon is shutting down.
     """
 
     identity: VoterId
@@ -28,4 +33,4 @@
 
 
 class Acknowledgement(Message, frozen=True, tag=True, array_like=True):
-    """The message was taken in."""
+    """Acknowledges that a message was processed."""
