--- a/loomwind/messages/membership.py
+++ b/loomwind/messages/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, member lists and probes."""
+"""Membership messages: heartbeats, member lists and probes."""
 
 from msgspec import Struct
 
@@ -7,9 +7,10 @@
 
 
 class Digest(Struct, frozen=True, array_like=True):
-    """What a daemon knows, by version: enough to find out who is behind.
+    """Versions of a daemon's state, so that a peer can tell which of the two is out of date.
 
-    :param hears_leader: whether it hears its cell's controller itself, or is it.
+    :param hears_leader: whether the daemon receives heartbeats of its cell's controller, or is the
+        controller.
     """
 
     catalog_version: int = 0
@@ -20,9 +21,9 @@
 
 
 class Heartbeat(Message, frozen=True, tag=True, array_like=True):
-    """Sent to each daemon of the cell at a steady interval.
+    """Sent to each daemon of the cell at a fixed interval.
 
-    :param leader: whether the sender holds the cell's controller role now.
+    :param leader: whether the sender is the cell's controller.
     """
 
     sender: MemberInfo
@@ -38,19 +39,23 @@
 
 
 class MemberList(Message, frozen=True, tag=True, array_like=True):
-    """The members that the sender holds for alive or suspect."""
+    """The members that the sender considers alive or suspect."""
 
     members: tuple[MemberInfo, ...]
 
 
 class ProbeRequest(Message, frozen=True, tag=True, array_like=True):
-    """Ask a peer near a suspect to reach it. See docs/DESIGN.md, "Failure detection"."""
+    """Asks a peer near a suspect to contact it. See docs/DESIGN.md, "Failure detection"."""
 
     suspect: MemberInfo
 
 
 class ProbeAnswer(Message, frozen=True, tag=True, array_like=True):
-    """Whether the suspect answered, and whether its host refused the connection."""
+    """The result of a probe.
+
+    :param reached: whether the suspect answered.
+    :param refused: whether its host refused the connection.
+    """
 
     reached: bool
     refused: bool
