--- a/loomwind/messages/register.py
+++ b/loomwind/messages/register.py
@@ -1,4 +1,4 @@
-"""The register: ballots, values, promises and acknowledgements."""
+"""Messages of the register, which replicates a cell's placement by a Paxos-like protocol."""
 
 from msgspec import Struct
 
@@ -7,18 +7,18 @@
 
 
 class Ballot(Struct, frozen=True, order=True, array_like=True):
-    """A candidate's claim to lead; unique, since it carries the candidate's identity."""
+    """The number of a leadership attempt; unique, since it contains the candidate's identity."""
 
     round: int = 0
     candidate: VoterId = VoterId("", "")
 
 
 class Intent(Struct, frozen=True, order=True, array_like=True):
-    """A decision that one life of an engine may hold an artifact, and the memory reserved for it.
+    """A decision that an engine instance may hold an artifact, with the memory reserved for it.
 
     :param engine: the engine's name.
-    :param instance: the engine's life; a restarted engine holds nothing of an earlier one.
-    :param memory_mib: accelerator memory in MiB.
+    :param instance: the ID of the engine instance; a restarted engine has lost its artifacts.
+    :param memory_mib: the reserved accelerator memory in MiB.
     """
 
     engine: str
@@ -28,7 +28,7 @@
 
 
 class Stamp(Struct, frozen=True, order=True, array_like=True):
-    """The age of a register value: generation first, then ballot, then version."""
+    """Orders register values by generation, then ballot, then version."""
 
     generation: int = 0
     ballot: Ballot = Ballot()
@@ -36,12 +36,13 @@
 
 
 class RegisterValue(Struct, frozen=True, array_like=True):
-    """What the voters hold: the cell's placement map and the voter set itself.
+    """The replicated value: the cell's placement map and its voter set.
 
-    :param joint: the earlier voter set while a change of voters is not yet settled.
-    :param epoch: counts the voter sets of the generation.
-    :param fenced_engines: engines that were fenced and read in this generation. What any other
-        engine holds is not known.
+    :param joint: the previous voter set until a majority of both sets accepts the change.
+    :param epoch: the number of the voter set within the generation.
+    :param fenced_engines: the engines that were fenced and read in this generation. The contents of
+        other engines are unknown.
+    :param intents: the artifacts that engines may hold.
     """
 
     stamp: Stamp
@@ -53,7 +54,7 @@
 
 
 class Prepare(Message, frozen=True, tag=True, array_like=True):
-    """Ask a voter to promise that it accepts no lower ballot."""
+    """Asks a voter to promise that it accepts no lower ballot."""
 
     cell: str
     generation: int
@@ -61,7 +62,7 @@
 
 
 class Promise(Message, frozen=True, tag=True, array_like=True):
-    """A voter's promise, with the value that it accepted last."""
+    """A voter's promise, with the last value that it accepted."""
 
     cell: str
     voter: VoterId
@@ -71,14 +72,14 @@
 
 
 class Accept(Message, frozen=True, tag=True, array_like=True):
-    """Ask a voter to hold a value."""
+    """Asks a voter to accept a value."""
 
     cell: str
     value: RegisterValue
 
 
 class Accepted(Message, frozen=True, tag=True, array_like=True):
-    """A voter holds the value of that stamp, or a newer one of the same ballot."""
+    """Confirms that a voter accepted the value of this stamp, or a newer one of the same ballot."""
 
     cell: str
     voter: VoterId
@@ -86,7 +87,7 @@
 
 
 class Refused(Message, frozen=True, tag=True, array_like=True):
-    """A voter has promised a higher ballot, or is in a newer generation."""
+    """Refuses a message: the voter promised a higher ballot, or is in a newer generation."""
 
     cell: str
     voter: VoterId
