--- a/loomwind/messages/routing.py
+++ b/loomwind/messages/routing.py
@@ -1,4 +1,4 @@
-"""Demand from the routers, routes to them, and what was seen of back ends."""
+"""Messages between routers and the controller: demand, routes and the state of back ends."""
 
 from msgspec import Struct
 
@@ -10,8 +10,10 @@
 class DemandEntry(Struct, frozen=True, array_like=True):
     """Requests of one group for one artifact at one router.
 
-    :param arrivals: requests since the last report.
-    :param nearest_deadline_seconds: time left of the most urgent waiting one.
+    :param waiting: the number of queued requests.
+    :param running: the number of running requests.
+    :param arrivals: the number of requests that arrived since the last report.
+    :param nearest_deadline_seconds: the time until the earliest deadline of a waiting request.
     """
 
     artifact: Artifact
@@ -23,7 +25,7 @@
 
 
 class DemandReport(Message, frozen=True, tag=True, array_like=True):
-    """What waits and runs at one router."""
+    """Reports the queued and running requests of one router."""
 
     cell: str
     router: VoterId
@@ -31,17 +33,20 @@
 
 
 class GroupPlaces(Struct, frozen=True, array_like=True):
-    """The part of an engine's places at a router that is for one group; a fraction."""
+    """One group's part of an engine's slots at a router.
+
+    :param places: the number of slots; may be fractional.
+    """
 
     group: str
     places: float
 
 
 class EngineRoute(Struct, frozen=True, array_like=True):
-    """An engine with the replicas that are ready on it.
+    """An engine, with the replicas that are ready on it.
 
-    :param slots: how many requests this router may run there at once.
-    :param places: how the slots divide among the groups that want them.
+    :param slots: how many requests this router may run on the engine concurrently.
+    :param places: how the slots are divided among the groups that have demand.
     """
 
     engine: str
@@ -53,7 +58,7 @@
 
 
 class ApplicationRoute(Struct, frozen=True, array_like=True):
-    """An application server that takes work."""
+    """An application server that accepts requests."""
 
     application: str
     identity: str
@@ -62,18 +67,21 @@
 
 
 class LoadEstimate(Struct, frozen=True, array_like=True):
-    """When an artifact that is not ready is expected to be."""
+    """When an artifact that is not ready is expected to become ready.
+
+    :param seconds: the expected time until then.
+    """
 
     artifact: Artifact
     seconds: float
 
 
 class RoutingUpdate(Message, frozen=True, tag=True, array_like=True):
-    """The controller's view of where requests can go.
+    """Distributes the controller's routing table, in full or as a change.
 
-    :param base: the sequence that this one changes; 0 for one that stands alone.
+    :param base: the sequence number of the update that this one changes; 0 for a full table.
     :param engines: all engines, or those that changed since ``base``.
-    :param removed: engines that are no longer there since ``base``.
+    :param removed: the engines that were removed since ``base``.
     """
 
     cell: str
@@ -89,13 +97,17 @@
 
 
 class RoutingRequest(Message, frozen=True, tag=True, array_like=True):
-    """Ask a peer for the newest routing update that it holds."""
+    """Requests the newest routing update that a peer has."""
 
     cell: str
 
 
 class BackendReport(Message, frozen=True, tag=True, array_like=True):
-    """A router or watcher saw a back end say that it is leaving, or found it not answering."""
+    """Reports that a router or watcher observed a back end leaving or failing.
+
+    :param leaving: whether the back end announced that it is shutting down.
+    :param failed: whether it did not answer.
+    """
 
     cell: str
     backend: str
