--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -1,7 +1,7 @@
-"""Takes up a changed settings file while a daemon runs: at SIGHUP, and when its bytes differ.
+"""Reloads the settings file of a running daemon: on SIGHUP, and when its content changes.
 
-A file that cannot be read or has faults changes nothing: what is in force stays, and each fault is
-logged once. Which sections can change without a restart is the daemon's to say.
+If the file is unreadable or invalid, the current settings stay in effect and each fault is logged
+once. The daemon decides which sections can change without a restart.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 
 
 class Reloadable(Protocol):
-    """A daemon that can take up new settings."""
+    """A daemon that can apply changed settings while it runs."""
 
     def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
-        """Put changed sections in force; returns those that need a restart."""
+        """Apply the changed sections; returns those that need a restart."""
 
 
 def changed_sections(before: Settings, after: Settings) -> tuple[str, ...]:
-    """Return the names of the top-level settings that differ."""
+    """Return the names of the top-level sections that differ."""
     fields = msgspec.structs.fields(Settings)
     return tuple(f.name for f in fields if getattr(before, f.name) != getattr(after, f.name))
 
 
 class SettingsReloader:
-    """Follows one settings file."""
+    """Watches a settings file and applies its changes to a daemon."""
 
     def __init__(
         self,
@@ -43,68 +43,70 @@
         daemon: Reloadable,
         clock: Clock,
     ) -> None:
-        """Make a reloader.
+        """Create a reloader.
 
-        :param load: reads and checks the file; raises :class:`SettingsError`.
-        :param current: the settings in force.
+        :param load: reads and validates the file; raises :class:`SettingsError`.
+        :param current: the settings in effect.
         """
         self._path = path
         self._load = load
         self._current = current
         self._daemon = daemon
         self._clock = clock
-        self._content = _content(path)
+        self._content = _read_bytes(path)
         self._requested = asyncio.Event()
 
     def install_signal_handler(self) -> None:
-        """Look at the file at each SIGHUP."""
+        """Check the file on each SIGHUP."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._requested.set)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Check the file periodically and on SIGHUP, until cancelled."""
         while True:
-            await self._wait_for_next_look()
-            told = self._requested.is_set()
+            await self._wait_for_trigger()
+            signalled = self._requested.is_set()
             self._requested.clear()
-            self.look(told)
+            self.check_file(signalled)
 
-    async def _wait_for_next_look(self) -> None:
-        waits = [
+    async def _wait_for_trigger(self) -> None:
+        triggers = [
             asyncio.ensure_future(self._requested.wait()),
             asyncio.ensure_future(self._clock.sleep_ms(POLL_INTERVAL_MS)),
         ]
         try:
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(triggers, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for wait in waits:
-                wait.cancel()
+            for trigger in triggers:
+                trigger.cancel()
 
-    def look(self, told: bool) -> None:
-        """Read the file if it has changed, or if an operator said so.
+    def check_file(self, signalled: bool) -> None:
+        """Reload the file if its content has changed.
 
-        :param told: whether a signal asked for it.
+        :param signalled: whether SIGHUP was received; the file is then reloaded in any case.
         """
-        content = _content(self._path)
-        if content == self._content and not told:
+        content = _read_bytes(self._path)
+        if content == self._content and not signalled:
             return
         self._content = content
         try:
             settings = self._load()
         except SettingsError as error:
             faults = [str(fault) for fault in error.exceptions]
-            log_state("settings", "rejected", path=str(self._path), faults=faults, told=told)
+            log_state("settings", "rejected", path=str(self._path), faults=faults, told=signalled)
             return
-        self._put_in_force(settings, told)
+        self._apply(settings, signalled)
 
-    def _put_in_force(self, settings: Settings, told: bool) -> None:
+    def _apply(self, settings: Settings, signalled: bool) -> None:
         changed = changed_sections(self._current, settings)
         need_restart = self._daemon.apply_settings(settings, changed) if changed else ()
         self._current = settings
-        log_state("settings", "reloaded", changed=changed, need_restart=need_restart, told=told)
+        log_state(
+            "settings", "reloaded", changed=changed, need_restart=need_restart, told=signalled
+        )
 
 
-def _content(path: Path) -> bytes | None:
-    """Return a file's bytes; None when it cannot be read."""
+def _read_bytes(path: Path) -> bytes | None:
+    """Return the content of a file; None if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError:
