--- a/loomwind/platform/__init__.py
+++ b/loomwind/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the users' platform and the product. Nothing is decided here.
+"""Adapters that translate between the users' platform and the serving core, without any policy.
 
-The wire formats are those of the platform's published pages; no other module knows its names.
+The wire formats follow the platform's published specification; no other package uses its names.
 """
