--- a/loomwind/platform/deployment.py
+++ b/loomwind/platform/deployment.py
@@ -1,4 +1,4 @@
-"""Makes the adapters for the users' platform."""
+"""Creates a pool daemon with the adapters for the users' platform."""
 
 from loomwind import constants
 from loomwind.http.client import Connector, HttpClient
@@ -11,7 +11,7 @@
 
 
 def create_pool_daemon(settings: Settings, store: StoreSettings) -> PoolDaemon:
-    """Return a daemon for the platform whose store the settings name."""
+    """Return a pool daemon that uses the given store of the platform."""
     connector = Connector(settings.address_overrides, user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     client = HttpClient(connector)
     deployment = Deployment(
