--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -1,15 +1,20 @@
-"""The platform's header fields behind :class:`loomwind.serving.ports.Dialect`."""
+"""Implements :class:`loomwind.serving.ports.Dialect` with the platform's header fields."""
 
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end_headers
 from loomwind.serving.ports import Dialect, ResponseCheck
 from loomwind.serving.views import CallerRequest, ModelKey, PromptPart
 
 REQUEST_ID = "x-request-id"
+# Milliseconds that remain until the deadline.
 DEADLINE_MS = "x-deadline-ms"
+# "model" or "model/adapter".
 MODEL = "x-model"
+# "prompt tokens,max new tokens".
 TOKEN_USAGE = "x-token-usage"
+# The parts of the prompt in order, as "identity:tokens,...".
 PROMPT_PREFIX = "x-prompt-prefix"
 LAST_EVENT_ID = "last-event-id"
+# Set by servers on their own responses, so that those of intermediaries can be told apart.
 RESPONSE_STAMP = "x-response-stamp"
 EXPECT_INSTANCE = "x-expect-instance"
 INSTANCE = "x-instance-id"
@@ -18,7 +23,7 @@
 MISDIRECTED_STATUS = 421
 MAX_PRIORITY_VALUE = 9
 
-# Fields that the daemon itself sets on what it sends to a server.
+# Headers that the daemon sets on requests to servers instead of forwarding the caller's.
 DAEMON_HEADERS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
 
 
@@ -26,7 +31,7 @@
     """Reads and writes the platform's header fields."""
 
     def read_request(self, request: HttpRequest) -> CallerRequest:
-        """Return what a caller's request says; see :meth:`Dialect.read_request`."""
+        """Decode the headers of a request; see :meth:`Dialect.read_request`."""
         model = request.header(MODEL)
         prompt_tokens, max_new_tokens = _parse_token_usage(request.header(TOKEN_USAGE))
         return CallerRequest(
@@ -48,41 +53,41 @@
         priority: int | None,
         last_event_id: str | None,
     ) -> Headers:
-        """Return the headers for a server; see :meth:`Dialect.server_headers`."""
-        kept = tuple(
+        """Return the headers of a request to a server; see :meth:`Dialect.server_headers`."""
+        forwarded = tuple(
             (name, value)
             for name, value in end_to_end_headers(request.headers)
             if name not in DAEMON_HEADERS
         )
-        own: Headers = (
+        headers: Headers = (
             ("host", request.header("host") or ""),
             (DEADLINE_MS, str(max(1, int(remaining_seconds * 1000)))),
             (EXPECT_INSTANCE, server_name),
         )
         if priority is not None:
-            own += ((PRIORITY, str(min(priority, MAX_PRIORITY_VALUE))),)
+            headers += ((PRIORITY, str(min(priority, MAX_PRIORITY_VALUE))),)
         if last_event_id is not None:
-            own += ((LAST_EVENT_ID, last_event_id),)
-        return own + kept
+            headers += ((LAST_EVENT_ID, last_event_id),)
+        return headers + forwarded
 
     def peer_headers(
         self, request: HttpRequest, remaining_seconds: float, last_event_id: str | None
     ) -> Headers:
-        """Return the headers for a peer; see :meth:`Dialect.peer_headers`."""
-        changed = (DEADLINE_MS, LAST_EVENT_ID)
+        """Return the headers of a relayed request; see :meth:`Dialect.peer_headers`."""
+        replaced = (DEADLINE_MS, LAST_EVENT_ID)
         headers: Headers = (
             ("host", request.header("host") or ""),
             (DEADLINE_MS, str(max(1, int(remaining_seconds * 1000)))),
         )
         if last_event_id is not None:
             headers += ((LAST_EVENT_ID, last_event_id),)
-        kept = ((name, value) for name, value in end_to_end_headers(request.headers))
-        return headers + tuple((name, value) for name, value in kept if name not in changed)
+        forwarded = ((name, value) for name, value in end_to_end_headers(request.headers))
+        return headers + tuple((name, value) for name, value in forwarded if name not in replaced)
 
     def check_response(
         self, request_id: str, server_name: str, head: HttpResponse
     ) -> ResponseCheck:
-        """Return what the head of an answer says; see :meth:`Dialect.check_response`."""
+        """Check the head of a response; see :meth:`Dialect.check_response`."""
         matches_request = head.header(REQUEST_ID) == request_id
         misdirected = head.status == MISDIRECTED_STATUS
         refused = misdirected or head.header(NOT_EXECUTED) is not None
@@ -95,11 +100,11 @@
         )
 
     def response_headers(self, head: HttpResponse) -> Headers:
-        """Return an answer's headers for the caller; see :meth:`Dialect.response_headers`."""
+        """Return the headers for the caller; see :meth:`Dialect.response_headers`."""
         return end_to_end_headers(head.headers)
 
     def refusal_headers(self, request_id: str, retry_after_seconds: float | None) -> Headers:
-        """Return the headers of an own answer; see :meth:`Dialect.refusal_headers`."""
+        """Return the headers of a refusal; see :meth:`Dialect.refusal_headers`."""
         headers: Headers = ((REQUEST_ID, request_id),) if request_id else ()
         if retry_after_seconds is not None:
             headers += (("retry-after", f"{max(0.0, retry_after_seconds):.3f}"),)
@@ -107,6 +112,7 @@
 
 
 def _parse_deadline_seconds(text: str | None) -> float | None:
+    """Return the time until the deadline; None when the header is missing or malformed."""
     try:
         return None if text is None else float(text) / 1000
     except ValueError:
@@ -114,6 +120,7 @@
 
 
 def _parse_token_usage(text: str | None) -> tuple[int, int]:
+    """Return the prompt tokens and the maximum of new tokens; zeros when malformed."""
     first, _, second = (text or "").partition(",")
     try:
         return int(first or 0), int(second or 0)
@@ -127,6 +134,7 @@
 
 
 def _parse_prompt(text: str) -> tuple[PromptPart, ...]:
+    """Return the parts of a prompt; malformed items are skipped."""
     parts = []
     for item in text.split(","):
         identity, _, tokens = item.strip().partition(":")
