--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -1,4 +1,4 @@
-"""The configuration and the servers' entries of the platform, as the product's views."""
+"""Decodes the platform's configuration and server entries into :mod:`loomwind.serving.views`."""
 
 import math
 from typing import Literal
@@ -23,6 +23,7 @@
 from loomwind.settings import Address
 
 MAX_PORT = 65_535
+# How long clients wait for the next event of a stream, by the platform's specification.
 MIN_EVENT_TIMEOUT_MS = 2000.0
 EVENT_TIMEOUT_LATENCY_FACTOR = 4.0
 EVENT_TIMEOUT_GAP_FACTOR = 8.0
@@ -32,14 +33,21 @@
 
 
 class WireWeightedService(Struct):
-    """A part of a split."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float
 
 
 class WireRoute(Struct, rename="kebab"):
-    """A route."""
+    """A route of the configuration.
+
+    :param kind: the value of a :class:`RequestKind`.
+    :param target_latency_ms: latency objective for the response, or for a stream's first event.
+    :param service: the only service of the route; unused when there is a traffic split.
+    :param resumable: whether an interrupted stream may be continued at another server.
+    :param gap_aim_ms: objective for the gap between events of a stream; 0 for none.
+    """
 
     name: str
     host: str
@@ -57,7 +65,13 @@
 
 
 class WireModel(Struct, rename="kebab"):
-    """A model of an engine."""
+    """A model that an engine can load.
+
+    :param load_time_s: load time from the weight store.
+    :param adapters: the number of its adapters.
+    :param warm_s: load time from a copy in the server's host memory.
+    :param disk_load_s: load time from a copy on the server's disk.
+    """
 
     name: str
     weights_mb: float
@@ -69,7 +83,11 @@
 
 
 class WireEngine(Struct, rename="kebab"):
-    """What each model server of a service can hold."""
+    """Capacity of each model server of a service.
+
+    :param weights_mb: accelerator memory for weights and adapters together.
+    :param loads_per_s: rate limit of the weight store over all servers.
+    """
 
     weights_mb: float = 0.0
     adapter_slots: int = 0
@@ -79,7 +97,11 @@
 
 
 class WireService(Struct, rename="kebab"):
-    """A service."""
+    """A service of the configuration.
+
+    :param max_conns: the maximum number of connections that each server accepts.
+    :param engine: None when its servers do not load models.
+    """
 
     name: str
     health_path: str = ""
@@ -88,7 +110,7 @@
 
 
 class WireLimits(Struct, rename="kebab"):
-    """Limits on clients."""
+    """Limits on the requests and connections of clients."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -97,7 +119,7 @@
 
 
 class WireConfiguration(Struct, rename="kebab"):
-    """The whole configuration."""
+    """The document that holds the configuration."""
 
     version: int
     routes: list[WireRoute]
@@ -106,14 +128,19 @@
 
 
 class WireHeldModel(Struct, rename="kebab"):
-    """A model that a server holds."""
+    """A loaded model with its loaded adapters."""
 
     name: str
     adapters: list[str] = []
 
 
 class WireServer(Struct, rename="kebab"):
-    """A server's entry."""
+    """A server's entry in the list of servers.
+
+    :param seq: the number of orders that this process has accepted.
+    :param remaining_ms: time until a server leaving at short notice is gone.
+    :param born: start of its process, in milliseconds of Unix time.
+    """
 
     service: str
     address: Address
@@ -127,10 +154,10 @@
 
 
 class PlatformDocuments(DocumentParser):
-    """Reads the platform's JSON documents."""
+    """Decodes the platform's JSON documents."""
 
     def parse_configuration(self, value: bytes) -> Configuration:
-        """Return a configuration; see :meth:`DocumentParser.parse_configuration`."""
+        """Decode a configuration; see :meth:`DocumentParser.parse_configuration`."""
         try:
             wire = msgspec.json.decode(value, type=WireConfiguration)
             return Configuration(
@@ -148,13 +175,13 @@
             raise MalformedDocument(f"configuration: {error}") from error
 
     def parse_server(self, name: str, value: bytes) -> ServerEntry:
-        """Return a server's entry; see :meth:`DocumentParser.parse_server`."""
+        """Decode a server's entry; see :meth:`DocumentParser.parse_server`."""
         try:
             wire = msgspec.json.decode(value, type=WireServer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             raise MalformedDocument(f"server {name}: {error}") from error
         if int(wire.address.rpartition(":")[2]) > MAX_PORT:
-            raise MalformedDocument(f"server {name}: no port in {wire.address}")
+            raise MalformedDocument(f"server {name}: invalid port in address {wire.address}")
         return ServerEntry(
             name=name,
             service=wire.service,
@@ -170,7 +197,7 @@
 
 
 def held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
-    """Return the models of an entry or a report."""
+    """Convert the loaded models of an entry or a report."""
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
 
@@ -194,11 +221,11 @@
 
 
 def _event_timeout_ms(wire: WireRoute) -> float:
-    """Return how long clients wait for the next event of a stream, by the platform's pages."""
+    """Return how long clients wait for the next event of a stream; infinite for other kinds."""
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
-    by_objective = EVENT_TIMEOUT_LATENCY_FACTOR * wire.target_latency_ms
-    return max(MIN_EVENT_TIMEOUT_MS, by_objective, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
+    from_objective_ms = EVENT_TIMEOUT_LATENCY_FACTOR * wire.target_latency_ms
+    return max(MIN_EVENT_TIMEOUT_MS, from_objective_ms, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
 
 
 def _service(wire: WireService) -> ServiceProfile:
