--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -1,4 +1,4 @@
-"""The platform's model servers behind :class:`loomwind.serving.ports.EngineControl`."""
+"""Implements :class:`loomwind.serving.ports.EngineControl` for the platform's model servers."""
 
 import msgspec
 from msgspec import Struct
@@ -28,14 +28,24 @@
 
 
 class WireCachedWeights(Struct, rename="kebab"):
-    """Copies of weights that a server keeps beside its accelerators."""
+    """Models whose weights a server keeps a copy of outside its accelerators.
+
+    :param resident: models with a copy in host memory.
+    :param disk_cached: models with a copy on its disk.
+    """
 
     resident: list[str] = []
     disk_cached: list[str] = []
 
 
 class WireReport(Struct, rename="kebab"):
-    """A server's account of itself."""
+    """A model server's report on its state.
+
+    :param seq: the number of orders that this process has accepted.
+    :param busy: whether it is executing an order.
+    :param pending: adapters that are being loaded, as ``model/adapter@...``.
+    :param born: start of its process, in milliseconds of Unix time.
+    """
 
     seq: int = 0
     busy: bool = False
@@ -50,13 +60,13 @@
 
 
 class PlatformEngineControl(EngineControl):
-    """Reads reports and gives orders over HTTP, on connections that are kept."""
+    """Reads reports and sends orders over pooled HTTP connections."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def read_report(self, entry: ServerEntry, timeout: float) -> ServerReport | None:
-        """Return what a server holds; see :meth:`EngineControl.read_report`."""
+        """Return a server's report; see :meth:`EngineControl.read_report`."""
         headers = ((EXPECT_INSTANCE, entry.name),)
         try:
             response = await self._http.request(
@@ -70,7 +80,7 @@
             return None
 
     async def send_order(self, entry: ServerEntry, order: Order, timeout: float) -> OrderAnswer:
-        """Give an order; see :meth:`EngineControl.send_order`."""
+        """Send an order; see :meth:`EngineControl.send_order`."""
         body: dict[str, str | int] = {
             "op": order.kind.value,
             "model": order.target.model,
@@ -92,11 +102,12 @@
 
 
 def _is_other_server(response: HttpResponse, entry: ServerEntry) -> bool:
+    """Whether another server than the listed one responded at the address."""
     return response.header(INSTANCE) not in (None, entry.name)
 
 
 def _was_restarted(wire: WireReport, entry: ServerEntry) -> bool:
-    """Whether the server has started again, under its name, since it was listed."""
+    """Whether the server's process is not the listed one, but one of the same name."""
     return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
 
--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store behind :class:`loomwind.serving.ports.Store`."""
+"""Implements :class:`loomwind.serving.ports.Store` with the platform's metadata store."""
 
 import base64
 import binascii
@@ -22,13 +22,19 @@
 )
 
 JSON_HEADERS = (("content-type", "application/json"),)
+# Added to the wait of a long poll for the timeout of its HTTP request.
 LONG_POLL_MARGIN_SECONDS = 0.6
 GONE_STATUS = 410
 CONFLICT_STATUS = 412
 
 
 class WireRow(Struct):
-    """A row as the store writes it; ``value`` is base64."""
+    """A row as the store encodes it.
+
+    :param ver: the store-wide version at which it was written.
+    :param value: base64.
+    :param gone: whether the row was removed.
+    """
 
     key: str
     ver: int
@@ -37,7 +43,11 @@
 
 
 class RowsResponse(Struct):
-    """The answer of each call about rows."""
+    """The response to every call that reads or writes rows.
+
+    :param ver: the store-wide version, or that of the write.
+    :param more: whether a full read has further pages.
+    """
 
     ver: int = 0
     rows: list[WireRow] = []
@@ -45,7 +55,7 @@
 
 
 class PlatformStore(Store):
-    """Rows over HTTP. All rows that the product uses have an empty part."""
+    """Reads and writes rows over HTTP. The ``part`` of a row's key is always empty here."""
 
     configuration_table = "op"
     configuration_key = "config"
@@ -57,30 +67,30 @@
         self._timeout = timeout_seconds
 
     def set_address(self, address: str, timeout_seconds: float) -> None:
-        """Reach the store elsewhere; see :meth:`Store.set_address`."""
+        """Use another address; see :meth:`Store.set_address`."""
         self._address = address
         self._timeout = timeout_seconds
 
     async def read(self, table: str) -> Snapshot:
-        """Return a whole table; see :meth:`Store.read`."""
+        """Return a full table, read page by page; see :meth:`Store.read`."""
         rows: list[StoredRow] = []
         start = ""
         version = 0
         while True:
             query = {"table": table, "part": ""} | ({"from": start} if start else {})
-            answer = _decode(await self._get("/rows-get", query, self._timeout))
-            rows += [_row(row) for row in answer.rows]
-            version = version or answer.ver
-            if not answer.more or not answer.rows:
+            response = _decode(await self._get("/rows-get", query, self._timeout))
+            rows += [_row(row) for row in response.rows]
+            version = version or response.ver
+            if not response.more or not response.rows:
                 return Snapshot(tuple(rows), version)
-            start = answer.rows[-1].key + "\0"
+            start = response.rows[-1].key + "\0"
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return what changed; see :meth:`Store.changes`."""
+        """Return the changes of a table; see :meth:`Store.changes`."""
         query = {"table": table, "after": str(after), "wait-ms": str(int(wait_seconds * 1000))}
         response = await self._get("/rows-feed", query, wait_seconds + LONG_POLL_MARGIN_SECONDS)
-        answer = _decode(response)
-        return Snapshot(tuple(_row(row) for row in answer.rows), answer.ver)
+        response = _decode(response)
+        return Snapshot(tuple(_row(row) for row in response.rows), response.ver)
 
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
         """Write a row; see :meth:`Store.write`."""
@@ -98,10 +108,10 @@
             body["put"].append({**where, "value": base64.b64encode(write.value).decode()})
         request = HttpRequest("POST", "/rows-tx", JSON_HEADERS, msgspec.json.encode(body))
         response = await self._exchange(request, timeout_seconds or self._timeout, writes=True)
-        answer = _decode(response)
+        response = _decode(response)
         if response.status == CONFLICT_STATUS:
-            raise WriteConflict(tuple(_row(row) for row in answer.rows))
-        return answer.ver
+            raise WriteConflict(tuple(_row(row) for row in response.rows))
+        return response.ver
 
     async def _get(self, path: str, query: dict[str, str], timeout: float) -> HttpResponse:
         request = HttpRequest("GET", f"{path}?{urlencode(query)}")
@@ -115,14 +125,14 @@
         except HttpError as error:
             raise StoreUnavailable(str(error), outcome_unknown=writes) from error
         if response.status == GONE_STATUS:
-            raise HistoryLost(f"history is gone: {request.target}")
+            raise HistoryLost(f"changes were discarded: {request.target}")
         if response.status not in (200, CONFLICT_STATUS):
             raise StoreUnavailable(f"status {response.status}: {response.body[:120]!r}")
         return response
 
 
 def parse_rows(body: bytes) -> list[StoredRow]:
-    """Return the rows of an answer's body."""
+    """Decode the rows of a response body."""
     return [_row(row) for row in msgspec.json.decode(body, type=RowsResponse).rows]
 
 
@@ -130,7 +140,7 @@
     try:
         return msgspec.json.decode(response.body, type=RowsResponse)
     except msgspec.MsgspecError as error:
-        raise StoreUnavailable(f"unreadable answer: {error}", outcome_unknown=True) from error
+        raise StoreUnavailable(f"malformed response: {error}", outcome_unknown=True) from error
 
 
 def _row(row: WireRow) -> StoredRow:
@@ -138,7 +148,7 @@
 
 
 def _value(row: WireRow) -> bytes:
-    """Return a row's value; empty, which no document is, where it cannot be read."""
+    """Decode a row's value; empty, which no valid document is, when it is not valid base64."""
     try:
         return base64.b64decode(row.value, validate=True)
     except binascii.Error as error:
