--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -78,52 +78,53 @@
         version = 0
         while True:
             query = {"table": table, "part": ""} | ({"from": start} if start else {})
-            response = _decode(await self._get("/rows-get", query, self._timeout))
-            rows += [_row(row) for row in response.rows]
-            version = version or response.ver
-            if not response.more or not response.rows:
+            page = _decode_response(await self._get("/rows-get", query, self._timeout))
+            rows += [_decode_row(row) for row in page.rows]
+            # The first page's version: later changes are then read from the feed.
+            version = version or page.ver
+            if not page.more or not page.rows:
                 return Snapshot(tuple(rows), version)
-            start = response.rows[-1].key + "\0"
+            start = page.rows[-1].key + "\0"
 
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
         """Return the changes of a table; see :meth:`Store.changes`."""
         query = {"table": table, "after": str(after), "wait-ms": str(int(wait_seconds * 1000))}
         response = await self._get("/rows-feed", query, wait_seconds + LONG_POLL_MARGIN_SECONDS)
-        response = _decode(response)
-        return Snapshot(tuple(_row(row) for row in response.rows), response.ver)
+        decoded = _decode_response(response)
+        return Snapshot(tuple(_decode_row(row) for row in decoded.rows), decoded.ver)
 
     async def write(self, table: str, write: Write, timeout_seconds: float | None = None) -> int:
         """Write a row; see :meth:`Store.write`."""
-        where = {"table": table, "part": "", "key": write.key}
+        row_key = {"table": table, "part": "", "key": write.key}
         body: dict[str, list[dict[str, str | int]]] = {
             "expect-revision": [],
             "put": [],
             "remove": [],
         }
         if write.expected_version is not None:
-            body["expect-revision"].append({**where, "ver": write.expected_version})
+            body["expect-revision"].append({**row_key, "ver": write.expected_version})
         if write.value is None:
-            body["remove"].append({**where})
+            body["remove"].append({**row_key})
         else:
-            body["put"].append({**where, "value": base64.b64encode(write.value).decode()})
+            body["put"].append({**row_key, "value": base64.b64encode(write.value).decode()})
         request = HttpRequest("POST", "/rows-tx", JSON_HEADERS, msgspec.json.encode(body))
-        response = await self._exchange(request, timeout_seconds or self._timeout, writes=True)
-        response = _decode(response)
+        response = await self._exchange(request, timeout_seconds or self._timeout, is_write=True)
+        decoded = _decode_response(response)
         if response.status == CONFLICT_STATUS:
-            raise WriteConflict(tuple(_row(row) for row in response.rows))
-        return response.ver
+            raise WriteConflict(tuple(_decode_row(row) for row in decoded.rows))
+        return decoded.ver
 
     async def _get(self, path: str, query: dict[str, str], timeout: float) -> HttpResponse:
         request = HttpRequest("GET", f"{path}?{urlencode(query)}")
-        return await self._exchange(request, timeout, writes=False)
+        return await self._exchange(request, timeout, is_write=False)
 
-    async def _exchange(self, request: HttpRequest, timeout: float, writes: bool) -> HttpResponse:
+    async def _exchange(self, request: HttpRequest, timeout: float, is_write: bool) -> HttpResponse:
         try:
             response = await self._http.request(self._address, request, timeout)
         except ConnectFailed as error:
             raise StoreUnavailable(str(error)) from error
         except HttpError as error:
-            raise StoreUnavailable(str(error), outcome_unknown=writes) from error
+            raise StoreUnavailable(str(error), outcome_unknown=is_write) from error
         if response.status == GONE_STATUS:
             raise HistoryLost(f"changes were discarded: {request.target}")
         if response.status not in (200, CONFLICT_STATUS):
@@ -133,21 +134,21 @@
 
 def parse_rows(body: bytes) -> list[StoredRow]:
     """Decode the rows of a response body."""
-    return [_row(row) for row in msgspec.json.decode(body, type=RowsResponse).rows]
+    return [_decode_row(row) for row in msgspec.json.decode(body, type=RowsResponse).rows]
 
 
-def _decode(response: HttpResponse) -> RowsResponse:
+def _decode_response(response: HttpResponse) -> RowsResponse:
     try:
         return msgspec.json.decode(response.body, type=RowsResponse)
     except msgspec.MsgspecError as error:
         raise StoreUnavailable(f"malformed response: {error}", outcome_unknown=True) from error
 
 
-def _row(row: WireRow) -> StoredRow:
-    return StoredRow(row.key, row.ver, _value(row), row.gone)
+def _decode_row(row: WireRow) -> StoredRow:
+    return StoredRow(row.key, row.ver, _decode_value(row), row.gone)
 
 
-def _value(row: WireRow) -> bytes:
+def _decode_value(row: WireRow) -> bytes:
     """Decode a row's value; empty, which no valid document is, when it is not valid base64."""
     try:
         return base64.b64decode(row.value, validate=True)
