--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -1,7 +1,7 @@
-"""Reads daemons' logs and tells what happened to a request: ``loomwind explain ID LOG...``.
+"""Explains from daemons' logs what happened to a request: ``loomwind explain ID LOG...``.
 
-Lines are JSON objects as :mod:`loomwind.logs` writes them; others are passed over. The likely cause
-is found by rules over the request's own lines and over what daemons logged before them.
+Lines are JSON objects as written by :mod:`loomwind.logs`; other lines are skipped. The likely cause
+is found by rules over the request's own lines and the lines that daemons logged before its end.
 """
 
 import enum
@@ -13,13 +13,14 @@
 import msgspec
 from msgspec import Struct
 
+# How far before the end of a request other log lines are considered.
 LOOKBACK_SECONDS = 30.0
 REQUEST_TYPE = "loomwind:request"
 FAILED_DECISIONS = ("given-up", "out-of-time", "caller-left")
 
 
 class Cause(enum.Enum):
-    """Why a request was not served, or late."""
+    """Why a request was not served, or was served late."""
 
     NOT_FOUND = "no line about this request"
     SERVED_LATE = "the model or adapter was loaded late"
@@ -42,15 +43,16 @@
     UNKNOWN = "the lines do not tell"
 
 
+# The causes that a decision about a waiting request names itself.
 WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
 class LogLine(Struct, frozen=True):
     """One line of a daemon's log.
 
-    :param time: seconds since 1970, by the daemon's clock.
-    :param kind: what the line is about.
-    :param fields: the rest of the line.
+    :param time: Unix time in seconds, by the daemon's clock.
+    :param kind: the message type, such as ``loomwind:request``.
+    :param fields: the remaining fields of the line.
     """
 
     time: float
@@ -64,11 +66,11 @@
 
 
 class RequestHistory(Struct, frozen=True):
-    """What is known of a request.
+    """What the logs say about a request. Lines are in order of time.
 
-    :param own: the lines about it.
-    :param beliefs: the newest line of each kind and subject that its daemon had written by then.
-    :param orders: orders for the model that it asked for.
+    :param own: the lines with its id.
+    :param beliefs: its daemon's state at the end: the newest line of each kind and subject.
+    :param orders: orders for the model that it needs.
     """
 
     request_id: str
@@ -79,7 +81,7 @@
 
 
 def read_lines(paths: Iterable[str]) -> list[LogLine]:
-    """Return the lines of all files, by time."""
+    """Return the log lines of all files in order of time."""
     lines: list[LogLine] = []
     for path in paths:
         text = Path(path).read_text(encoding="utf-8", errors="replace")
@@ -101,9 +103,9 @@
 
 
 def explain_request(request_id: str, lines: Sequence[LogLine]) -> RequestHistory:
-    """Return the story of a request.
+    """Collect the lines about a request and find the likely cause.
 
-    :param lines: all lines, by time.
+    :param lines: all lines in order of time.
     """
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
@@ -119,13 +121,14 @@
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    beliefs = tuple(_latest_states(before, end.daemon))
+    states = tuple(_latest_states(before, end.daemon))
     return RequestHistory(
-        request_id, _find_cause(own, beliefs, orders, before), own, beliefs, orders
+        request_id, _find_cause(own, states, orders, before), own, states, orders
     )
 
 
 def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
+    """Yield a daemon's newest line of each kind and subject, in order of time."""
     newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.daemon == daemon and line.kind not in (REQUEST_TYPE, "loomwind:order"):
@@ -135,11 +138,11 @@
 
 def _find_cause(
     own: Sequence[LogLine],
-    beliefs: Sequence[LogLine],
+    states: Sequence[LogLine],
     orders: Sequence[LogLine],
     before: Sequence[LogLine],
 ) -> Cause:
-    """Return the likely cause; the first rule that fits."""
+    """Return the likely cause: that of the first rule that matches."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
     ended = next((line for line in own if line.get("decision") in FAILED_DECISIONS), None)
     reason = str(refused.get("reason")) if refused else ""
@@ -172,19 +175,19 @@
 ) -> Cause:
     if any(line.get("state") == "unknown" for line in orders):
         return Cause.ORDERS_UNANSWERED
-    changes = [line for line in before if line.kind == "loomwind:election"]
-    leads: dict[str, bool] = {}
-    for line in changes:
+    election_lines = [line for line in before if line.kind == "loomwind:election"]
+    is_leader: dict[str, bool] = {}
+    for line in election_lines:
         if line.get("state") in ("leader", "follower"):
-            leads[line.daemon] = line.get("state") == "leader"
+            is_leader[line.daemon] = line.get("state") == "leader"
     store_lost = any(
         line.kind == "loomwind:store" and line.get("state") == "lost" for line in before
     )
-    if not orders and (not any(leads.values()) or store_lost):
+    if not orders and (not any(is_leader.values()) or store_lost):
         return Cause.NO_LEADER
-    verdict = next((line for line in own if line.get("decision") in WAIT_CAUSES), None)
-    if verdict is not None and verdict.get("ready_in_ms") is not None:
-        return WAIT_CAUSES[str(verdict.get("decision"))]
+    decision = next((line for line in own if line.get("decision") in WAIT_CAUSES), None)
+    if decision is not None and decision.get("ready_in_ms") is not None:
+        return WAIT_CAUSES[str(decision.get("decision"))]
     return Cause.MODEL_NOT_LOADED
 
 
@@ -200,53 +203,53 @@
     return Cause.SERVER_BROKE_OFF
 
 
-def _format_line(line: LogLine, begin: float) -> str:
+def _format_line(line: LogLine, start_time: float) -> str:
     fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request_id")
     kind = line.kind.removeprefix("loomwind:")
-    return f"{line.time - begin:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
+    return f"{line.time - start_time:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
 
 
 def print_request_history(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
-    """Print a request's story."""
-    story = explain_request(request_id, read_lines(paths))
+    """Print the likely cause and the log lines about a request."""
+    history = explain_request(request_id, read_lines(paths))
     if as_json:
-        print(msgspec.json.encode(story, enc_hook=str).decode())
+        print(msgspec.json.encode(history, enc_hook=str).decode())
         return
-    print(f"request {request_id}: {story.cause.value} ({story.cause.name.lower()})")
-    if not story.own:
+    print(f"request {request_id}: {history.cause.value} ({history.cause.name.lower()})")
+    if not history.own:
         return
-    begin = story.own[0].time
+    start_time = history.own[0].time
     sections = (
-        ("what its daemon believed", story.beliefs),
-        ("orders for its model", story.orders),
-        ("the request", story.own),
+        ("state of its daemon", history.beliefs),
+        ("orders for its model", history.orders),
+        ("the request", history.own),
     )
     for title, lines in sections:
         if lines:
             print(f"-- {title}")
         for line in lines:
-            print(_format_line(line, begin))
+            print(_format_line(line, start_time))
 
 
 def print_timeline(paths: Sequence[str], start: float = 0.0, end: float = 0.0) -> None:
-    """Print changes of belief in order, and a count of request decisions for each second."""
+    """Print state changes in order, and the number of request decisions in each second."""
     lines = [
         line for line in read_lines(paths) if line.time >= start and (not end or line.time <= end)
     ]
     if not lines:
-        print("no lines in that time")
+        print("no log lines in the time range")
         return
-    begin = lines[0].time
-    second = -1
+    start_time = lines[0].time
+    current_second = -1
     counts: Counter[str] = Counter()
     for line in lines:
-        now = int(line.time - begin)
-        if now != second and counts:
-            listed = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
-            print(f"{second:+6} s  requests: {listed}")
+        line_second = int(line.time - start_time)
+        if line_second != current_second and counts:
+            summary = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+            print(f"{current_second:+6} s  requests: {summary}")
             counts.clear()
-        second = now
+        current_second = line_second
         if line.kind == REQUEST_TYPE:
             counts[str(line.get("decision"))] += 1
         else:
-            print(_format_line(line, begin))
+            print(_format_line(line, start_time))
