--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -122,9 +122,7 @@
         and str(line.get("target")).partition("/")[0] == model
     )
     states = tuple(_latest_states(before, end.daemon))
-    return RequestHistory(
-        request_id, _find_cause(own, states, orders, before), own, states, orders
-    )
+    return RequestHistory(request_id, _find_cause(own, states, orders, before), own, states, orders)
 
 
 def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
