--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -1,7 +1,7 @@
-"""The command line; the exit statuses are listed in ``loomwind --help``.
+"""The command line interface; ``loomwind --help`` lists the exit statuses.
 
-A daemon that was killed serves nobody before its imports are done, so ``serve`` imports only what
-the daemon of its settings needs; other commands import their parts when they are called.
+Imports delay the restart of a killed daemon, so ``serve`` imports only what the configured daemon
+needs, and other commands import their modules when they are called.
 """
 
 import asyncio
@@ -32,6 +32,7 @@
 
 
 def _load_settings_or_exit(path: str, overrides: dict[str, object]) -> Settings:
+    """Return the settings; prints all faults and exits when there are any."""
     try:
         return load_settings(path, overrides)
     except SettingsError as error:
@@ -43,15 +44,16 @@
 
 
 def _settings_path(path: str) -> str:
-    """Return the path given, or the one that the environment names."""
-    found = path or os.environ.get(SETTINGS_VARIABLE, "")
-    if not found:
-        print(f"give a settings file, or its path in {SETTINGS_VARIABLE}", file=sys.stderr)
+    """Return the given path, or else the one in the environment; exits when there is neither."""
+    resolved = path or os.environ.get(SETTINGS_VARIABLE, "")
+    if not resolved:
+        print(f"no settings file: pass --settings or set {SETTINGS_VARIABLE}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
-    return found
+    return resolved
 
 
 async def _serve(settings: Settings, path: Path, overrides: dict[str, object]) -> None:
+    """Run the pool daemon when the settings have a store, the catalog daemon otherwise."""
     if settings.store is not None:
         from loomwind.platform.deployment import create_pool_daemon
 
@@ -72,10 +74,11 @@
 async def _run_until_signal(
     daemon: "Daemon | PoolDaemon", settings: Settings, path: Path, overrides: dict[str, object]
 ) -> None:
+    """Run a daemon until SIGTERM or SIGINT, and reload changed settings meanwhile."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     reloader = SettingsReloader(
         path, lambda: load_settings(str(path), overrides), settings, daemon, Clock()
     )
@@ -88,7 +91,7 @@
 
 
 def _object_commands(name: str, kind: str) -> "ObjectCommands":
-    """Return the commands for one kind of object of the catalog."""
+    """Return the commands for one kind of catalog object."""
     from loomwind.operator import operator_pb2 as pb
     from loomwind.operator.commands import ObjectCommands
 
@@ -96,10 +99,10 @@
 
 
 class Commands:
-    """Loomwind serves many rarely used models that share one pool of accelerators.
+    """Loomwind serves many rarely used models from one shared pool of accelerators.
 
-    Operator calls take --address and --token (or LOOMWIND_OPERATOR_TOKEN). Exit statuses: 0 done,
-    1 failed, 2 wrong settings or arguments, 3 conflict, 4 not found, 5 unavailable,
+    Operator commands take --address and --token (or LOOMWIND_OPERATOR_TOKEN). Exit statuses:
+    0 success, 1 failure, 2 invalid settings or arguments, 3 conflict, 4 not found, 5 unavailable,
     6 not authenticated.
     """
 
@@ -125,7 +128,7 @@
 
     @cached_property
     def version(self) -> "VersionCommands":
-        """Add versions of models and choose the current one."""
+        """Add versions of models and select the current one."""
         from loomwind.operator.commands import VersionCommands
 
         return VersionCommands()
@@ -137,8 +140,8 @@
 
         Args:
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
-            json: print JSON for programs.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
+            json: print JSON instead of text.
         """
         from loomwind.operator.commands import show_status
 
@@ -151,13 +154,13 @@
         address: str = DEFAULT_OPERATOR_ADDRESS,
         token: str = "",
     ) -> None:
-        """Give an engine or application server no new work.
+        """Drain an engine or application server: send it no new requests.
 
         Args:
             backend: its name in the machine list.
-            end: take work again.
+            end: stop draining it.
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
         """
         from loomwind.operator.commands import set_drain
 
@@ -174,17 +177,19 @@
         operator: str = "",
         admin: str = "",
     ) -> None:
-        """Run a daemon until SIGTERM or SIGINT, which make it leave gently.
+        """Run a daemon; SIGTERM or SIGINT shuts it down gracefully.
+
+        All options but the first override values of the settings file.
 
         Args:
-            settings: path of the TOML settings file; LOOMWIND_SETTINGS without it.
-            name: this daemon's name, instead of the file's.
+            settings: path of the TOML settings file; default: LOOMWIND_SETTINGS.
+            name: the name of the daemon.
             cell: its cell.
             zone: its zone.
-            caller: host:port for callers.
-            peer: host:port for other daemons.
-            operator: host:port for operators.
-            admin: host:port for metrics and health.
+            caller: host:port that callers connect to.
+            peer: host:port that other daemons connect to.
+            operator: host:port that operators connect to.
+            admin: host:port for metrics and health checks.
         """
         flags: dict[str, object] = {"name": name, "cell": cell, "zone": zone}
         listen = {"caller": caller, "peer": peer, "operator": operator, "admin": admin}
@@ -199,7 +204,7 @@
             sys.exit(EXIT_FAILED)
 
     def check_config(self, settings: str, explain: bool = False) -> None:
-        """Check a settings file and list all its faults.
+        """Check a settings file and list all faults.
 
         Args:
             settings: path of the TOML settings file.
@@ -213,38 +218,38 @@
         print(f"{settings}: daemon {loaded.name} of cell {loaded.cell}, no faults")
 
     def explain(self, request: str, *logs: str, json: bool = False) -> None:
-        """Tell from logs what happened to a request, and the likely cause.
+        """Show from logs what happened to a request, and the likely cause.
 
         Args:
             request: the id of the request.
             logs: log files of one or more daemons.
-            json: print one JSON document instead of text.
+            json: print a JSON document instead of text.
         """
         from loomwind import explain
 
         explain.print_request_history(request, logs, json)
 
     def timeline(self, *logs: str, start: float = 0.0, end: float = 0.0) -> None:
-        """List what daemons came to believe, and how many requests ended badly, second by second.
+        """List state changes of daemons, and the number of request decisions per second.
 
         Args:
             logs: log files of one or more daemons.
-            start: first time, in seconds since 1970; the beginning without it.
-            end: last time; the end without it.
+            start: show lines from this Unix time on, in seconds; default: from the first line.
+            end: show lines up to this Unix time, in seconds; default: to the last line.
         """
         from loomwind import explain
 
         explain.print_timeline(logs, start, end)
 
     def demo(self) -> None:
-        """Serve a cold and a warm request from one process with embedded stand-ins."""
+        """Serve a cold and a warm request in one process, with a simulated platform and engine."""
         from loomwind.demo import run_demo
 
         sys.exit(asyncio.run(run_demo()))
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line interface."""
     if sys.argv[1:] == ["--version"]:
         print(__version__)
         return
