--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -19,7 +19,7 @@
     """The daemon that holds the lease; stored as JSON in the lease row.
 
     :param name: the daemon's name, under which it sends orders to servers.
-    :param life: the ID of the daemon process.
+    :param life: the incarnation of the daemon, an ID of its process.
     :param address: the daemon's peer address, ``host:port``.
     """
 
@@ -62,7 +62,7 @@
         self._margin_seconds = margin_seconds
         self.holder: LeaseHolder | None = None
         self.fence: int | None = None
-        self._ended_process_id = ""
+        self._ended_incarnation = ""
         self._vacant_since = 0.0
         self._row_known = False
         self._row_exists = False
@@ -115,14 +115,14 @@
         elif self._row_exists:
             self.record_row(version, None, now)
 
-    def record_ended_process(self, process_id: str, now: float) -> None:
+    def record_ended_process(self, incarnation: str, now: float) -> None:
         """Record that a process has ended, so that its lease may be acquired before it expires.
 
-        :param process_id: the :attr:`LeaseHolder.life` of the process.
+        :param incarnation: the :attr:`LeaseHolder.life` of the process.
         """
-        if self._ended_process_id != process_id:
+        if self._ended_incarnation != incarnation:
             self._vacant_since = now
-        self._ended_process_id = process_id
+        self._ended_incarnation = incarnation
 
     def record_write(self, version: int, sent_at: float) -> None:
         """Record a successful write of this daemon.
@@ -161,7 +161,7 @@
         if self.holder is not None and self.holder.life == self._own.life:
             due = self.fence is None or now - self._renewed_at >= self._renew_interval_seconds
             return LeaseAction.RENEW if due else LeaseAction.WAIT
-        if self.holder is None or self.holder.life == self._ended_process_id:
+        if self.holder is None or self.holder.life == self._ended_incarnation:
             vacant = now - self._vacant_since >= extra_wait_seconds
             return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
