--- a/features/steps/silence_steps.py
+++ b/features/steps/dead_peer_detection_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections that fall silent: real sockets on loopback, in one process."""
+"""Steps about dead peer detection, on loopback sockets in one process."""
 
 import asyncio
 import socket
@@ -27,13 +27,13 @@
     port = server.sockets[0].getsockname()[1]
     connector = Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
     connection = await connector.open(f"{LOCALHOST}:{port}", OPEN_TIMEOUT_SECONDS)
-    context.limits = [limits_of(connection.transport)]
+    context.socket_options = [socket_options_of(connection.transport)]
     connection.close()
     server.close()
 
 
 @when("a daemon calls another one")
-def step_message(context: Any) -> None:
+def step_call(context: Any) -> None:
     asyncio.run(_call(context))
 
 
@@ -42,19 +42,19 @@
         return message
 
     connector = Connector(user_timeout_ms=constants.TCP_USER_TIMEOUT_MS)
-    listening = PeerTransport(answer, connector, Metrics())
-    await listening.start(LOCALHOST, 0)
-    asking = PeerTransport(answer, connector, Metrics())
-    address = f"{LOCALHOST}:{listening.port}"
-    await asking.call(address, LeaderQuestion(), OPEN_TIMEOUT_SECONDS)
-    ends = [*listening.incoming, asking.connection_to(address)]
-    context.limits = [limits_of(end) for end in ends]
-    asking.close()
-    listening.close()
-
-
-def limits_of(transport: asyncio.BaseTransport | None) -> tuple[bool, int, int]:
-    """Return whether a socket probes, after how many seconds, and how long it bears silence."""
+    called = PeerTransport(answer, connector, Metrics())
+    await called.start(LOCALHOST, 0)
+    caller = PeerTransport(answer, connector, Metrics())
+    address = f"{LOCALHOST}:{called.port}"
+    await caller.call(address, LeaderQuestion(), OPEN_TIMEOUT_SECONDS)
+    ends = [*called.incoming, caller.connection_to(address)]
+    context.socket_options = [socket_options_of(end) for end in ends]
+    caller.close()
+    called.close()
+
+
+def socket_options_of(transport: asyncio.BaseTransport | None) -> tuple[bool, int, int]:
+    """Return whether keepalive is enabled, its idle time in s, and the user timeout in ms."""
     assert transport is not None
     raw = transport.get_extra_info("socket")
     return (
@@ -64,16 +64,16 @@
     )
 
 
-@then("its own end knows that it is silent after {silence_ms:d} ms")
-def step_own_end(context: Any, silence_ms: int) -> None:
-    assert context.limits == [(True, 1, silence_ms)], context.limits
+@then("its own end sends keepalive probes and times out after {timeout_ms:d} ms")
+def step_own_end(context: Any, timeout_ms: int) -> None:
+    assert context.socket_options == [(True, 1, timeout_ms)], context.socket_options
 
 
-@then("each end knows that the link is silent after {silence_ms:d} ms")
-def step_each_end(context: Any, silence_ms: int) -> None:
-    assert context.limits == [(True, 1, silence_ms)] * 2, context.limits
+@then("both ends of the connection send keepalive probes and time out after {timeout_ms:d} ms")
+def step_both_ends(context: Any, timeout_ms: int) -> None:
+    assert context.socket_options == [(True, 1, timeout_ms)] * 2, context.socket_options
 
 
-@then("{probes:d} probes may go unanswered within {silence_ms:d} ms")
-def step_probes(context: Any, probes: int, silence_ms: int) -> None:
-    assert keepalive_probe_count(silence_ms) == probes
+@then("a timeout of {timeout_ms:d} ms allows {probes:d} unanswered probes")
+def step_probes(context: Any, timeout_ms: int, probes: int) -> None:
+    assert keepalive_probe_count(timeout_ms) == probes
