--- a/loomwind/cli.py
+++ b/loomwind/cli.py
@@ -31,7 +31,7 @@
 SETTINGS_VARIABLE = "LOOMWIND_SETTINGS"
 
 
-def _load(path: str, overrides: dict[str, object]) -> Settings:
+def _load_settings_or_exit(path: str, overrides: dict[str, object]) -> Settings:
     try:
         return load_settings(path, overrides)
     except SettingsError as error:
@@ -53,23 +53,23 @@
 
 async def _serve(settings: Settings, path: Path, overrides: dict[str, object]) -> None:
     if settings.store is not None:
-        from loomwind.platform.deployment import pool_daemon
+        from loomwind.platform.deployment import create_pool_daemon
 
         writer = logs.log_to_stdout(settings.name)
         flusher = asyncio.get_running_loop().create_task(writer.run())
-        daemon = pool_daemon(settings, settings.store)
+        daemon = create_pool_daemon(settings, settings.store)
         daemon.metrics.log_lines_dropped.set_function(lambda: writer.total_dropped)
-        await _run_until_told(daemon, settings, path, overrides)
+        await _run_until_signal(daemon, settings, path, overrides)
         flusher.cancel()
         writer.flush()
     else:
         from loomwind.daemon import Daemon
 
         logs.log_to_stderr()
-        await _run_until_told(Daemon(settings), settings, path, overrides)
+        await _run_until_signal(Daemon(settings), settings, path, overrides)
 
 
-async def _run_until_told(
+async def _run_until_signal(
     daemon: "Daemon | PoolDaemon", settings: Settings, path: Path, overrides: dict[str, object]
 ) -> None:
     stop = asyncio.Event()
@@ -81,10 +81,10 @@
     )
     reloader.install_signal_handler()
     await daemon.start()
-    following = loop.create_task(reloader.run())
+    reload_task = loop.create_task(reloader.run())
     await stop.wait()
     await daemon.stop()
-    following.cancel()
+    reload_task.cancel()
 
 
 def _object_commands(name: str, kind: str) -> "ObjectCommands":
@@ -191,7 +191,7 @@
         flags |= {f"listen.{key}": value for key, value in listen.items()}
         path = _settings_path(settings)
         overrides = {key: value for key, value in flags.items() if value}
-        loaded = _load(path, overrides)
+        loaded = _load_settings_or_exit(path, overrides)
         try:
             asyncio.run(_serve(loaded, Path(path), overrides))
         except OSError as error:
@@ -207,7 +207,7 @@
         """
         from loomwind.settings_table import setting_rows
 
-        loaded = _load(settings, {})
+        loaded = _load_settings_or_exit(settings, {})
         for row in setting_rows(loaded, Path(settings)) if explain else ():
             print(row)
         print(f"{settings}: daemon {loaded.name} of cell {loaded.cell}, no faults")
@@ -222,7 +222,7 @@
         """
         from loomwind import explain
 
-        explain.print_story(request, logs, json)
+        explain.print_request_history(request, logs, json)
 
     def timeline(self, *logs: str, start: float = 0.0, end: float = 0.0) -> None:
         """List what daemons came to believe, and how many requests ended badly, second by second.
