--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -12,11 +12,11 @@
 from loomwind.serving.ports import Store, StoredRow, StoreUnavailable, Write, WriteConflict
 
 LEASE_KEY = "leader"
-TICK_SECONDS = 0.1
+TICK_INTERVAL_SECONDS = 0.1
 RETRY_DELAY_SECONDS = 0.2
 FIRST_WRITE_TIMEOUT_SECONDS = 0.5
 RETRY_WRITE_TIMEOUT_SECONDS = 0.9
-PROCESS_PAUSE_SECONDS = 0.5
+PAUSE_THRESHOLD_SECONDS = 0.5
 CONFIRMATION_TTL_SECONDS = 1.0
 
 
@@ -42,7 +42,7 @@
 
     def was_paused(self, now: float) -> bool:
         """Return whether the last tick is so old that the process must have been paused."""
-        return now - self._last_tick > PROCESS_PAUSE_SECONDS
+        return now - self._last_tick > PAUSE_THRESHOLD_SECONDS
 
     def record(self, peer: str, now: float) -> None:
         """Record a confirmation by a peer."""
@@ -128,7 +128,7 @@
         while True:
             self.confirmations.tick(self._now())
             self._log_role_change()
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
 
     async def run(self) -> None:
         """Take part in the election until the lease is released."""
@@ -138,7 +138,7 @@
             except Exception as error:
                 log_state("election", "failed", error=repr(error))
             self._log_role_change()
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
 
     async def _step(self) -> None:
         now = self._now()
