--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -68,10 +68,10 @@
 class Election:
     """Acquires, renews and releases the lease.
 
-    :ivar write_finished: set when this daemon has written the lease row, or the store did not
-        answer its write; other daemons are then notified.
-    :ivar extra_wait_seconds: how long this daemon waits before it acquires a free or expired lease;
-        longer on daemons that learn of renewals late.
+    :ivar write_finished: set when this daemon has written the lease row, or failed to because the
+        store is unavailable; other daemons are then notified.
+    :ivar extra_wait_seconds: how long this daemon lets a lease be free or expired before it acquires
+        it; longer on daemons that learn of renewals late.
     :ivar unreachable_wait_seconds: an additional wait while this daemon cannot reach the servers.
     :ivar daemon_count: the number of daemons in the fleet, including this one.
     """
--- a/loomwind/peering/transport.py
+++ b/loomwind/peering/transport.py
@@ -1,7 +1,7 @@
 """The peer transport: a server for incoming messages, and a client for each peer address.
 
 A client connects when it has a message to send. If it cannot connect, a one-way message is dropped,
-since its sender repeats it periodically, and a call raises an error.
+since its sender repeats it on its own, and a call fails immediately.
 """
 
 import asyncio
@@ -95,9 +95,9 @@
 class PeerClient:
     """Sends messages to one peer address; reconnects on use if the connection was lost."""
 
-    def __init__(self, address: str, transport: "PeerTransport") -> None:
+    def __init__(self, address: str, peer_transport: "PeerTransport") -> None:
         self._address = address
-        self._peer_transport = transport
+        self._peer_transport = peer_transport
         self._connection: _OutgoingConnection | None = None
         self._connecting: asyncio.Task[_OutgoingConnection] | None = None
         self._next_call_id = 1
