--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -70,8 +70,8 @@
 
     :ivar write_finished: set when this daemon has written the lease row, or failed to because the
         store is unavailable; other daemons are then notified.
-    :ivar extra_wait_seconds: how long this daemon lets a lease be free or expired before it acquires
-        it; longer on daemons that learn of renewals late.
+    :ivar extra_wait_seconds: how long a lease must have been free or expired before this daemon
+        acquires it; not 0 on daemons that learn of renewals late.
     :ivar unreachable_wait_seconds: an additional wait while this daemon cannot reach the servers.
     :ivar daemon_count: the number of daemons in the fleet, including this one.
     """
