--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -12,8 +12,8 @@
 from loomwind.catalog.changes import Kind, ObjectKey
 from loomwind.catalog.model import Entry, SnapshotEntry
 from loomwind.control.claims import ClaimStore
+from loomwind.control.engine_tracker import EngineRecord
 from loomwind.control.keep_alive import Gaps
-from loomwind.control.ledger import EngineRecord
 from loomwind.engines.protocol import Fence, Inventory
 from loomwind.messages import (
     Ballot,
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -9,8 +9,8 @@
 from loomwind.catalog.changes import Kind, ObjectKey
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
+from loomwind.control.engine_tracker import Ledger
 from loomwind.control.keep_alive import Gaps, HistogramKeepAlive
-from loomwind.control.ledger import Ledger
 from loomwind.control.placement import plan
 from loomwind.control.slots import SlotDemand, lend
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
@@ -263,34 +263,34 @@
 
 def ledger_with_engine() -> Ledger:
     """Return a ledger that has read one empty engine."""
-    ledger = Ledger()
-    ledger.learn("e1", "address", "zone", False)
-    ledger.on_inventory("e1", inventory(1))
-    return ledger
+    engine_tracker = Ledger()
+    engine_tracker.learn("e1", "address", "zone", False)
+    engine_tracker.on_inventory("e1", inventory(1))
+    return engine_tracker
 
 
 @when("an order is answered after an earlier inventory was asked for")
 def step_overtaken(context: Any) -> None:
-    context.ledger = ledger_with_engine()
+    context.engine_tracker = ledger_with_engine()
     order = Order(Fence(1, sequence=3), "1", Action.LOAD, LOADED, 1, 1.0)
-    context.ledger.on_order_sent("e1", order)
+    context.engine_tracker.on_order_sent("e1", order)
     answer = OrderAnswer(OrderResult.DONE, inventory(3, holds=True))
-    context.ledger.on_order_answered("e1", order, answer)
-    context.ledger.on_inventory("e1", inventory(2))
+    context.engine_tracker.on_order_answered("e1", order, answer)
+    context.engine_tracker.on_inventory("e1", inventory(2))
 
 
 @then("the late inventory does not make the loaded model look absent")
 def step_not_absent(context: Any) -> None:
-    assert not context.ledger.removable((Intent("e1", "1", LOADED, 1),))
+    assert not context.engine_tracker.removable((Intent("e1", "1", LOADED, 1),))
 
 
 @when("an engine is listed as {listed} and the last inventory says {told}")
 def step_leaving(context: Any, listed: str, told: str) -> None:
-    ledger = Ledger()
-    ledger.learn("e1", "address", "zone", listed == "leaving")
+    engine_tracker = Ledger()
+    engine_tracker.learn("e1", "address", "zone", listed == "leaving")
     read = structs.replace(inventory(1), leaving=told == "leaving")
-    ledger.on_inventory("e1", read)
-    context.engine = engine_view(ledger.records["e1"], RegisterValue(Stamp(1), ()))
+    engine_tracker.on_inventory("e1", read)
+    context.engine = engine_view(engine_tracker.records["e1"], RegisterValue(Stamp(1), ()))
 
 
 @then("placement may {use} it")
@@ -300,14 +300,14 @@
 
 @when("an engine that was restarted is read")
 def step_restarted(context: Any) -> None:
-    context.ledger = ledger_with_engine()
-    context.ledger.on_inventory("e1", inventory(1, instance="2", holds=True))
+    context.engine_tracker = ledger_with_engine()
+    context.engine_tracker.on_inventory("e1", inventory(1, instance="2", holds=True))
 
 
 @then("intents for its earlier life may be removed and those for the new life not")
 def step_lives(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
-    assert context.ledger.removable((earlier, later)) == {earlier}
+    assert context.engine_tracker.removable((earlier, later)) == {earlier}
 
 
 def member(incarnation: str = "1") -> MemberInfo:
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -8,7 +8,7 @@
 import re
 
 from loomwind.control.candidate import Candidate, Phase
-from loomwind.control.ledger import EngineKnowledge, Ledger
+from loomwind.control.engine_tracker import EngineKnowledge, Ledger
 from loomwind.control.voter import Voter
 from loomwind.engines.protocol import (
     Action,
@@ -115,10 +115,10 @@
     def _engine_step(self, verb: str, first: int, e: int, before: State, after: State) -> None:
         name = engine_name(e)
         if verb == "fence":
-            ledger = self.ledgers[first]
-            for opened in ledger.records[name].orders:
-                ledger.on_order_lost(name, opened.order)
-            ledger.on_inventory(name, _inventory(first, e, after))
+            engine_tracker = self.ledgers[first]
+            for opened in engine_tracker.records[name].orders:
+                engine_tracker.on_order_lost(name, opened.order)
+            engine_tracker.on_inventory(name, _inventory(first, e, after))
         elif verb == "order":
             sequence = after[1][first].sequence
             self.ledgers[first].on_order_sent(name, _order(first, sequence))
