--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -9,7 +9,7 @@
 from loomwind.catalog.changes import Kind, ObjectKey
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
-from loomwind.control.engine_tracker import Ledger
+from loomwind.control.engine_tracker import EngineTracker
 from loomwind.control.keep_alive import Gaps, HistogramKeepAlive
 from loomwind.control.placement import plan
 from loomwind.control.slots import SlotDemand, lend
@@ -261,36 +261,36 @@
     return Inventory(instance, Fence(1, sequence=sequence), 10, 1, False, items)
 
 
-def ledger_with_engine() -> Ledger:
-    """Return a ledger that has read one empty engine."""
-    engine_tracker = Ledger()
-    engine_tracker.learn("e1", "address", "zone", False)
-    engine_tracker.on_inventory("e1", inventory(1))
-    return engine_tracker
+def tracker_with_engine() -> EngineTracker:
+    """Return a tracker that has read one empty engine."""
+    tracker = EngineTracker()
+    tracker.learn("e1", "address", "zone", False)
+    tracker.on_inventory("e1", inventory(1))
+    return tracker
 
 
 @when("an order is answered after an earlier inventory was asked for")
 def step_overtaken(context: Any) -> None:
-    context.engine_tracker = ledger_with_engine()
+    context.tracker = tracker_with_engine()
     order = Order(Fence(1, sequence=3), "1", Action.LOAD, LOADED, 1, 1.0)
-    context.engine_tracker.on_order_sent("e1", order)
+    context.tracker.on_order_sent("e1", order)
     answer = OrderAnswer(OrderResult.DONE, inventory(3, holds=True))
-    context.engine_tracker.on_order_answered("e1", order, answer)
-    context.engine_tracker.on_inventory("e1", inventory(2))
+    context.tracker.on_order_answered("e1", order, answer)
+    context.tracker.on_inventory("e1", inventory(2))
 
 
 @then("the late inventory does not make the loaded model look absent")
 def step_not_absent(context: Any) -> None:
-    assert not context.engine_tracker.removable((Intent("e1", "1", LOADED, 1),))
+    assert not context.tracker.removable((Intent("e1", "1", LOADED, 1),))
 
 
 @when("an engine is listed as {listed} and the last inventory says {told}")
 def step_leaving(context: Any, listed: str, told: str) -> None:
-    engine_tracker = Ledger()
-    engine_tracker.learn("e1", "address", "zone", listed == "leaving")
+    tracker = EngineTracker()
+    tracker.learn("e1", "address", "zone", listed == "leaving")
     read = structs.replace(inventory(1), leaving=told == "leaving")
-    engine_tracker.on_inventory("e1", read)
-    context.engine = engine_view(engine_tracker.records["e1"], RegisterValue(Stamp(1), ()))
+    tracker.on_inventory("e1", read)
+    context.engine = engine_view(tracker.records["e1"], RegisterValue(Stamp(1), ()))
 
 
 @then("placement may {use} it")
@@ -300,14 +300,14 @@
 
 @when("an engine that was restarted is read")
 def step_restarted(context: Any) -> None:
-    context.engine_tracker = ledger_with_engine()
-    context.engine_tracker.on_inventory("e1", inventory(1, instance="2", holds=True))
+    context.tracker = tracker_with_engine()
+    context.tracker.on_inventory("e1", inventory(1, instance="2", holds=True))
 
 
 @then("intents for its earlier life may be removed and those for the new life not")
 def step_lives(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
-    assert context.engine_tracker.removable((earlier, later)) == {earlier}
+    assert context.tracker.removable((earlier, later)) == {earlier}
 
 
 def member(incarnation: str = "1") -> MemberInfo:
--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -1,7 +1,7 @@
 """Builds the typed view that placement decides on. Pure functions."""
 
 from loomwind.catalog.model import Catalog
-from loomwind.control.engine_tracker import ENDED, EngineKnowledge, EngineRecord, Ledger
+from loomwind.control.engine_tracker import ENDED, EngineKnowledge, EngineRecord, EngineTracker
 from loomwind.control.usage import UsageTracker
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import Action, CheckpointTier, ReplicaState
@@ -54,10 +54,10 @@
     )
 
 
-def remote_loads_in_flight(engine_tracker: Ledger) -> int:
+def remote_loads_in_flight(tracker: EngineTracker) -> int:
     """Return how many loads from the weight store are under way, by orders and by inventories."""
     count = 0
-    for record in engine_tracker.records.values():
+    for record in tracker.records.values():
         loading = {o.order.artifact for o in record.orders if o.order.action is Action.LOAD}
         items = record.inventory.items if record.inventory else ()
         loading |= {item.artifact for item in items if item.state is ReplicaState.LOADING}
@@ -67,7 +67,7 @@
 
 def cluster_view(
     catalog: Catalog,
-    engine_tracker: Ledger,
+    tracker: EngineTracker,
     value: RegisterValue,
     demand: tuple[DemandView, ...],
     usage: UsageTracker,
@@ -75,9 +75,7 @@
     now: float,
 ) -> ClusterView:
     """Return all that placement decides on."""
-    engines = tuple(
-        engine_view(record, value) for _, record in sorted(engine_tracker.records.items())
-    )
+    engines = tuple(engine_view(record, value) for _, record in sorted(tracker.records.items()))
     return ClusterView(
         catalog=catalog,
         engines=engines,
@@ -100,11 +98,11 @@
     return views
 
 
-def reconciled_intents(engine_tracker: Ledger, value: RegisterValue) -> tuple[Intent, ...]:
+def reconciled_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
     """Return the intents without those that surely ended, and with what engines hold besides."""
-    kept = set(value.intents) - engine_tracker.removable(value.intents)
+    kept = set(value.intents) - tracker.removable(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
-    for record in engine_tracker.records.values():
+    for record in tracker.records.values():
         if record.knowledge is EngineKnowledge.FENCED and record.inventory is not None:
             for item in record.inventory.items:
                 if (record.engine, item.artifact) not in known:
@@ -113,11 +111,11 @@
     return tuple(sorted(kept))
 
 
-def read_engines(engine_tracker: Ledger, value: RegisterValue) -> tuple[str, ...]:
+def read_engines(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
     """Return the engines that were fenced and read in this generation."""
     fenced = {
         engine
-        for engine, record in engine_tracker.records.items()
+        for engine, record in tracker.records.items()
         if record.knowledge is EngineKnowledge.FENCED
     }
     return tuple(sorted(fenced | set(value.fenced_engines)))
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -157,9 +157,9 @@
         now = self._membership.now
         self._book.forget_old(now)
         value = self._register.committed
-        engine_tracker = self.fleet.engine_tracker
-        intents = reconciled_intents(engine_tracker, value)
-        fenced = read_engines(engine_tracker, value)
+        tracker = self.fleet.tracker
+        intents = reconciled_intents(tracker, value)
+        fenced = read_engines(tracker, value)
         decided = self._decide(value, intents, fenced, now)
         added = tuple(
             Intent(load.engine, load.instance, load.artifact, load.memory_mib)
@@ -177,10 +177,10 @@
         reconciled = RegisterValue(
             value.stamp, value.voters, value.joint, value.epoch, fenced, intents
         )
-        in_flight = remote_loads_in_flight(self.fleet.engine_tracker)
+        in_flight = remote_loads_in_flight(self.fleet.tracker)
         view = cluster_view(
             self._catalog(),
-            self.fleet.engine_tracker,
+            self.fleet.tracker,
             reconciled,
             self._book.views(),
             self._usage,
@@ -209,7 +209,7 @@
         now = self._membership.now
         routers = self._membership.alive()
         content = RoutingContent(
-            self.fleet.engine_tracker,
+            self.fleet.tracker,
             self._book,
             self._shares(),
             routers,
@@ -258,7 +258,7 @@
     def on_backend_report(self, report: BackendReport) -> None:
         """Take in that a back end is leaving, or that one of its watchers finds it changed."""
         if report.leaving:
-            self.fleet.engine_tracker.mark_leaving(report.backend)
+            self.fleet.tracker.mark_leaving(report.backend)
             self._leaving_applications.add(report.backend)
         else:
             self._leaving_applications.discard(report.backend)
--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -87,7 +87,7 @@
         return found[0] if found else CheckpointTier.REMOTE
 
 
-class Ledger:
+class EngineTracker:
     """All engines of the cell under one ballot."""
 
     def __init__(self) -> None:
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, Ledger
+from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, EngineTracker
 from loomwind.control.views import Load
 from loomwind.engines.client import EngineClient
 from loomwind.engines.errors import EngineAnswerLost, EngineError, EngineUnreachable
@@ -41,7 +41,7 @@
         wake: Callable[[], None],
         superseded: Callable[[], None],
     ) -> None:
-        self.engine_tracker = Ledger()
+        self.tracker = EngineTracker()
         self._client = client
         self._metrics = metrics
         self._generation = generation
@@ -61,16 +61,16 @@
 
     def watch(self, engine: str, address: str, zone: str, leaving: bool) -> None:
         """Take in an engine and keep its inventory fresh."""
-        self.engine_tracker.learn(engine, address, zone, leaving)
+        self.tracker.learn(engine, address, zone, leaving)
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
     def forget(self, engine: str) -> None:
         """Note that an engine is gone for good."""
-        record = self.engine_tracker.records.get(engine)
+        record = self.tracker.records.get(engine)
         if record is not None and record.knowledge is not EngineKnowledge.GONE:
             log_state("engine", "gone", engine=engine)
-            self.engine_tracker.mark_gone(engine)
+            self.tracker.mark_gone(engine)
             self._wake()
         poller = self._pollers.pop(engine, None)
         if poller is not None:
@@ -82,7 +82,7 @@
             recheck = self._rechecks.setdefault(engine, asyncio.Event())
             recheck.clear()
             try:
-                async with asyncio.timeout(self._poll_seconds(self.engine_tracker.records[engine])):
+                async with asyncio.timeout(self._poll_seconds(self.tracker.records[engine])):
                     await recheck.wait()
             except TimeoutError:
                 pass
@@ -105,7 +105,7 @@
 
     async def _read(self, engine: str) -> None:
         """Fence an engine and take in its inventory."""
-        record = self.engine_tracker.records[engine]
+        record = self.tracker.records[engine]
         request = FenceRequest(self.next_fence())
         try:
             inventory = await self._client.fence(
@@ -118,9 +118,9 @@
         if self._is_newer(inventory):
             self._superseded()
             return
-        before = self.engine_tracker.records[engine]
-        self.engine_tracker.on_inventory(engine, inventory)
-        after = self.engine_tracker.records[engine]
+        before = self.tracker.records[engine]
+        self.tracker.on_inventory(engine, inventory)
+        after = self.tracker.records[engine]
         if before.knowledge is not after.knowledge:
             log_state("engine", after.knowledge.value, engine=engine)
         if before != after:
@@ -133,15 +133,15 @@
     def _on_silence(self, engine: str, error: EngineError) -> None:
         refused = isinstance(error, EngineUnreachable) and error.refused
         self._refusals[engine] = self._refusals.get(engine, 0) + 1 if refused else 0
-        record = self.engine_tracker.records[engine]
+        record = self.tracker.records[engine]
         if not record.failed:
             log_state("engine", "not-answering", engine=engine, reason=str(error))
-            self.engine_tracker.mark_failed(engine, True)
+            self.tracker.mark_failed(engine, True)
             self._wake()
         ended = self._refusals[engine] >= LIFELESS_AFTER_REFUSALS
         if ended and record.knowledge is not EngineKnowledge.LIFELESS:
             log_state("engine", "lifeless", engine=engine)
-            self.engine_tracker.mark_lifeless(engine)
+            self.tracker.mark_lifeless(engine)
             self._wake()
 
     def give_load(self, load: Load, load_seconds: float) -> None:
@@ -158,18 +158,18 @@
 
     def give_unload(self, engine: str, artifact: Artifact) -> None:
         """Order an unload."""
-        inventory = self.engine_tracker.records[engine].inventory
+        inventory = self.tracker.records[engine].inventory
         if inventory is not None:
             self._give(
                 engine, Order(self.next_fence(), inventory.instance, Action.UNLOAD, artifact)
             )
 
     def _give(self, engine: str, order: Order) -> None:
-        record = self.engine_tracker.records[engine]
+        record = self.tracker.records[engine]
         if record.open_order(order.artifact) is not None:
             return
         # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
-        self.engine_tracker.on_order_sent(engine, order)
+        self.tracker.on_order_sent(engine, order)
         task = asyncio.get_running_loop().create_task(self._carry(engine, record.address, order))
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
@@ -179,7 +179,7 @@
             answer = await self._client.order(address, order, constants.ORDER_TIMEOUT_SECONDS)
         except (EngineUnreachable, EngineAnswerLost):
             self._metrics.orders.labels("unknown").inc()
-            self.engine_tracker.on_order_lost(engine, order)
+            self.tracker.on_order_lost(engine, order)
             self.recheck(engine)
         else:
             self._metrics.orders.labels(answer.result.value).inc()
@@ -190,7 +190,7 @@
         if answer.result is OrderResult.STALE and self._is_newer(answer.inventory):
             self._superseded()
             return
-        self.engine_tracker.on_order_answered(engine, order, answer)
+        self.tracker.on_order_answered(engine, order, answer)
         if answer.result is not OrderResult.DONE:
             self.recheck(engine)
 
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -4,7 +4,7 @@
 
 from loomwind.control.cluster_view import ready_artifacts
 from loomwind.control.demand import DemandBook
-from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, Ledger
+from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, EngineTracker
 from loomwind.control.slots import Loan, lend
 from loomwind.messages import (
     ApplicationRoute,
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        engine_tracker: Ledger,
+        tracker: EngineTracker,
         book: DemandBook,
         shares: dict[str, float],
         routers: list[MemberInfo],
@@ -42,7 +42,7 @@
         self._estimates = estimates
         self._records = [
             record
-            for _, record in sorted(engine_tracker.records.items())
+            for _, record in sorted(tracker.records.items())
             if record.knowledge is EngineKnowledge.FENCED
             and not record.leaving
             and not record.failed
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -1,6 +1,6 @@
 """Replays random walks of the register's model against the code's own state machines.
 
-After each step the voters, the candidates and the ledgers must be in the state that the model is
+After each step the voters, the candidates and the trackers must be in the state that the model is
 in. The walks are of the model as it is, without canonical renaming.
 """
 
@@ -8,7 +8,7 @@
 import re
 
 from loomwind.control.candidate import Candidate, Phase
-from loomwind.control.engine_tracker import EngineKnowledge, Ledger
+from loomwind.control.engine_tracker import EngineKnowledge, EngineTracker
 from loomwind.control.voter import Voter
 from loomwind.engines.protocol import (
     Action,
@@ -72,11 +72,11 @@
     def __init__(self) -> None:
         self.voters = [Voter(CELL, identity) for identity in VOTER_IDS]
         self.candidates = [Candidate(CELL, identity) for identity in CANDIDATE_IDS]
-        self.ledgers = [Ledger() for _ in register.CANDIDATES]
+        self.trackers = [EngineTracker() for _ in register.CANDIDATES]
         for c, candidate in enumerate(self.candidates):
             candidate.highest_round = c
             for e in register.ENGINES:
-                self.ledgers[c].learn(engine_name(e), "address", "zone", False)
+                self.trackers[c].learn(engine_name(e), "address", "zone", False)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Do in the code what a step of the model does."""
@@ -115,18 +115,18 @@
     def _engine_step(self, verb: str, first: int, e: int, before: State, after: State) -> None:
         name = engine_name(e)
         if verb == "fence":
-            engine_tracker = self.ledgers[first]
-            for opened in engine_tracker.records[name].orders:
-                engine_tracker.on_order_lost(name, opened.order)
-            engine_tracker.on_inventory(name, _inventory(first, e, after))
+            tracker = self.trackers[first]
+            for opened in tracker.records[name].orders:
+                tracker.on_order_lost(name, opened.order)
+            tracker.on_inventory(name, _inventory(first, e, after))
         elif verb == "order":
             sequence = after[1][first].sequence
-            self.ledgers[first].on_order_sent(name, _order(first, sequence))
+            self.trackers[first].on_order_sent(name, _order(first, sequence))
         elif verb == "answer":
             c = first - 1
-            opened = self.ledgers[c].records[name].orders[0]
+            opened = self.trackers[c].records[name].orders[0]
             answer = OrderAnswer(OrderResult.DONE, _inventory(c, e, after))
-            self.ledgers[c].on_order_answered(name, opened.order, answer)
+            self.trackers[c].on_order_answered(name, opened.order, answer)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
@@ -148,7 +148,7 @@
                 self._check_removable(c, e, expected)
 
     def _knowledge(self, c: int, e: int) -> str:
-        record = self.ledgers[c].records[engine_name(e)]
+        record = self.trackers[c].records[engine_name(e)]
         if record.orders:
             return register.ORDERED
         if record.knowledge is not EngineKnowledge.FENCED:
@@ -157,7 +157,7 @@
 
     def _check_removable(self, c: int, e: int, expected: register.Candidate) -> None:
         intents = intents_of(frozenset({e}))
-        removable = bool(self.ledgers[c].removable(intents))
+        removable = bool(self.trackers[c].removable(intents))
         surely_absent = expected.engines[e] == register.ABSENT
         _same(f"intent for engine {e} of {c} may be removed", removable, surely_absent)
 
