--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -1,7 +1,7 @@
 """Builds the typed view that placement decides on. Pure functions."""
 
 from loomwind.catalog.model import Catalog
-from loomwind.control.engine_tracker import ENDED, EngineKnowledge, EngineRecord, EngineTracker
+from loomwind.control.engine_tracker import ENDED, EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.usage import UsageTracker
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import Action, CheckpointTier, ReplicaState
@@ -11,7 +11,7 @@
 
 def ready_artifacts(record: EngineRecord) -> frozenset[Artifact]:
     """Return what serves on an engine now: ready, and not ordered away."""
-    if record.inventory is None or record.failed or record.knowledge in ENDED:
+    if record.inventory is None or record.failed or record.status in ENDED:
         return frozenset()
     unloading = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     return frozenset(
@@ -45,7 +45,7 @@
         memory_mib=inventory.memory_mib if inventory else 0,
         concurrency=inventory.concurrency if inventory else 1,
         usable=record.usable,
-        may_hold_anything=unread and value.stamp.generation > 1 and record.knowledge not in ENDED,
+        may_hold_anything=unread and value.stamp.generation > 1 and record.status not in ENDED,
         held=held,
         ready=ready,
         busy=frozenset(held) - ready,
@@ -103,7 +103,7 @@
     kept = set(value.intents) - tracker.removable(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
     for record in tracker.records.values():
-        if record.knowledge is EngineKnowledge.FENCED and record.inventory is not None:
+        if record.status is EngineStatus.FENCED and record.inventory is not None:
             for item in record.inventory.items:
                 if (record.engine, item.artifact) not in known:
                     instance = record.inventory.instance
@@ -114,8 +114,6 @@
 def read_engines(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
     """Return the engines that were fenced and read in this generation."""
     fenced = {
-        engine
-        for engine, record in tracker.records.items()
-        if record.knowledge is EngineKnowledge.FENCED
+        engine for engine, record in tracker.records.items() if record.status is EngineStatus.FENCED
     }
     return tuple(sorted(fenced | set(value.fenced_engines)))
--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -21,7 +21,7 @@
 from loomwind.schema import Artifact
 
 
-class EngineKnowledge(enum.Enum):
+class EngineStatus(enum.Enum):
     """How far an engine is known to this controller.
 
     LIFELESS: its host keeps refusing connections, so the process that held memory has ended.
@@ -33,7 +33,7 @@
     GONE = "gone"
 
 
-ENDED = (EngineKnowledge.LIFELESS, EngineKnowledge.GONE)
+ENDED = (EngineStatus.LIFELESS, EngineStatus.GONE)
 
 
 class OpenOrder(Struct, frozen=True):
@@ -53,7 +53,7 @@
     engine: str
     address: str
     zone: str
-    knowledge: EngineKnowledge = EngineKnowledge.UNKNOWN
+    status: EngineStatus = EngineStatus.UNKNOWN
     listed_leaving: bool = False
     told_leaving: bool = False
     failed: bool = False
@@ -77,7 +77,7 @@
     @property
     def usable(self) -> bool:
         """Whether new work may be placed here."""
-        fenced = self.knowledge is EngineKnowledge.FENCED
+        fenced = self.status is EngineStatus.FENCED
         return fenced and not self.leaving and not self.failed
 
     def tier(self, artifact: Artifact) -> CheckpointTier:
@@ -96,7 +96,7 @@
     def learn(self, engine: str, address: str, zone: str, leaving: bool) -> None:
         """Take in an engine from the machine list; one that came back is unknown again."""
         record = self.records.get(engine)
-        if record is None or record.knowledge is EngineKnowledge.GONE:
+        if record is None or record.status is EngineStatus.GONE:
             self.records[engine] = EngineRecord(engine, address, zone, listed_leaving=leaving)
         else:
             self._update(engine, address=address, zone=zone, listed_leaving=leaving)
@@ -117,18 +117,18 @@
     def mark_unknown(self, engine: str) -> None:
         """Note that an engine must be fenced and read again."""
         record = self.records.get(engine)
-        if record is not None and record.knowledge is EngineKnowledge.FENCED:
-            self._update(engine, knowledge=EngineKnowledge.UNKNOWN)
+        if record is not None and record.status is EngineStatus.FENCED:
+            self._update(engine, status=EngineStatus.UNKNOWN)
 
     def mark_lifeless(self, engine: str) -> None:
         """Note that the engine's process has ended; it may come back as another life."""
         if engine in self.records:
-            self._update(engine, knowledge=EngineKnowledge.LIFELESS, inventory=None, orders=())
+            self._update(engine, status=EngineStatus.LIFELESS, inventory=None, orders=())
 
     def mark_gone(self, engine: str) -> None:
         """Note that the machine list says that an engine no longer exists."""
         if engine in self.records:
-            self._update(engine, knowledge=EngineKnowledge.GONE, inventory=None, orders=())
+            self._update(engine, status=EngineStatus.GONE, inventory=None, orders=())
 
     def on_inventory(self, engine: str, inventory: Inventory) -> None:
         """Take in an inventory that was read under a fence of this controller.
@@ -142,7 +142,7 @@
         settled = [o for o in record.orders if not _is_settled_by(o, inventory)]
         self._update(
             engine,
-            knowledge=EngineKnowledge.FENCED,
+            status=EngineStatus.FENCED,
             inventory=inventory,
             failed=False,
             told_leaving=inventory.leaving,
@@ -157,7 +157,7 @@
     def on_order_answered(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         """Close an order by its answer, and take in the inventory that came with it."""
         record = self.records.get(engine)
-        if record is None or record.knowledge in ENDED:
+        if record is None or record.status in ENDED:
             return
         self._update(engine, orders=tuple(o for o in record.orders if o.order != order))
         if answer.result is OrderResult.WRONG_INSTANCE:
@@ -168,7 +168,7 @@
     def on_order_lost(self, engine: str, order: Order) -> None:
         """Keep an order as unknown: the engine must be fenced and read again."""
         record = self.records.get(engine)
-        if record is None or record.knowledge in ENDED:
+        if record is None or record.status in ENDED:
             return
         orders = tuple(
             structs.replace(o, lost=True) if o.order == order else o for o in record.orders
@@ -184,9 +184,9 @@
         record = self.records.get(intent.engine)
         if record is None:
             return False
-        if record.knowledge in ENDED:
+        if record.status in ENDED:
             return True
-        if record.knowledge is not EngineKnowledge.FENCED or record.inventory is None:
+        if record.status is not EngineStatus.FENCED or record.inventory is None:
             return False
         if record.inventory.instance != intent.instance:
             return True
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, EngineTracker
+from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.views import Load
 from loomwind.engines.client import EngineClient
 from loomwind.engines.errors import EngineAnswerLost, EngineError, EngineUnreachable
@@ -68,7 +68,7 @@
     def forget(self, engine: str) -> None:
         """Note that an engine is gone for good."""
         record = self.tracker.records.get(engine)
-        if record is not None and record.knowledge is not EngineKnowledge.GONE:
+        if record is not None and record.status is not EngineStatus.GONE:
             log_state("engine", "gone", engine=engine)
             self.tracker.mark_gone(engine)
             self._wake()
@@ -93,7 +93,7 @@
             self._rechecks[engine].set()
 
     def _poll_seconds(self, record: EngineRecord) -> float:
-        if record.inventory is None or record.knowledge is not EngineKnowledge.FENCED:
+        if record.inventory is None or record.status is not EngineStatus.FENCED:
             return POLL_UNSETTLED_SECONDS
         if record.failed:
             return POLL_FAILED_SECONDS
@@ -121,8 +121,8 @@
         before = self.tracker.records[engine]
         self.tracker.on_inventory(engine, inventory)
         after = self.tracker.records[engine]
-        if before.knowledge is not after.knowledge:
-            log_state("engine", after.knowledge.value, engine=engine)
+        if before.status is not after.status:
+            log_state("engine", after.status.value, engine=engine)
         if before != after:
             self._wake()
 
@@ -139,7 +139,7 @@
             self.tracker.mark_failed(engine, True)
             self._wake()
         ended = self._refusals[engine] >= LIFELESS_AFTER_REFUSALS
-        if ended and record.knowledge is not EngineKnowledge.LIFELESS:
+        if ended and record.status is not EngineStatus.LIFELESS:
             log_state("engine", "lifeless", engine=engine)
             self.tracker.mark_lifeless(engine)
             self._wake()
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -4,7 +4,7 @@
 
 from loomwind.control.cluster_view import ready_artifacts
 from loomwind.control.demand import DemandBook
-from loomwind.control.engine_tracker import EngineKnowledge, EngineRecord, EngineTracker
+from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.slots import Loan, lend
 from loomwind.messages import (
     ApplicationRoute,
@@ -43,9 +43,7 @@
         self._records = [
             record
             for _, record in sorted(tracker.records.items())
-            if record.knowledge is EngineKnowledge.FENCED
-            and not record.leaving
-            and not record.failed
+            if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
         self._slots = self._lend_slots(book, shares, routers, earlier)
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -8,7 +8,7 @@
 import re
 
 from loomwind.control.candidate import Candidate, Phase
-from loomwind.control.engine_tracker import EngineKnowledge, EngineTracker
+from loomwind.control.engine_tracker import EngineStatus, EngineTracker
 from loomwind.control.voter import Voter
 from loomwind.engines.protocol import (
     Action,
@@ -151,7 +151,7 @@
         record = self.trackers[c].records[engine_name(e)]
         if record.orders:
             return register.ORDERED
-        if record.knowledge is not EngineKnowledge.FENCED:
+        if record.status is not EngineStatus.FENCED:
             return register.UNKNOWN
         return register.ABSENT if record.state_of(ARTIFACT) is None else register.HELD
 
