--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -1,7 +1,12 @@
 """Builds the typed view that placement decides on. Pure functions."""
 
 from loomwind.catalog.model import Catalog
-from loomwind.control.engine_tracker import ENDED, EngineRecord, EngineStatus, EngineTracker
+from loomwind.control.engine_tracker import (
+    ENDED_STATUSES,
+    EngineRecord,
+    EngineStatus,
+    EngineTracker,
+)
 from loomwind.control.usage import UsageTracker
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import Action, CheckpointTier, ReplicaState
@@ -11,7 +16,7 @@
 
 def ready_artifacts(record: EngineRecord) -> frozenset[Artifact]:
     """Return what serves on an engine now: ready, and not ordered away."""
-    if record.inventory is None or record.failed or record.status in ENDED:
+    if record.inventory is None or record.failed or record.status in ENDED_STATUSES:
         return frozenset()
     unloading = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     return frozenset(
@@ -45,7 +50,9 @@
         memory_mib=inventory.memory_mib if inventory else 0,
         concurrency=inventory.concurrency if inventory else 1,
         usable=record.usable,
-        may_hold_anything=unread and value.stamp.generation > 1 and record.status not in ENDED,
+        may_hold_anything=unread
+        and value.stamp.generation > 1
+        and record.status not in ENDED_STATUSES,
         held=held,
         ready=ready,
         busy=frozenset(held) - ready,
--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -29,11 +29,11 @@
 
     UNKNOWN = "unknown"
     FENCED = "fenced"
-    LIFELESS = "lifeless"
+    PROCESS_ENDED = "lifeless"
     GONE = "gone"
 
 
-ENDED = (EngineStatus.LIFELESS, EngineStatus.GONE)
+ENDED_STATUSES = (EngineStatus.PROCESS_ENDED, EngineStatus.GONE)
 
 
 class OpenOrder(Struct, frozen=True):
@@ -120,10 +120,10 @@
         if record is not None and record.status is EngineStatus.FENCED:
             self._update(engine, status=EngineStatus.UNKNOWN)
 
-    def mark_lifeless(self, engine: str) -> None:
+    def mark_process_ended(self, engine: str) -> None:
         """Note that the engine's process has ended; it may come back as another life."""
         if engine in self.records:
-            self._update(engine, status=EngineStatus.LIFELESS, inventory=None, orders=())
+            self._update(engine, status=EngineStatus.PROCESS_ENDED, inventory=None, orders=())
 
     def mark_gone(self, engine: str) -> None:
         """Note that the machine list says that an engine no longer exists."""
@@ -157,7 +157,7 @@
     def on_order_answered(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         """Close an order by its answer, and take in the inventory that came with it."""
         record = self.records.get(engine)
-        if record is None or record.status in ENDED:
+        if record is None or record.status in ENDED_STATUSES:
             return
         self._update(engine, orders=tuple(o for o in record.orders if o.order != order))
         if answer.result is OrderResult.WRONG_INSTANCE:
@@ -168,7 +168,7 @@
     def on_order_lost(self, engine: str, order: Order) -> None:
         """Keep an order as unknown: the engine must be fenced and read again."""
         record = self.records.get(engine)
-        if record is None or record.status in ENDED:
+        if record is None or record.status in ENDED_STATUSES:
             return
         orders = tuple(
             structs.replace(o, lost=True) if o.order == order else o for o in record.orders
@@ -184,7 +184,7 @@
         record = self.records.get(intent.engine)
         if record is None:
             return False
-        if record.status in ENDED:
+        if record.status in ENDED_STATUSES:
             return True
         if record.status is not EngineStatus.FENCED or record.inventory is None:
             return False
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -26,7 +26,7 @@
 POLL_SETTLED_SECONDS = 30.0
 POLL_UNSETTLED_SECONDS = 0.1
 POLL_FAILED_SECONDS = 0.5
-LIFELESS_AFTER_REFUSALS = 3
+ENDED_AFTER_REFUSALS = 3
 
 
 class Fleet:
@@ -138,10 +138,10 @@
             log_state("engine", "not-answering", engine=engine, reason=str(error))
             self.tracker.mark_failed(engine, True)
             self._wake()
-        ended = self._refusals[engine] >= LIFELESS_AFTER_REFUSALS
-        if ended and record.status is not EngineStatus.LIFELESS:
+        ended = self._refusals[engine] >= ENDED_AFTER_REFUSALS
+        if ended and record.status is not EngineStatus.PROCESS_ENDED:
             log_state("engine", "lifeless", engine=engine)
-            self.tracker.mark_lifeless(engine)
+            self.tracker.mark_process_ended(engine)
             self._wake()
 
     def give_load(self, load: Load, load_seconds: float) -> None:
