--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -36,7 +36,7 @@
 ENDED_STATUSES = (EngineStatus.PROCESS_ENDED, EngineStatus.GONE)
 
 
-class OpenOrder(Struct, frozen=True):
+class PendingOrder(Struct, frozen=True):
     """An order that was given and not answered. ``lost`` once its answer cannot come any more."""
 
     order: Order
@@ -58,14 +58,14 @@
     told_leaving: bool = False
     failed: bool = False
     inventory: Inventory | None = None
-    orders: tuple[OpenOrder, ...] = ()
+    orders: tuple[PendingOrder, ...] = ()
 
     def state_of(self, artifact: Artifact) -> ReplicaState | None:
         """Return what the last inventory says of an artifact."""
         items = self.inventory.items if self.inventory else ()
         return next((item.state for item in items if item.artifact == artifact), None)
 
-    def open_order(self, artifact: Artifact) -> OpenOrder | None:
+    def pending_order(self, artifact: Artifact) -> PendingOrder | None:
         """Return the open order for an artifact, or None."""
         return next((o for o in self.orders if o.order.artifact == artifact), None)
 
@@ -152,7 +152,7 @@
     def on_order_sent(self, engine: str, order: Order) -> None:
         """Note an order before its first byte goes out."""
         record = self.records[engine]
-        self._update(engine, orders=(*record.orders, OpenOrder(order)))
+        self._update(engine, orders=(*record.orders, PendingOrder(order)))
 
     def on_order_answered(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         """Close an order by its answer, and take in the inventory that came with it."""
@@ -191,7 +191,7 @@
         if record.inventory.instance != intent.instance:
             return True
         absent = record.state_of(intent.artifact) is None
-        return absent and record.open_order(intent.artifact) is None
+        return absent and record.pending_order(intent.artifact) is None
 
 
 def _is_overtaken(inventory: Inventory, known: Inventory | None) -> bool:
@@ -199,7 +199,7 @@
     return same_life and known is not None and inventory.fence < known.fence
 
 
-def _is_settled_by(order: OpenOrder, inventory: Inventory) -> bool:
+def _is_settled_by(order: PendingOrder, inventory: Inventory) -> bool:
     """Return whether an inventory tells the fate of an order whose answer is lost."""
     if inventory.instance != order.order.instance:
         return True
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -98,7 +98,7 @@
         if record.failed:
             return POLL_FAILED_SECONDS
         unsettled = any(
-            item.state is not ReplicaState.READY and record.open_order(item.artifact) is None
+            item.state is not ReplicaState.READY and record.pending_order(item.artifact) is None
             for item in record.inventory.items
         )
         return POLL_UNSETTLED_SECONDS if unsettled else POLL_SETTLED_SECONDS
@@ -166,7 +166,7 @@
 
     def _give(self, engine: str, order: Order) -> None:
         record = self.tracker.records[engine]
-        if record.open_order(order.artifact) is not None:
+        if record.pending_order(order.artifact) is not None:
             return
         # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
         self.tracker.on_order_sent(engine, order)
