--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -55,7 +55,7 @@
     zone: str
     status: EngineStatus = EngineStatus.UNKNOWN
     listed_leaving: bool = False
-    told_leaving: bool = False
+    reported_leaving: bool = False
     failed: bool = False
     inventory: Inventory | None = None
     orders: tuple[PendingOrder, ...] = ()
@@ -72,7 +72,7 @@
     @property
     def leaving(self) -> bool:
         """Whether any source says that the engine is leaving."""
-        return self.listed_leaving or self.told_leaving
+        return self.listed_leaving or self.reported_leaving
 
     @property
     def usable(self) -> bool:
@@ -112,7 +112,7 @@
     def mark_leaving(self, engine: str) -> None:
         """Note that an engine is leaving: nothing new goes there."""
         if engine in self.records:
-            self._update(engine, told_leaving=True)
+            self._update(engine, reported_leaving=True)
 
     def mark_unknown(self, engine: str) -> None:
         """Note that an engine must be fenced and read again."""
@@ -145,7 +145,7 @@
             status=EngineStatus.FENCED,
             inventory=inventory,
             failed=False,
-            told_leaving=inventory.leaving,
+            reported_leaving=inventory.leaving,
             orders=tuple(settled),
         )
 
