--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -264,7 +264,7 @@
 def tracker_with_engine() -> EngineTracker:
     """Return a tracker that has read one empty engine."""
     tracker = EngineTracker()
-    tracker.learn("e1", "address", "zone", False)
+    tracker.add_or_update("e1", "address", "zone", False)
     tracker.on_inventory("e1", inventory(1))
     return tracker
 
@@ -287,7 +287,7 @@
 @when("an engine is listed as {listed} and the last inventory says {told}")
 def step_leaving(context: Any, listed: str, told: str) -> None:
     tracker = EngineTracker()
-    tracker.learn("e1", "address", "zone", listed == "leaving")
+    tracker.add_or_update("e1", "address", "zone", listed == "leaving")
     read = structs.replace(inventory(1), leaving=told == "leaving")
     tracker.on_inventory("e1", read)
     context.engine = engine_view(tracker.records["e1"], RegisterValue(Stamp(1), ()))
--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -93,7 +93,7 @@
     def __init__(self) -> None:
         self.records: dict[str, EngineRecord] = {}
 
-    def learn(self, engine: str, address: str, zone: str, leaving: bool) -> None:
+    def add_or_update(self, engine: str, address: str, zone: str, leaving: bool) -> None:
         """Take in an engine from the machine list; one that came back is unknown again."""
         record = self.records.get(engine)
         if record is None or record.status is EngineStatus.GONE:
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -61,7 +61,7 @@
 
     def watch(self, engine: str, address: str, zone: str, leaving: bool) -> None:
         """Take in an engine and keep its inventory fresh."""
-        self.tracker.learn(engine, address, zone, leaving)
+        self.tracker.add_or_update(engine, address, zone, leaving)
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -76,7 +76,7 @@
         for c, candidate in enumerate(self.candidates):
             candidate.highest_round = c
             for e in register.ENGINES:
-                self.trackers[c].learn(engine_name(e), "address", "zone", False)
+                self.trackers[c].add_or_update(engine_name(e), "address", "zone", False)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Do in the code what a step of the model does."""
