--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -281,7 +281,7 @@
 
 @then("the late inventory does not make the loaded model look absent")
 def step_not_absent(context: Any) -> None:
-    assert not context.tracker.removable((Intent("e1", "1", LOADED, 1),))
+    assert not context.tracker.removable_intents((Intent("e1", "1", LOADED, 1),))
 
 
 @when("an engine is listed as {listed} and the last inventory says {told}")
@@ -307,7 +307,7 @@
 @then("intents for its earlier life may be removed and those for the new life not")
 def step_lives(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
-    assert context.tracker.removable((earlier, later)) == {earlier}
+    assert context.tracker.removable_intents((earlier, later)) == {earlier}
 
 
 def member(incarnation: str = "1") -> MemberInfo:
--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -107,7 +107,7 @@
 
 def reconciled_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
     """Return the intents without those that surely ended, and with what engines hold besides."""
-    kept = set(value.intents) - tracker.removable(value.intents)
+    kept = set(value.intents) - tracker.removable_intents(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
     for record in tracker.records.values():
         if record.status is EngineStatus.FENCED and record.inventory is not None:
--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -176,7 +176,7 @@
         self._update(engine, orders=orders)
         self.mark_unknown(engine)
 
-    def removable(self, intents: tuple[Intent, ...]) -> set[Intent]:
+    def removable_intents(self, intents: tuple[Intent, ...]) -> set[Intent]:
         """Return the intents whose artifact is surely not on its engine, nor will be."""
         return {intent for intent in intents if self._is_removable(intent)}
 
