--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -95,7 +95,7 @@
         memory_mib=int(row["memory"]),
         concurrency=8,
         usable=column(row, "may hold anything") != "yes",
-        may_hold_anything=column(row, "may hold anything") == "yes",
+        contents_unknown=column(row, "may hold anything") == "yes",
         held=held,
         ready=ready,
         busy=frozenset(held) - ready,
--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -50,7 +50,7 @@
         memory_mib=inventory.memory_mib if inventory else 0,
         concurrency=inventory.concurrency if inventory else 1,
         usable=record.usable,
-        may_hold_anything=unread
+        contents_unknown=unread
         and value.stamp.generation > 1
         and record.status not in ENDED_STATUSES,
         held=held,
--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -53,7 +53,7 @@
         for engine in view.engines:
             for artifact in engine.held:
                 self.holders[artifact].add(engine.engine)
-        self.unknown = sum(engine.may_hold_anything for engine in view.engines)
+        self.unknown = sum(engine.contents_unknown for engine in view.engines)
         self.remote_left = view.remote_loads_allowed
         self.loads: list[Load] = []
         self.unloads: list[Unload] = []
--- a/loomwind/control/views.py
+++ b/loomwind/control/views.py
@@ -26,7 +26,7 @@
     memory_mib: int
     concurrency: int
     usable: bool
-    may_hold_anything: bool
+    contents_unknown: bool
     held: dict[Artifact, int]
     ready: frozenset[Artifact]
     busy: frozenset[Artifact]
