--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -98,7 +98,7 @@
         contents_unknown=column(row, "may hold anything") == "yes",
         held=held,
         ready=ready,
-        busy=frozenset(held) - ready,
+        in_transition=frozenset(held) - ready,
         unloading=frozenset(),
         tiers=dict.fromkeys(artifacts(column(row, "cached")), CheckpointTier.MEMORY),
     )
--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -55,7 +55,7 @@
         and record.status not in ENDED_STATUSES,
         held=held,
         ready=ready,
-        busy=frozenset(held) - ready,
+        in_transition=frozenset(held) - ready,
         unloading=unloading_artifacts(record) & frozenset(held),
         tiers={c.artifact: c.tier for c in inventory.checkpoints} if inventory else {},
     )
--- a/loomwind/control/estimates.py
+++ b/loomwind/control/estimates.py
@@ -17,7 +17,7 @@
     estimates = {}
     ready = {artifact for engine in view.engines for artifact in engine.ready}
     for engine in view.engines:
-        for artifact in engine.busy - ready:
+        for artifact in engine.in_transition - ready:
             seconds = engine.reload_seconds(artifact, view.catalog.load_seconds(artifact))
             estimates[artifact] = seconds
     position = 0
--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -265,7 +265,7 @@
     """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
     family = {artifact for artifact in engine.held if artifact.base == base}
     wanted = any(draft.wanted.get(artifact, 0) for artifact in family)
-    return not wanted and family <= engine.ready and not family & engine.busy
+    return not wanted and family <= engine.ready and not family & engine.in_transition
 
 
 def _eviction_cost(
@@ -298,7 +298,7 @@
 
 
 def _is_expired(draft: _Draft, engine: EngineView, artifact: Artifact) -> bool:
-    if draft.wanted.get(artifact, 0) or artifact in engine.busy:
+    if draft.wanted.get(artifact, 0) or artifact in engine.in_transition:
         return False
     family = {a for a in engine.held if a.base == artifact and a != artifact}
     if not artifact.adapter and family - draft.leaving_soon(engine.engine):
--- a/loomwind/control/views.py
+++ b/loomwind/control/views.py
@@ -29,7 +29,7 @@
     contents_unknown: bool
     held: dict[Artifact, int]
     ready: frozenset[Artifact]
-    busy: frozenset[Artifact]
+    in_transition: frozenset[Artifact]
     unloading: frozenset[Artifact]
     tiers: dict[Artifact, CheckpointTier]
 
