--- a/loomwind/control/views.py
+++ b/loomwind/control/views.py
@@ -6,7 +6,11 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
-RELOAD_SHARE = {CheckpointTier.MEMORY: 0.05, CheckpointTier.DISK: 0.3, CheckpointTier.REMOTE: 1.0}
+RELOAD_TIME_FACTORS = {
+    CheckpointTier.MEMORY: 0.05,
+    CheckpointTier.DISK: 0.3,
+    CheckpointTier.REMOTE: 1.0,
+}
 
 
 class EngineView(Struct, frozen=True):
@@ -40,7 +44,7 @@
 
     def reload_seconds(self, artifact: Artifact, load_seconds: float) -> float:
         """Return how long a load here would take, given where the weights are."""
-        return load_seconds * RELOAD_SHARE[self.tiers.get(artifact, CheckpointTier.REMOTE)]
+        return load_seconds * RELOAD_TIME_FACTORS[self.tiers.get(artifact, CheckpointTier.REMOTE)]
 
 
 class DemandView(Struct, frozen=True):
