--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -13,7 +13,7 @@
 from loomwind.catalog.model import Entry, SnapshotEntry
 from loomwind.control.claims import ClaimStore
 from loomwind.control.engine_tracker import EngineRecord
-from loomwind.control.keep_alive import Gaps
+from loomwind.control.keep_alive import GapHistogram
 from loomwind.engines.protocol import Fence, Inventory
 from loomwind.messages import (
     Ballot,
@@ -112,5 +112,5 @@
         sent = sum(len(msgspec.msgpack.encode(make(n))) for n in range(100)) / 100
         memory = _claims_memory() if name == "claim" else _memory(make)
         print(msgspec.json.encode(StateSize(name, sent, memory)).decode(), flush=True)
-    gaps = StateSize("gaps of an artifact", 0.0, _memory(lambda number: Gaps()))
+    gaps = StateSize("gaps of an artifact", 0.0, _memory(lambda number: GapHistogram()))
     print(msgspec.json.encode(gaps).decode(), flush=True)
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -10,7 +10,7 @@
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
 from loomwind.control.engine_tracker import EngineTracker
-from loomwind.control.keep_alive import Gaps, HistogramKeepAlive
+from loomwind.control.keep_alive import GapHistogram, HistogramKeepAlive
 from loomwind.control.placement import plan
 from loomwind.control.slots import SlotDemand, lend
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
@@ -213,9 +213,9 @@
     assert context.circuit.allows(now=seconds)
 
 
-def gaps_of(seconds: list[float]) -> Gaps:
+def gaps_of(seconds: list[float]) -> GapHistogram:
     """Return a histogram of these gaps."""
-    gaps = Gaps()
+    gaps = GapHistogram()
     now = 0.0
     gaps.record_arrival(now)
     for gap in seconds:
--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -21,7 +21,7 @@
 NEVER_SECONDS = float("inf")
 
 
-class Gaps:
+class GapHistogram:
     """A histogram of the gaps between an artifact's requests."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
     """A keep-alive policy."""
 
     @abstractmethod
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
         """Return what to do with an idle replica.
 
         :param reload_seconds: how long the next load would take.
@@ -94,7 +94,7 @@
     def __init__(self, seconds: float) -> None:
         self._decision = KeepDecision(seconds)
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
         """Return the fixed time."""
         return self._decision
 
@@ -102,7 +102,7 @@
 class NeverUnload(KeepAlive):
     """Baseline: keep until the memory is needed."""
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
         """Return an endless time."""
         return KeepDecision(NEVER_SECONDS)
 
@@ -118,7 +118,7 @@
         self._idle_second_cost = idle_hour_cost / 3600
         self._default_seconds = default_seconds
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
         """Return the cheapest time, and a preload when the next request is well predicted."""
         break_even = reload_seconds / self._idle_second_cost
         if gaps.count < MIN_SAMPLES:
@@ -140,7 +140,9 @@
                 best_seconds, best_cost = gap.seconds * 1.05, cost
         return best_seconds
 
-    def _preload(self, gaps: Gaps, keep_seconds: float, reload_seconds: float) -> float | None:
+    def _preload(
+        self, gaps: GapHistogram, keep_seconds: float, reload_seconds: float
+    ) -> float | None:
         """Return when to load ahead: only for long gaps that vary little."""
         if gaps.count < PRELOAD_MIN_SAMPLES:
             return None
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -4,7 +4,7 @@
 
 from loomwind.control.keep_alive import (
     FixedKeepAlive,
-    Gaps,
+    GapHistogram,
     HistogramKeepAlive,
     KeepAlive,
     KeepDecision,
@@ -14,7 +14,7 @@
 from loomwind.schema import Artifact
 from loomwind.settings import KeepAlivePolicy
 
-NO_GAPS = Gaps()
+NO_GAPS = GapHistogram()
 
 
 def make_policy(settings: KeepAlivePolicy) -> KeepAlive:
@@ -39,7 +39,7 @@
 
     def __init__(self, policy: KeepAlive) -> None:
         self._policy = policy
-        self._gaps: dict[Artifact, Gaps] = {}
+        self._gaps: dict[Artifact, GapHistogram] = {}
         self._last_active: dict[Artifact, float] = {}
         self._decisions: dict[Artifact, _HeldDecision] = {}
 
@@ -48,7 +48,7 @@
         for used in {artifact, artifact.base}:
             if arrivals:
                 if used not in self._gaps:
-                    self._gaps[used] = Gaps()
+                    self._gaps[used] = GapHistogram()
                 self._gaps[used].record_arrival(now)
             if arrivals or active:
                 self._last_active[used] = now
