--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -47,7 +47,7 @@
         """Return how many gaps were recorded."""
         return int(self._histogram.get_total_count())
 
-    def quantile(self, percent: float) -> float:
+    def percentile(self, percent: float) -> float:
         """Return a gap's quantile in seconds."""
         value: int = self._histogram.get_value_at_percentile(percent)
         return value / GAP_UNITS_PER_SECOND
@@ -146,7 +146,7 @@
         """Return when to load ahead: only for long gaps that vary little."""
         if gaps.count < PRELOAD_MIN_SAMPLES:
             return None
-        early, late = gaps.quantile(5), gaps.quantile(95)
+        early, late = gaps.percentile(5), gaps.percentile(95)
         window = late - early + reload_seconds
         affordable = window * self._idle_second_cost < reload_seconds
         predictable = late - early < PRELOAD_SPREAD_LIMIT * late
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -81,7 +81,7 @@
         return held.decision
 
     def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
-        latest = self._gaps[artifact].quantile(99)
+        latest = self._gaps[artifact].percentile(99)
         return after <= idle_seconds <= 1.1 * latest
 
     def known(self) -> list[Artifact]:
