--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -67,7 +67,7 @@
     count: int
 
 
-class KeepDecision(Struct, frozen=True):
+class KeepAliveDecision(Struct, frozen=True):
     """How long to keep an idle replica, and when to load it again ahead of its next request.
 
     :param preload_after_seconds: idle time after which to load again; None for never.
@@ -81,7 +81,7 @@
     """A keep-alive policy."""
 
     @abstractmethod
-    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
         """Return what to do with an idle replica.
 
         :param reload_seconds: how long the next load would take.
@@ -92,9 +92,9 @@
     """Baseline: keep for a fixed time."""
 
     def __init__(self, seconds: float) -> None:
-        self._decision = KeepDecision(seconds)
+        self._decision = KeepAliveDecision(seconds)
 
-    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
         """Return the fixed time."""
         return self._decision
 
@@ -102,9 +102,9 @@
 class NeverUnload(KeepAlive):
     """Baseline: keep until the memory is needed."""
 
-    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
         """Return an endless time."""
-        return KeepDecision(NEVER_SECONDS)
+        return KeepAliveDecision(NEVER_SECONDS)
 
 
 class HistogramKeepAlive(KeepAlive):
@@ -118,13 +118,13 @@
         self._idle_second_cost = idle_hour_cost / 3600
         self._default_seconds = default_seconds
 
-    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepDecision:
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
         """Return the cheapest time, and a preload when the next request is well predicted."""
         break_even = reload_seconds / self._idle_second_cost
         if gaps.count < MIN_SAMPLES:
-            return KeepDecision(min(self._default_seconds, break_even))
+            return KeepAliveDecision(min(self._default_seconds, break_even))
         keep_seconds = self._cheapest(gaps.values(), reload_seconds)
-        return KeepDecision(keep_seconds, self._preload(gaps, keep_seconds, reload_seconds))
+        return KeepAliveDecision(keep_seconds, self._preload(gaps, keep_seconds, reload_seconds))
 
     def _cheapest(self, gaps: list[GapCount], reload_seconds: float) -> float:
         total = sum(gap.count for gap in gaps)
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -7,7 +7,7 @@
     GapHistogram,
     HistogramKeepAlive,
     KeepAlive,
-    KeepDecision,
+    KeepAliveDecision,
     NeverUnload,
 )
 from loomwind.control.views import UsageView
@@ -31,7 +31,7 @@
 
     gaps: int
     reload_seconds: float
-    decision: KeepDecision
+    decision: KeepAliveDecision
 
 
 class UsageTracker:
@@ -70,7 +70,7 @@
         )
         return UsageView(idle_seconds, decision.keep_seconds, preload)
 
-    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepDecision:
+    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
         held = self._decisions.get(artifact)
