--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -17,7 +17,7 @@
     reconciled_intents,
     remote_loads_in_flight,
 )
-from loomwind.control.demand import DemandBook
+from loomwind.control.demand import DemandAggregator
 from loomwind.control.errors import RegisterUnavailable
 from loomwind.control.estimates import estimate_loads
 from loomwind.control.fleet import Fleet
@@ -76,7 +76,7 @@
         self._catalog = catalog
         self._send_routing = send_routing
         self._wakened = asyncio.Event()
-        self._book = DemandBook()
+        self._book = DemandAggregator()
         self._publisher = RoutingPublisher()
         self._usage = UsageTracker(make_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -19,7 +19,7 @@
     entries: tuple[DemandEntry, ...]
 
 
-class DemandBook:
+class DemandAggregator:
     """The newest report of each router. Times in seconds of one steady clock."""
 
     def __init__(self) -> None:
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -3,7 +3,7 @@
 from msgspec import structs
 
 from loomwind.control.cluster_view import ready_artifacts
-from loomwind.control.demand import DemandBook
+from loomwind.control.demand import DemandAggregator
 from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.slots import Loan, lend
 from loomwind.messages import (
@@ -26,7 +26,7 @@
     def __init__(
         self,
         tracker: EngineTracker,
-        book: DemandBook,
+        book: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         applications: tuple[ApplicationRoute, ...],
@@ -59,7 +59,7 @@
 
     def _lend_slots(
         self,
-        book: DemandBook,
+        book: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         earlier: "RoutingContent | None",
