--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -76,7 +76,7 @@
         self._catalog = catalog
         self._send_routing = send_routing
         self._wakened = asyncio.Event()
-        self._book = DemandAggregator()
+        self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
         self._usage = UsageTracker(make_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
@@ -155,7 +155,7 @@
         """Publish what is known, decide, settle the intents, give the orders."""
         self._publish()
         now = self._membership.now
-        self._book.forget_old(now)
+        self._demand.forget_old(now)
         value = self._register.committed
         tracker = self.fleet.tracker
         intents = reconciled_intents(tracker, value)
@@ -182,7 +182,7 @@
             self._catalog(),
             self.fleet.tracker,
             reconciled,
-            self._book.views(),
+            self._demand.views(),
             self._usage,
             self._budget.available(now, in_flight),
             now,
@@ -210,7 +210,7 @@
         routers = self._membership.alive()
         content = RoutingContent(
             self.fleet.tracker,
-            self._book,
+            self._demand,
             self._shares(),
             routers,
             self._applications(),
@@ -249,7 +249,7 @@
     def on_demand(self, report: DemandReport) -> None:
         """Take in a router's report."""
         now = self._membership.now
-        self._book.take(report, now)
+        self._demand.take(report, now)
         for entry in report.entries:
             self._usage.record(entry.artifact, entry.arrivals, entry.waiting + entry.running, now)
         if any(entry.waiting for entry in report.entries):
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         tracker: EngineTracker,
-        book: DemandAggregator,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         applications: tuple[ApplicationRoute, ...],
@@ -46,7 +46,7 @@
             if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
-        self._slots = self._lend_slots(book, shares, routers, earlier)
+        self._slots = self._lend_slots(demand, shares, routers, earlier)
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RoutingContent) and self._key() == other._key()
@@ -59,7 +59,7 @@
 
     def _lend_slots(
         self,
-        book: DemandAggregator,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         earlier: "RoutingContent | None",
@@ -77,7 +77,7 @@
             if earlier is not None and earlier._ready.get(engine) == ready:
                 slots[engine] = earlier._slots[engine]
                 continue
-            demands = book.slot_demands(counts, ready) if ready else []
+            demands = demand.slot_demands(counts, ready) if ready else []
             concurrency = record.inventory.concurrency if record.inventory else 1
             if not demands and concurrency not in even:
                 even[concurrency] = lend(concurrency, [], shares, names)
