--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -12,7 +12,7 @@
 from loomwind.control.engine_tracker import EngineTracker
 from loomwind.control.keep_alive import GapHistogram, HistogramKeepAlive
 from loomwind.control.placement import plan
-from loomwind.control.slots import SlotDemand, lend
+from loomwind.control.slot_allocation import SlotDemand, lend
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import (
     Action,
@@ -152,8 +152,8 @@
 @then("the routers get {slots}")
 def step_slots(context: Any, slots: str) -> None:
     expected = {name: int(value) for name, value in (s.split() for s in slots.split(", "))}
-    lent = {router: loan.slots for router, loan in context.slots.items()}
-    assert lent == expected, context.slots
+    allocated = {router: allocation.slots for router, allocation in context.slots.items()}
+    assert allocated == expected, context.slots
 
 
 @when(
--- a/loomwind/control/__init__.py
+++ b/loomwind/control/__init__.py
@@ -1,5 +1,5 @@
 """Control of a cell: the replicated register, the controller's decisions and its orders.
 
-Decision logic (``voter``, ``candidate``, ``ledger``, ``placement``, ``slots``, ``keep_alive``) is
+Decision logic (``voter``, ``candidate``, ``engine_tracker``, ``placement``, ``slot_allocation``, ``keep_alive``) is
 free of I/O and clocks; ``register_service`` and ``controller`` drive it.
 """
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -83,7 +83,7 @@
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
         self._audience: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
-        self._lend_again_at = 0.0
+        self._next_allocation_at = 0.0
         self._step_seconds = 0.0
         self._budget = WeightBudget(
             settings.weight_store.loads_per_second,
@@ -215,10 +215,10 @@
             routers,
             self._applications(),
             self._estimates,
-            self._content if now < self._lend_again_at else None,
+            self._content if now < self._next_allocation_at else None,
         )
-        if now >= self._lend_again_at:
-            self._lend_again_at = now + constants.LENDING_INTERVAL_SECONDS
+        if now >= self._next_allocation_at:
+            self._next_allocation_at = now + constants.LENDING_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
         audience = (routers, voters, value.epoch)
--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from loomwind.control.slots import SlotDemand
+from loomwind.control.slot_allocation import SlotDemand
 from loomwind.control.views import DemandView
 from loomwind.messages import DemandEntry, DemandReport, VoterId
 from loomwind.schema import Artifact
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -5,7 +5,7 @@
 from loomwind.control.cluster_view import ready_artifacts
 from loomwind.control.demand import DemandAggregator
 from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
-from loomwind.control.slots import Loan, lend
+from loomwind.control.slot_allocation import Loan, lend
 from loomwind.messages import (
     ApplicationRoute,
     Digest,
@@ -46,7 +46,7 @@
             if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
-        self._slots = self._lend_slots(demand, shares, routers, earlier)
+        self._slots = self._allocate_slots(demand, shares, routers, earlier)
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RoutingContent) and self._key() == other._key()
@@ -57,7 +57,7 @@
         places = [(record.engine, record.address, record.zone) for record in self._records]
         return (places, self._ready, self._slots, self._applications, self._estimates)
 
-    def _lend_slots(
+    def _allocate_slots(
         self,
         demand: DemandAggregator,
         shares: dict[str, float],
@@ -110,13 +110,14 @@
         )
 
     def _route(self, record: EngineRecord, router: MemberInfo) -> EngineRoute:
-        loan = self._slots[record.engine].get(router.identity.name, Loan(1))
+        allocation = self._slots[record.engine].get(router.identity.name, Loan(1))
         artifacts = tuple(sorted(self._ready[record.engine]))
         places = tuple(
-            GroupPlaces(group, round(value, 2)) for group, value in sorted(loan.places.items())
+            GroupPlaces(group, round(value, 2))
+            for group, value in sorted(allocation.places.items())
         )
         return EngineRoute(
-            record.engine, record.address, record.zone, loan.slots, artifacts, places
+            record.engine, record.address, record.zone, allocation.slots, artifacts, places
         )
 
 
--- a/loomwind/control/slots.py
+++ b/loomwind/control/slot_allocation.py
@@ -42,7 +42,7 @@
     return given
 
 
-class Loan(Struct, frozen=True):
+class SlotAllocation(Struct, frozen=True):
     """What one router is lent of an engine.
 
     :param slots: requests that it may run there at once.
@@ -53,12 +53,12 @@
     places: dict[str, float] = {}
 
 
-def lend(
+def allocate_slots(
     concurrency: int,
     demands: list[SlotDemand],
     shares: dict[str, float],
     routers: list[str],
-) -> dict[str, Loan]:
+) -> dict[str, SlotAllocation]:
     """Return what each router is lent of an engine's places.
 
     Every router keeps at least one, so that a first request need not wait for a loan; places that
@@ -80,7 +80,7 @@
     exact = {router: sum(held.values()) for router, held in places.items()}
     spare = max(0.0, concurrency - sum(exact.values()))
     slots = _round({r: value + spare / len(routers) for r, value in exact.items()}, concurrency)
-    return {router: Loan(slots[router], places[router]) for router in routers}
+    return {router: SlotAllocation(slots[router], places[router]) for router in routers}
 
 
 def _round(exact: dict[str, float], total: int) -> dict[str, int]:
