--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -218,7 +218,7 @@
             self._content if now < self._next_allocation_at else None,
         )
         if now >= self._next_allocation_at:
-            self._next_allocation_at = now + constants.LENDING_INTERVAL_SECONDS
+            self._next_allocation_at = now + constants.SLOT_ALLOCATION_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
         audience = (routers, voters, value.epoch)
