--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -23,11 +23,11 @@
 from loomwind.control.fleet import Fleet
 from loomwind.control.placement import plan
 from loomwind.control.register_service import RegisterService
+from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.routing_publisher import RoutingContent, RoutingPublisher
 from loomwind.control.usage import UsageTracker, make_policy
 from loomwind.control.views import Plan
 from loomwind.control.voter_changes import VoterChanges
-from loomwind.control.weight_budget import WeightBudget
 from loomwind.engines.client import EngineClient
 from loomwind.membership.machines import MachineWatcher
 from loomwind.membership.service import Membership
@@ -85,7 +85,7 @@
         self._audience: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
         self._next_allocation_at = 0.0
         self._step_seconds = 0.0
-        self._budget = WeightBudget(
+        self._load_limiter = RemoteLoadLimiter(
             settings.weight_store.loads_per_second,
             settings.weight_store.parallel_loads,
             membership.now,
@@ -184,11 +184,11 @@
             reconciled,
             self._demand.views(),
             self._usage,
-            self._budget.available(now, in_flight),
+            self._load_limiter.available(now, in_flight),
             now,
         )
         decided = plan(view)
-        self._estimates = estimate_loads(view, decided, self._budget, in_flight, now)
+        self._estimates = estimate_loads(view, decided, self._load_limiter, in_flight, now)
         return decided
 
     def _order(self, decided: Plan) -> None:
@@ -198,9 +198,9 @@
             self.fleet.give_unload(unload.engine, unload.artifact)
         for load in decided.loads:
             if load.remote:
-                self._budget.take(now)
+                self._load_limiter.take(now)
             self.fleet.give_load(load, catalog.load_seconds(load.artifact))
-        delay = self._budget.next_start(now)
+        delay = self._load_limiter.next_start(now)
         if decided.waiting and delay > 0:
             asyncio.get_running_loop().call_at(now + delay, self.wake)
 
--- a/loomwind/control/estimates.py
+++ b/loomwind/control/estimates.py
@@ -1,8 +1,8 @@
 """When artifacts that are waited for are expected to be ready. Pure functions, times in seconds."""
 
 from loomwind.catalog.model import Catalog
+from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.views import ClusterView, Plan
-from loomwind.control.weight_budget import WeightBudget
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.messages import LoadEstimate
 from loomwind.schema import Artifact
@@ -11,7 +11,7 @@
 
 
 def estimate_loads(
-    view: ClusterView, plan: Plan, budget: WeightBudget, in_flight: int, now: float
+    view: ClusterView, plan: Plan, limiter: RemoteLoadLimiter, in_flight: int, now: float
 ) -> tuple[LoadEstimate, ...]:
     """Return the expected time until each waiting artifact is ready, counting from now."""
     estimates = {}
@@ -23,7 +23,7 @@
     position = 0
     for artifact in plan.waiting:
         load_seconds, remote = _load_time(view, artifact)
-        wait = budget.wait_for(position, in_flight, load_seconds, now) if remote else 0.0
+        wait = limiter.wait_for(position, in_flight, load_seconds, now) if remote else 0.0
         position += remote
         estimates[artifact] = wait + load_seconds
     _add_base_loads(view.catalog, estimates)
--- a/loomwind/control/weight_budget.py
+++ b/loomwind/control/remote_load_limiter.py
@@ -1,7 +1,7 @@
 """The cell's share of the weight store: a token bucket and a limit on loads at once."""
 
 
-class WeightBudget:
+class RemoteLoadLimiter:
     """Says how many remote loads may start. Times in seconds, of any steady clock.
 
     It starts empty, since a controller that takes over does not know what its predecessor started
