--- a/loomwind/control/estimates.py
+++ b/loomwind/control/estimates.py
@@ -23,7 +23,7 @@
     position = 0
     for artifact in plan.waiting:
         load_seconds, remote = _load_time(view, artifact)
-        wait = limiter.wait_for(position, in_flight, load_seconds, now) if remote else 0.0
+        wait = limiter.expected_wait(position, in_flight, load_seconds, now) if remote else 0.0
         position += remote
         estimates[artifact] = wait + load_seconds
     _add_base_loads(view.catalog, estimates)
