--- a/bench/bound.py
+++ b/bench/bound.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from bench.statistics import quantiles
-from loomwind.control.views import RELOAD_SHARE
+from loomwind.control.views import RELOAD_TIME_FACTORS
 from loomwind.engines.protocol import CheckpointTier
 
 DROPPED_SHARE = 0.01
@@ -29,7 +29,7 @@
     @property
     def own_seconds(self) -> float:
         """Return how long the load takes where its weights are."""
-        return self.load_seconds * RELOAD_SHARE[self.tier]
+        return self.load_seconds * RELOAD_TIME_FACTORS[self.tier]
 
     @property
     def remote(self) -> bool:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -12,7 +12,7 @@
 from loomwind.control.engine_tracker import EngineTracker
 from loomwind.control.keep_alive import GapHistogram, HistogramKeepAlive
 from loomwind.control.placement import plan
-from loomwind.control.slot_allocation import SlotDemand, lend
+from loomwind.control.slot_allocation import SlotDemand, allocate_slots
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import (
     Action,
@@ -139,14 +139,14 @@
 
 
 @when("an engine of {places:d} places is lent for {demand}")
-def step_lend(context: Any, places: int, demand: str) -> None:
+def step_allocate(context: Any, places: int, demand: str) -> None:
     wanted, _, shares = demand.partition("; ")
     demands = []
     for item in wanted.split(", "):
         router, group, active = item.split()
         demands.append(SlotDemand(router, group, int(active)))
     weights = {name: float(value) for name, value in (s.split() for s in shares.split(", "))}
-    context.slots = lend(places, demands, weights, ["r1", "r2"])
+    context.slots = allocate_slots(places, demands, weights, ["r1", "r2"])
 
 
 @then("the routers get {slots}")
--- a/loomwind/control/__init__.py
+++ b/loomwind/control/__init__.py
@@ -1,5 +1,6 @@
-"""Control of a cell: the replicated register, the controller's decisions and its orders.
+"""Control plane of a cell: the replicated register, placement decisions and engine orders.
 
-Decision logic (``voter``, ``candidate``, ``engine_tracker``, ``placement``, ``slot_allocation``, ``keep_alive``) is
-free of I/O and clocks; ``register_service`` and ``controller`` drive it.
+The decision logic (``voter``, ``candidate``, ``engine_tracker``, ``placement``,
+``slot_allocation``, ``keep_alive``) does no I/O and reads no clock; ``register_service`` and
+``controller`` drive it.
 """
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -5,7 +5,7 @@
 from loomwind.control.cluster_view import ready_artifacts
 from loomwind.control.demand import DemandAggregator
 from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
-from loomwind.control.slot_allocation import Loan, lend
+from loomwind.control.slot_allocation import SlotAllocation, allocate_slots
 from loomwind.messages import (
     ApplicationRoute,
     Digest,
@@ -63,14 +63,14 @@
         shares: dict[str, float],
         routers: list[MemberInfo],
         earlier: "RoutingContent | None",
-    ) -> dict[str, dict[str, Loan]]:
+    ) -> dict[str, dict[str, SlotAllocation]]:
         """Lend the slots of each engine; engines that nobody asks for share one even loan."""
         counts: dict[Artifact, int] = {}
         for artifacts in self._ready.values():
             for artifact in artifacts:
                 counts[artifact] = counts.get(artifact, 0) + 1
         names = [info.identity.name for info in routers]
-        even: dict[int, dict[str, Loan]] = {}
+        even: dict[int, dict[str, SlotAllocation]] = {}
         slots = {}
         for record in self._records:
             engine, ready = record.engine, self._ready[record.engine]
@@ -80,9 +80,11 @@
             demands = demand.slot_demands(counts, ready) if ready else []
             concurrency = record.inventory.concurrency if record.inventory else 1
             if not demands and concurrency not in even:
-                even[concurrency] = lend(concurrency, [], shares, names)
+                even[concurrency] = allocate_slots(concurrency, [], shares, names)
             slots[engine] = (
-                lend(concurrency, demands, shares, names) if demands else even[concurrency]
+                allocate_slots(concurrency, demands, shares, names)
+                if demands
+                else even[concurrency]
             )
         return slots
 
@@ -110,7 +112,7 @@
         )
 
     def _route(self, record: EngineRecord, router: MemberInfo) -> EngineRoute:
-        allocation = self._slots[record.engine].get(router.identity.name, Loan(1))
+        allocation = self._slots[record.engine].get(router.identity.name, SlotAllocation(1))
         artifacts = tuple(sorted(self._ready[record.engine]))
         places = tuple(
             GroupPlaces(group, round(value, 2))
