--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -10,16 +10,16 @@
 TOKEN_USAGE = "x-token-usage"
 PROMPT_PREFIX = "x-prompt-prefix"
 LAST_EVENT_ID = "last-event-id"
-STAMP = "x-response-stamp"
+RESPONSE_STAMP = "x-response-stamp"
 EXPECT_INSTANCE = "x-expect-instance"
 INSTANCE = "x-instance-id"
 NOT_EXECUTED = "x-not-executed"
 PRIORITY = "x-request-priority"
-MISDIRECTED = 421
-LOWEST_PRIORITY = 9
+MISDIRECTED_STATUS = 421
+MAX_PRIORITY_VALUE = 9
 
 # Fields that the daemon itself sets on what it sends to a server.
-OWN_FIELDS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
+DAEMON_HEADERS = frozenset({DEADLINE_MS, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID})
 
 
 class PlatformDialect(Dialect):
@@ -28,15 +28,15 @@
     def read_request(self, request: HttpRequest) -> CallerRequest:
         """Return what a caller's request says; see :meth:`Dialect.read_request`."""
         model = request.header(MODEL)
-        prompt_tokens, max_new_tokens = _pair(request.header(TOKEN_USAGE))
+        prompt_tokens, max_new_tokens = _parse_token_usage(request.header(TOKEN_USAGE))
         return CallerRequest(
             request_id=request.header(REQUEST_ID) or "",
             host=request.header("host") or "",
-            remaining_seconds=_seconds(request.header(DEADLINE_MS)),
-            target=_target(model) if model else None,
+            remaining_seconds=_parse_deadline_seconds(request.header(DEADLINE_MS)),
+            target=_parse_target(model) if model else None,
             prompt_tokens=prompt_tokens,
             max_new_tokens=max_new_tokens,
-            prompt=_prompt(request.header(PROMPT_PREFIX) or ""),
+            prompt=_parse_prompt(request.header(PROMPT_PREFIX) or ""),
             last_event_id=request.header(LAST_EVENT_ID),
         )
 
@@ -52,7 +52,7 @@
         kept = tuple(
             (name, value)
             for name, value in end_to_end_headers(request.headers)
-            if name not in OWN_FIELDS
+            if name not in DAEMON_HEADERS
         )
         own: Headers = (
             ("host", request.header("host") or ""),
@@ -60,7 +60,7 @@
             (EXPECT_INSTANCE, server_name),
         )
         if priority is not None:
-            own += ((PRIORITY, str(min(priority, LOWEST_PRIORITY))),)
+            own += ((PRIORITY, str(min(priority, MAX_PRIORITY_VALUE))),)
         if last_event_id is not None:
             own += ((LAST_EVENT_ID, last_event_id),)
         return own + kept
@@ -84,12 +84,12 @@
     ) -> ResponseCheck:
         """Return what the head of an answer says; see :meth:`Dialect.check_response`."""
         matches_request = head.header(REQUEST_ID) == request_id
-        misdirected = head.status == MISDIRECTED
+        misdirected = head.status == MISDIRECTED_STATUS
         refused = misdirected or head.header(NOT_EXECUTED) is not None
         return ResponseCheck(
             matches_request=matches_request or refused,
             may_have_run=not refused,
-            from_server=head.header(STAMP) is not None,
+            from_server=head.header(RESPONSE_STAMP) is not None,
             missing_target=misdirected,
             other_instance=head.header(INSTANCE) not in (None, server_name),
         )
@@ -106,14 +106,14 @@
         return headers
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_deadline_seconds(text: str | None) -> float | None:
     try:
         return None if text is None else float(text) / 1000
     except ValueError:
         return None
 
 
-def _pair(text: str | None) -> tuple[int, int]:
+def _parse_token_usage(text: str | None) -> tuple[int, int]:
     first, _, second = (text or "").partition(",")
     try:
         return int(first or 0), int(second or 0)
@@ -121,12 +121,12 @@
         return 0, 0
 
 
-def _target(text: str) -> ModelKey:
+def _parse_target(text: str) -> ModelKey:
     model, _, adapter = text.partition("/")
     return ModelKey(model.strip(), adapter.strip())
 
 
-def _prompt(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(","):
         identity, _, tokens = item.strip().partition(":")
--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -22,16 +22,16 @@
 )
 from loomwind.settings import Address
 
-HIGHEST_PORT = 65_535
-LEAST_PATIENCE_MS = 2000.0
-PATIENCE_OBJECTIVES = 4.0
-PATIENCE_PAUSES = 8.0
+MAX_PORT = 65_535
+MIN_EVENT_TIMEOUT_MS = 2000.0
+EVENT_TIMEOUT_LATENCY_FACTOR = 4.0
+EVENT_TIMEOUT_GAP_FACTOR = 8.0
 
 
 WireState = Literal["ready", "draining"]
 
 
-class WirePart(Struct):
+class WireWeightedService(Struct):
     """A part of a split."""
 
     service: str
@@ -49,7 +49,7 @@
     target_latency_ms: float
     priority: int = 0
     service: str = ""
-    traffic_split: list[WirePart] = []
+    traffic_split: list[WireWeightedService] = []
     max_attempts: int = 1
     sticky_sessions: bool = False
     resumable: bool = False
@@ -105,7 +105,7 @@
     limits: WireLimits
 
 
-class WireHeld(Struct, rename="kebab"):
+class WireHeldModel(Struct, rename="kebab"):
     """A model that a server holds."""
 
     name: str
@@ -121,7 +121,7 @@
     state: WireState
     slots: int = 1
     seq: int = 0
-    models: list[WireHeld] = []
+    models: list[WireHeldModel] = []
     remaining_ms: float | None = None
     born: int | None = None
 
@@ -153,7 +153,7 @@
             wire = msgspec.json.decode(value, type=WireServer)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             raise MalformedDocument(f"server {name}: {error}") from error
-        if int(wire.address.rpartition(":")[2]) > HIGHEST_PORT:
+        if int(wire.address.rpartition(":")[2]) > MAX_PORT:
             raise MalformedDocument(f"server {name}: no port in {wire.address}")
         return ServerEntry(
             name=name,
@@ -169,7 +169,7 @@
         )
 
 
-def held_models(models: list[WireHeld]) -> tuple[HeldModel, ...]:
+def held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
     """Return the models of an entry or a report."""
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
@@ -189,16 +189,16 @@
         sticky=wire.sticky_sessions,
         resumable=wire.resumable,
         gap_objective_seconds=wire.gap_aim_ms / 1000,
-        event_timeout_seconds=_patience_ms(wire) / 1000,
+        event_timeout_seconds=_event_timeout_ms(wire) / 1000,
     )
 
 
-def _patience_ms(wire: WireRoute) -> float:
+def _event_timeout_ms(wire: WireRoute) -> float:
     """Return how long clients wait for the next event of a stream, by the platform's pages."""
     if RequestKind(wire.kind) is not RequestKind.STREAMING:
         return math.inf
-    by_objective = PATIENCE_OBJECTIVES * wire.target_latency_ms
-    return max(LEAST_PATIENCE_MS, by_objective, PATIENCE_PAUSES * wire.gap_aim_ms)
+    by_objective = EVENT_TIMEOUT_LATENCY_FACTOR * wire.target_latency_ms
+    return max(MIN_EVENT_TIMEOUT_MS, by_objective, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
 
 
 def _service(wire: WireService) -> ServiceProfile:
--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -11,9 +11,9 @@
 
 from loomwind.settings import Settings, allowed_values
 
-FROM_FILE = "file"
-FROM_DEFAULT = "default"
-SECRETS = frozenset({"operator_token"})
+SOURCE_FILE = "file"
+SOURCE_DEFAULT = "default"
+SECRET_SETTINGS = frozenset({"operator_token"})
 
 
 @attrs.frozen
@@ -40,25 +40,25 @@
 
     :param path: the file that they were read from.
     """
-    given = tomllib.loads(path.read_text(encoding="utf-8"))
-    return list(_rows(settings, given, ""))
+    file_values = tomllib.loads(path.read_text(encoding="utf-8"))
+    return list(_rows(settings, file_values, ""))
 
 
-def _rows(section: Struct, given: Any, prefix: str) -> Iterator[SettingRow]:
+def _rows(section: Struct, file_values: Any, prefix: str) -> Iterator[SettingRow]:
     hints = typing.get_type_hints(type(section), include_extras=True)
-    table = given if isinstance(given, dict) else {}
+    table = file_values if isinstance(file_values, dict) else {}
     for field in structs.fields(type(section)):
         value = getattr(section, field.name)
         name = prefix + field.name
         if isinstance(value, Struct):
             yield from _rows(value, table.get(field.name), f"{name}.")
         else:
-            source = FROM_FILE if field.name in table else FROM_DEFAULT
-            shown = "(secret)" if value and name in SECRETS else _shown(value)
+            source = SOURCE_FILE if field.name in table else SOURCE_DEFAULT
+            shown = "(secret)" if value and name in SECRET_SETTINGS else _format_value(value)
             yield SettingRow(name, shown, source, allowed_values(hints[field.name]))
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     """Return a value in short; lists by their length."""
     if isinstance(value, tuple | dict):
         return f"{len(value)} given"
