--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -17,17 +17,17 @@
     reconciled_intents,
     remote_loads_in_flight,
 )
-from loomwind.control.demand import DemandBook
+from loomwind.control.demand import DemandAggregator
 from loomwind.control.errors import RegisterUnavailable
 from loomwind.control.estimates import estimate_loads
 from loomwind.control.fleet import Fleet
 from loomwind.control.placement import plan
 from loomwind.control.register_service import RegisterService
+from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.routing_publisher import RoutingContent, RoutingPublisher
 from loomwind.control.usage import UsageTracker, make_policy
 from loomwind.control.views import Plan
 from loomwind.control.voter_changes import VoterChanges
-from loomwind.control.weight_budget import WeightBudget
 from loomwind.engines.client import EngineClient
 from loomwind.membership.machines import MachineWatcher
 from loomwind.membership.service import Membership
@@ -76,16 +76,16 @@
         self._catalog = catalog
         self._send_routing = send_routing
         self._wakened = asyncio.Event()
-        self._book = DemandBook()
+        self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
         self._usage = UsageTracker(make_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
         self._audience: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
-        self._lend_again_at = 0.0
+        self._next_allocation_at = 0.0
         self._step_seconds = 0.0
-        self._budget = WeightBudget(
+        self._load_limiter = RemoteLoadLimiter(
             settings.weight_store.loads_per_second,
             settings.weight_store.parallel_loads,
             membership.now,
@@ -155,11 +155,11 @@
         """Publish what is known, decide, settle the intents, give the orders."""
         self._publish()
         now = self._membership.now
-        self._book.forget_old(now)
+        self._demand.forget_old(now)
         value = self._register.committed
-        ledger = self.fleet.ledger
-        intents = reconciled_intents(ledger, value)
-        fenced = read_engines(ledger, value)
+        tracker = self.fleet.tracker
+        intents = reconciled_intents(tracker, value)
+        fenced = read_engines(tracker, value)
         decided = self._decide(value, intents, fenced, now)
         added = tuple(
             Intent(load.engine, load.instance, load.artifact, load.memory_mib)
@@ -177,18 +177,18 @@
         reconciled = RegisterValue(
             value.stamp, value.voters, value.joint, value.epoch, fenced, intents
         )
-        in_flight = remote_loads_in_flight(self.fleet.ledger)
+        in_flight = remote_loads_in_flight(self.fleet.tracker)
         view = cluster_view(
             self._catalog(),
-            self.fleet.ledger,
+            self.fleet.tracker,
             reconciled,
-            self._book.views(),
+            self._demand.views(),
             self._usage,
-            self._budget.available(now, in_flight),
+            self._load_limiter.available(now, in_flight),
             now,
         )
         decided = plan(view)
-        self._estimates = estimate_loads(view, decided, self._budget, in_flight, now)
+        self._estimates = estimate_loads(view, decided, self._load_limiter, in_flight, now)
         return decided
 
     def _order(self, decided: Plan) -> None:
@@ -198,9 +198,9 @@
             self.fleet.give_unload(unload.engine, unload.artifact)
         for load in decided.loads:
             if load.remote:
-                self._budget.take(now)
+                self._load_limiter.record_start(now)
             self.fleet.give_load(load, catalog.load_seconds(load.artifact))
-        delay = self._budget.next_start(now)
+        delay = self._load_limiter.seconds_until_start(now)
         if decided.waiting and delay > 0:
             asyncio.get_running_loop().call_at(now + delay, self.wake)
 
@@ -209,16 +209,16 @@
         now = self._membership.now
         routers = self._membership.alive()
         content = RoutingContent(
-            self.fleet.ledger,
-            self._book,
+            self.fleet.tracker,
+            self._demand,
             self._shares(),
             routers,
             self._applications(),
             self._estimates,
-            self._content if now < self._lend_again_at else None,
+            self._content if now < self._next_allocation_at else None,
         )
-        if now >= self._lend_again_at:
-            self._lend_again_at = now + constants.LENDING_INTERVAL_SECONDS
+        if now >= self._next_allocation_at:
+            self._next_allocation_at = now + constants.SLOT_ALLOCATION_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
         audience = (routers, voters, value.epoch)
@@ -249,7 +249,7 @@
     def on_demand(self, report: DemandReport) -> None:
         """Take in a router's report."""
         now = self._membership.now
-        self._book.take(report, now)
+        self._demand.take(report, now)
         for entry in report.entries:
             self._usage.record(entry.artifact, entry.arrivals, entry.waiting + entry.running, now)
         if any(entry.waiting for entry in report.entries):
@@ -258,7 +258,7 @@
     def on_backend_report(self, report: BackendReport) -> None:
         """Take in that a back end is leaving, or that one of its watchers finds it changed."""
         if report.leaving:
-            self.fleet.ledger.mark_leaving(report.backend)
+            self.fleet.tracker.mark_leaving(report.backend)
             self._leaving_applications.add(report.backend)
         else:
             self._leaving_applications.discard(report.backend)
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -4,17 +4,17 @@
 
 from loomwind.control.keep_alive import (
     FixedKeepAlive,
-    Gaps,
+    GapHistogram,
     HistogramKeepAlive,
     KeepAlive,
-    KeepDecision,
+    KeepAliveDecision,
     NeverUnload,
 )
 from loomwind.control.views import UsageView
 from loomwind.schema import Artifact
 from loomwind.settings import KeepAlivePolicy
 
-NO_GAPS = Gaps()
+NO_GAPS = GapHistogram()
 
 
 def make_policy(settings: KeepAlivePolicy) -> KeepAlive:
@@ -31,7 +31,7 @@
 
     gaps: int
     reload_seconds: float
-    decision: KeepDecision
+    decision: KeepAliveDecision
 
 
 class UsageTracker:
@@ -39,7 +39,7 @@
 
     def __init__(self, policy: KeepAlive) -> None:
         self._policy = policy
-        self._gaps: dict[Artifact, Gaps] = {}
+        self._gaps: dict[Artifact, GapHistogram] = {}
         self._last_active: dict[Artifact, float] = {}
         self._decisions: dict[Artifact, _HeldDecision] = {}
 
@@ -48,7 +48,7 @@
         for used in {artifact, artifact.base}:
             if arrivals:
                 if used not in self._gaps:
-                    self._gaps[used] = Gaps()
+                    self._gaps[used] = GapHistogram()
                 self._gaps[used].record_arrival(now)
             if arrivals or active:
                 self._last_active[used] = now
@@ -70,7 +70,7 @@
         )
         return UsageView(idle_seconds, decision.keep_seconds, preload)
 
-    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepDecision:
+    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
         held = self._decisions.get(artifact)
@@ -81,7 +81,7 @@
         return held.decision
 
     def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
-        latest = self._gaps[artifact].quantile(99)
+        latest = self._gaps[artifact].percentile(99)
         return after <= idle_seconds <= 1.1 * latest
 
     def known(self) -> list[Artifact]:
--- a/loomwind/control/views.py
+++ b/loomwind/control/views.py
@@ -6,7 +6,11 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
-RELOAD_SHARE = {CheckpointTier.MEMORY: 0.05, CheckpointTier.DISK: 0.3, CheckpointTier.REMOTE: 1.0}
+RELOAD_TIME_FACTORS = {
+    CheckpointTier.MEMORY: 0.05,
+    CheckpointTier.DISK: 0.3,
+    CheckpointTier.REMOTE: 1.0,
+}
 
 
 class EngineView(Struct, frozen=True):
@@ -26,10 +30,10 @@
     memory_mib: int
     concurrency: int
     usable: bool
-    may_hold_anything: bool
+    contents_unknown: bool
     held: dict[Artifact, int]
     ready: frozenset[Artifact]
-    busy: frozenset[Artifact]
+    in_transition: frozenset[Artifact]
     unloading: frozenset[Artifact]
     tiers: dict[Artifact, CheckpointTier]
 
@@ -40,7 +44,7 @@
 
     def reload_seconds(self, artifact: Artifact, load_seconds: float) -> float:
         """Return how long a load here would take, given where the weights are."""
-        return load_seconds * RELOAD_SHARE[self.tiers.get(artifact, CheckpointTier.REMOTE)]
+        return load_seconds * RELOAD_TIME_FACTORS[self.tiers.get(artifact, CheckpointTier.REMOTE)]
 
 
 class DemandView(Struct, frozen=True):
