--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -1,7 +1,12 @@
 """Builds the typed view that placement decides on. Pure functions."""
 
 from loomwind.catalog.model import Catalog
-from loomwind.control.ledger import ENDED, EngineKnowledge, EngineRecord, Ledger
+from loomwind.control.engine_tracker import (
+    ENDED_STATUSES,
+    EngineRecord,
+    EngineStatus,
+    EngineTracker,
+)
 from loomwind.control.usage import UsageTracker
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import Action, CheckpointTier, ReplicaState
@@ -11,7 +16,7 @@
 
 def ready_artifacts(record: EngineRecord) -> frozenset[Artifact]:
     """Return what serves on an engine now: ready, and not ordered away."""
-    if record.inventory is None or record.failed or record.knowledge in ENDED:
+    if record.inventory is None or record.failed or record.status in ENDED_STATUSES:
         return frozenset()
     unloading = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     return frozenset(
@@ -45,19 +50,21 @@
         memory_mib=inventory.memory_mib if inventory else 0,
         concurrency=inventory.concurrency if inventory else 1,
         usable=record.usable,
-        may_hold_anything=unread and value.stamp.generation > 1 and record.knowledge not in ENDED,
+        contents_unknown=unread
+        and value.stamp.generation > 1
+        and record.status not in ENDED_STATUSES,
         held=held,
         ready=ready,
-        busy=frozenset(held) - ready,
+        in_transition=frozenset(held) - ready,
         unloading=unloading_artifacts(record) & frozenset(held),
         tiers={c.artifact: c.tier for c in inventory.checkpoints} if inventory else {},
     )
 
 
-def remote_loads_in_flight(ledger: Ledger) -> int:
+def remote_loads_in_flight(tracker: EngineTracker) -> int:
     """Return how many loads from the weight store are under way, by orders and by inventories."""
     count = 0
-    for record in ledger.records.values():
+    for record in tracker.records.values():
         loading = {o.order.artifact for o in record.orders if o.order.action is Action.LOAD}
         items = record.inventory.items if record.inventory else ()
         loading |= {item.artifact for item in items if item.state is ReplicaState.LOADING}
@@ -67,7 +74,7 @@
 
 def cluster_view(
     catalog: Catalog,
-    ledger: Ledger,
+    tracker: EngineTracker,
     value: RegisterValue,
     demand: tuple[DemandView, ...],
     usage: UsageTracker,
@@ -75,7 +82,7 @@
     now: float,
 ) -> ClusterView:
     """Return all that placement decides on."""
-    engines = tuple(engine_view(record, value) for _, record in sorted(ledger.records.items()))
+    engines = tuple(engine_view(record, value) for _, record in sorted(tracker.records.items()))
     return ClusterView(
         catalog=catalog,
         engines=engines,
@@ -98,12 +105,12 @@
     return views
 
 
-def reconciled_intents(ledger: Ledger, value: RegisterValue) -> tuple[Intent, ...]:
+def reconciled_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
     """Return the intents without those that surely ended, and with what engines hold besides."""
-    kept = set(value.intents) - ledger.removable(value.intents)
+    kept = set(value.intents) - tracker.removable_intents(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
-    for record in ledger.records.values():
-        if record.knowledge is EngineKnowledge.FENCED and record.inventory is not None:
+    for record in tracker.records.values():
+        if record.status is EngineStatus.FENCED and record.inventory is not None:
             for item in record.inventory.items:
                 if (record.engine, item.artifact) not in known:
                     instance = record.inventory.instance
@@ -111,11 +118,9 @@
     return tuple(sorted(kept))
 
 
-def read_engines(ledger: Ledger, value: RegisterValue) -> tuple[str, ...]:
+def read_engines(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
     """Return the engines that were fenced and read in this generation."""
     fenced = {
-        engine
-        for engine, record in ledger.records.items()
-        if record.knowledge is EngineKnowledge.FENCED
+        engine for engine, record in tracker.records.items() if record.status is EngineStatus.FENCED
     }
     return tuple(sorted(fenced | set(value.fenced_engines)))
