--- a/features/endless_answers.feature
+++ b/features/endless_answers.feature
@@ -1,8 +1,8 @@
-Feature: What a server sends without an end is bounded in what a daemon keeps of it
+Feature: A daemon bounds what it buffers of a response part that never ends
 
-  Scenario Outline: an answer whose <part> has no end is given up
-    When a server sends <part> without an end, in pieces of drawn sizes, in 20 plays
-    Then the answer has failed before a daemon has kept more than a head's bytes and one piece
+  Scenario Outline: a response with <part> that never ends fails
+    When a server sends <part> without end, in writes of random sizes, in 20 runs
+    Then the response has failed before the daemon has buffered more than the head limit and one write
 
     Examples:
       | part               |
@@ -13,6 +13,6 @@
       | a chunk extension  |
       | a trailer          |
 
-  Scenario: an event of a stream that has no end is given up
-    When a server sends an event without an end, in pieces of drawn sizes, in 20 plays
-    Then the stream has failed before a daemon has kept more than its share of 64 MB for 50 servers
+  Scenario: a stream with an event that never ends fails
+    When a server sends an event without end, in writes of random sizes, in 20 runs
+    Then the stream has failed before the daemon has buffered over its share of 64 MB for 50 servers
--- a/features/steps/endless_answer_steps.py
+++ b/features/steps/endless_answer_steps.py
@@ -1,4 +1,7 @@
-"""Steps about answers without an end: the client's reader and the cutter of events, no socket."""
+"""Steps about responses that never end, fed to the client connection and the event buffer.
+
+Unless its buffers are bounded, such a server makes a daemon run out of memory.
+"""
 
 import asyncio
 from typing import Any
@@ -16,55 +19,55 @@
 
 LEAST_PIECE_BYTES = 64
 LARGEST_PIECE_BYTES = 64 * constants.KIBIBYTE
-# The users' target for a daemon with 50 servers that send without an end.
-EVENT_SHARE_BYTES = 64 * constants.MEBIBYTE // 50
-MOST_TURNS = 20
+# The required bound for a daemon with 50 servers that all send an event without end is 64 MB.
+MAX_EVENT_BYTES = 64 * constants.MEBIBYTE // 50
+MAX_LOOP_ITERATIONS = 20
 HEAD = b"HTTP/1.1 200 OK\r\n"
-CHUNKED = HEAD + b"transfer-encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = HEAD + b"transfer-encoding: chunked\r\n\r\n"
 
 
 @frozen
-class Endless:
-    """What comes first, and what is repeated without an end."""
+class UnterminatedPart:
+    """The start of a response, and the bytes that are repeated after it without end."""
 
-    begin: bytes
+    start: bytes
     repeated: bytes
 
 
 PARTS = {
-    "a status line": Endless(b"HTTP/1.1 200 O", b"K"),
-    "a header line": Endless(HEAD + b"x-long: ", b"y"),
-    "header lines": Endless(HEAD, b"x-more: y\r\n"),
-    "a chunk-size line": Endless(CHUNKED, b"0"),
-    "a chunk extension": Endless(CHUNKED + b"5;", b"e"),
-    "a trailer": Endless(CHUNKED + b"0\r\nx-late: ", b"y"),
+    "a status line": UnterminatedPart(b"HTTP/1.1 200 O", b"K"),
+    "a header line": UnterminatedPart(HEAD + b"x-long: ", b"y"),
+    "header lines": UnterminatedPart(HEAD, b"x-more: y\r\n"),
+    "a chunk-size line": UnterminatedPart(CHUNKED_HEAD, b"0"),
+    "a chunk extension": UnterminatedPart(CHUNKED_HEAD + b"5;", b"e"),
+    "a trailer": UnterminatedPart(CHUNKED_HEAD + b"0\r\nx-late: ", b"y"),
 }
 
 
-class Unread(asyncio.Transport):
-    """A connection to a server; what is written goes nowhere."""
+class DiscardingTransport(asyncio.Transport):
+    """A transport that discards all writes."""
 
     def __init__(self) -> None:
         super().__init__()
         self._closed = False
 
     def write(self, data: Any) -> None:
-        """Drop it."""
+        """Discard the data."""
 
     def is_closing(self) -> bool:
-        """Whether it was closed."""
+        """Return whether the transport is closed."""
         return self._closed
 
     def abort(self) -> None:
-        """Close it."""
+        """Close the transport."""
         self._closed = True
 
     def is_reading(self) -> bool:
-        """Whether bytes are taken."""
+        """Return True, so that the connection does not resume reading."""
         return True
 
     def pause_reading(self) -> None:
-        """Take no bytes for a while."""
+        """Do nothing: the test feeds data directly."""
 
 
 def _plays(count: int) -> settings:
@@ -78,8 +81,8 @@
     )
 
 
-@when("a server sends {part} without an end, in pieces of drawn sizes, in {count:d} plays")
-def step_endless(context: Any, part: str, count: int) -> None:
+@when("a server sends {part} without end, in writes of random sizes, in {count:d} runs")
+def step_send_unterminated(context: Any, part: str, count: int) -> None:
     context.kept = []
 
     @_plays(count)
@@ -93,54 +96,58 @@
     play()
 
 
-async def _feed_answer(endless: Endless, piece_bytes: int) -> int:
-    """Return the bytes that were taken until the answer failed, or twice what may be kept."""
+async def _feed_answer(part: UnterminatedPart, write_bytes: int) -> int:
+    """Return the bytes accepted before the response failed, at most about twice the bound."""
     connection = ClientConnection("a:1")
-    connection.connection_made(Unread())
+    connection.connection_made(DiscardingTransport())
     connection.send_request(HttpRequest("GET", "/"))
-    reading = asyncio.ensure_future(_read(connection))
-    piece = endless.repeated * max(1, piece_bytes // len(endless.repeated))
-    connection.data_received(endless.begin)
-    taken = 0
-    while not await _has_failed(reading) and taken < 2 * (constants.MAX_HEAD_BYTES + piece_bytes):
-        connection.data_received(piece)
-        taken += len(piece)
-    reading.cancel()
-    return taken
-
-
-async def _has_failed(reading: "asyncio.Future[None]") -> bool:
-    for _ in range(MOST_TURNS):
-        if reading.done():
-            return isinstance(reading.exception(), HttpError)
+    read_task = asyncio.ensure_future(_read_response(connection))
+    data = part.repeated * max(1, write_bytes // len(part.repeated))
+    connection.data_received(part.start)
+    accepted = 0
+    while not await _has_failed(read_task) and accepted < 2 * (
+        constants.MAX_HEAD_BYTES + write_bytes
+    ):
+        connection.data_received(data)
+        accepted += len(data)
+    read_task.cancel()
+    return accepted
+
+
+async def _has_failed(read_task: "asyncio.Future[None]") -> bool:
+    for _ in range(MAX_LOOP_ITERATIONS):
+        if read_task.done():
+            return isinstance(read_task.exception(), HttpError)
         await asyncio.sleep(0)
     return False
 
 
-async def _read(connection: ClientConnection) -> None:
+async def _read_response(connection: ClientConnection) -> None:
     await connection.read_head()
     while await connection.read_body():
         pass
 
 
-def _feed_event(piece_bytes: int) -> int:
-    """Return the bytes that a cutter keeps of an event until it fails, or twice its share."""
+def _feed_event(write_bytes: int) -> int:
+    """Return the bytes buffered before the stream failed, at most about twice the bound."""
     event_buffer = EventStreamBuffer()
-    kept = 0
+    buffered_bytes = 0
     try:
-        while kept < 2 * EVENT_SHARE_BYTES:
-            event_buffer.feed(b"d" * piece_bytes)
-            kept += piece_bytes
+        while buffered_bytes < 2 * MAX_EVENT_BYTES:
+            event_buffer.feed(b"d" * write_bytes)
+            buffered_bytes += write_bytes
     except HttpError:
-        return kept
-    return kept
+        return buffered_bytes
+    return buffered_bytes
 
 
-@then("the answer has failed before a daemon has kept more than a head's bytes and one piece")
+@then(
+    "the response has failed before the daemon has buffered more than the head limit and one write"
+)
 def step_head_bound(context: Any) -> None:
     assert max(context.kept) <= constants.MAX_HEAD_BYTES, max(context.kept)
 
 
-@then("the stream has failed before a daemon has kept more than its share of 64 MB for 50 servers")
+@then("the stream has failed before the daemon has buffered over its share of 64 MB for 50 servers")
 def step_event_bound(context: Any) -> None:
-    assert max(context.kept) <= EVENT_SHARE_BYTES, max(context.kept)
+    assert max(context.kept) <= MAX_EVENT_BYTES, max(context.kept)
