--- a/features/reload.feature
+++ b/features/reload.feature
@@ -1,6 +1,6 @@
-Feature: A changed settings file is taken up while a daemon runs
+Feature: A running daemon applies changes of its settings file
 
-  Scenario: SIGHUP neither ends a daemon nor cuts a stream
+  Scenario: SIGHUP neither stops a daemon nor interrupts a stream
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.1
@@ -10,14 +10,14 @@
     Then the last reply is whole with 15 events in order
     And the first daemon has logged settings reloaded
 
-  Scenario: new bounds are put in force at SIGHUP, and what needs a restart is said
+  Scenario: SIGHUP applies new bounds, and sections that need a restart are reported
     Given a plain server shop
     And 1 pool daemons
     When the first daemon's settings get lease_ms = 1200 and zone = zone-b
     And the first daemon gets SIGHUP
-    Then the first daemon takes up zone and bounds, and needs a restart for zone
+    Then the first daemon applies zone and bounds, and needs a restart for zone
 
-  Scenario: a file that changes without a signal is taken up, and a faulty one changes nothing
+  Scenario: a changed file is applied without a signal, and an invalid one is rejected
     Given a plain server shop
     And 1 pool daemons
     When the first daemon's settings get lease_ms = -1 and zone = zone-a
@@ -25,9 +25,9 @@
     When a plain request on book is sent
     Then the last reply has status 200
     When the first daemon's settings get lease_ms = 1300 and zone = zone-a
-    Then the first daemon takes up bounds, and needs a restart for nothing
+    Then the first daemon applies bounds, and needs a restart for nothing
 
-  Scenario: SIGHUP does not end a daemon that serves by its own catalog
+  Scenario: SIGHUP does not stop a daemon that serves from its own catalog
     Given model tutor of 4000 MiB that loads in 0.1 s, at most 1 replicas
     And a site of 1 daemons and 1 engines
     When daemon-1 gets SIGHUP
--- a/features/steps/reload_steps.py
+++ b/features/steps/reload_steps.py
@@ -1,4 +1,4 @@
-"""Steps about settings that change while a daemon runs."""
+"""Steps about reloading the settings of a running daemon."""
 
 import re
 import signal
@@ -11,7 +11,7 @@
 
 
 def settings_lines(context: Any, state: str) -> list[dict[str, Any]]:
-    """Return what the first daemon has logged about its settings in a state."""
+    """Return the log lines of the first daemon that report this state of its settings."""
     lines = first_daemon(context).log_lines()
     return [
         line
@@ -29,22 +29,22 @@
 
 @then("the first daemon has logged settings {state}")
 def step_logged(context: Any, state: str) -> None:
-    wait_until(lambda: bool(settings_lines(context, state)), f"settings are {state}")
+    wait_until(lambda: bool(settings_lines(context, state)), f"settings {state}")
 
 
-@then("the first daemon takes up {changed}, and needs a restart for {restart}")
-def step_takes_up(context: Any, changed: str, restart: str) -> None:
-    wanted = (changed.split(" and "), [] if restart == "nothing" else [restart])
+@then("the first daemon applies {changed}, and needs a restart for {restart}")
+def step_applies(context: Any, changed: str, restart: str) -> None:
+    expected = (changed.split(" and "), [] if restart == "nothing" else [restart])
 
-    def taken_up() -> bool:
+    def is_applied() -> bool:
         lines = settings_lines(context, "reloaded")
-        return wanted in [(line["changed"], line["need_restart"]) for line in lines]
+        return expected in [(line["changed"], line["need_restart"]) for line in lines]
 
-    wait_until(taken_up, f"{changed} taken up")
+    wait_until(is_applied, f"{changed} applied")
 
 
 @when("daemon-1 gets SIGHUP")
-def step_hangup(context: Any) -> None:
+def step_sighup(context: Any) -> None:
     context.site.daemons["daemon-1"].process.signal(signal.SIGHUP)
 
 
