--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -9,10 +9,10 @@
 from loomwind.catalog.changes import Kind, ObjectKey
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
-from loomwind.control.keep_alive import Gaps, HistogramKeepAlive
-from loomwind.control.ledger import Ledger
+from loomwind.control.engine_tracker import EngineTracker
+from loomwind.control.keep_alive import GapHistogram, HistogramKeepAlive
 from loomwind.control.placement import plan
-from loomwind.control.slots import SlotDemand, lend
+from loomwind.control.slot_allocation import SlotDemand, allocate_slots
 from loomwind.control.views import ClusterView, DemandView, EngineView, UsageView
 from loomwind.engines.protocol import (
     Action,
@@ -95,10 +95,10 @@
         memory_mib=int(row["memory"]),
         concurrency=8,
         usable=column(row, "may hold anything") != "yes",
-        may_hold_anything=column(row, "may hold anything") == "yes",
+        contents_unknown=column(row, "may hold anything") == "yes",
         held=held,
         ready=ready,
-        busy=frozenset(held) - ready,
+        in_transition=frozenset(held) - ready,
         unloading=frozenset(),
         tiers=dict.fromkeys(artifacts(column(row, "cached")), CheckpointTier.MEMORY),
     )
@@ -139,21 +139,21 @@
 
 
 @when("an engine of {places:d} places is lent for {demand}")
-def step_lend(context: Any, places: int, demand: str) -> None:
+def step_allocate(context: Any, places: int, demand: str) -> None:
     wanted, _, shares = demand.partition("; ")
     demands = []
     for item in wanted.split(", "):
         router, group, active = item.split()
         demands.append(SlotDemand(router, group, int(active)))
     weights = {name: float(value) for name, value in (s.split() for s in shares.split(", "))}
-    context.slots = lend(places, demands, weights, ["r1", "r2"])
+    context.slots = allocate_slots(places, demands, weights, ["r1", "r2"])
 
 
 @then("the routers get {slots}")
 def step_slots(context: Any, slots: str) -> None:
     expected = {name: int(value) for name, value in (s.split() for s in slots.split(", "))}
-    lent = {router: loan.slots for router, loan in context.slots.items()}
-    assert lent == expected, context.slots
+    allocated = {router: allocation.slots for router, allocation in context.slots.items()}
+    assert allocated == expected, context.slots
 
 
 @when(
@@ -213,9 +213,9 @@
     assert context.circuit.allows(now=seconds)
 
 
-def gaps_of(seconds: list[float]) -> Gaps:
+def gaps_of(seconds: list[float]) -> GapHistogram:
     """Return a histogram of these gaps."""
-    gaps = Gaps()
+    gaps = GapHistogram()
     now = 0.0
     gaps.record_arrival(now)
     for gap in seconds:
@@ -261,36 +261,36 @@
     return Inventory(instance, Fence(1, sequence=sequence), 10, 1, False, items)
 
 
-def ledger_with_engine() -> Ledger:
-    """Return a ledger that has read one empty engine."""
-    ledger = Ledger()
-    ledger.learn("e1", "address", "zone", False)
-    ledger.on_inventory("e1", inventory(1))
-    return ledger
+def tracker_with_engine() -> EngineTracker:
+    """Return a tracker that has read one empty engine."""
+    tracker = EngineTracker()
+    tracker.add_or_update("e1", "address", "zone", False)
+    tracker.on_inventory("e1", inventory(1))
+    return tracker
 
 
 @when("an order is answered after an earlier inventory was asked for")
 def step_overtaken(context: Any) -> None:
-    context.ledger = ledger_with_engine()
+    context.tracker = tracker_with_engine()
     order = Order(Fence(1, sequence=3), "1", Action.LOAD, LOADED, 1, 1.0)
-    context.ledger.on_order_sent("e1", order)
+    context.tracker.on_order_sent("e1", order)
     answer = OrderAnswer(OrderResult.DONE, inventory(3, holds=True))
-    context.ledger.on_order_answered("e1", order, answer)
-    context.ledger.on_inventory("e1", inventory(2))
+    context.tracker.on_order_answered("e1", order, answer)
+    context.tracker.on_inventory("e1", inventory(2))
 
 
 @then("the late inventory does not make the loaded model look absent")
 def step_not_absent(context: Any) -> None:
-    assert not context.ledger.removable((Intent("e1", "1", LOADED, 1),))
+    assert not context.tracker.removable_intents((Intent("e1", "1", LOADED, 1),))
 
 
 @when("an engine is listed as {listed} and the last inventory says {told}")
 def step_leaving(context: Any, listed: str, told: str) -> None:
-    ledger = Ledger()
-    ledger.learn("e1", "address", "zone", listed == "leaving")
+    tracker = EngineTracker()
+    tracker.add_or_update("e1", "address", "zone", listed == "leaving")
     read = structs.replace(inventory(1), leaving=told == "leaving")
-    ledger.on_inventory("e1", read)
-    context.engine = engine_view(ledger.records["e1"], RegisterValue(Stamp(1), ()))
+    tracker.on_inventory("e1", read)
+    context.engine = engine_view(tracker.records["e1"], RegisterValue(Stamp(1), ()))
 
 
 @then("placement may {use} it")
@@ -300,14 +300,14 @@
 
 @when("an engine that was restarted is read")
 def step_restarted(context: Any) -> None:
-    context.ledger = ledger_with_engine()
-    context.ledger.on_inventory("e1", inventory(1, instance="2", holds=True))
+    context.tracker = tracker_with_engine()
+    context.tracker.on_inventory("e1", inventory(1, instance="2", holds=True))
 
 
 @then("intents for its earlier life may be removed and those for the new life not")
 def step_lives(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
-    assert context.ledger.removable((earlier, later)) == {earlier}
+    assert context.tracker.removable_intents((earlier, later)) == {earlier}
 
 
 def member(incarnation: str = "1") -> MemberInfo:
--- a/loomwind/control/estimates.py
+++ b/loomwind/control/estimates.py
@@ -1,8 +1,8 @@
 """When artifacts that are waited for are expected to be ready. Pure functions, times in seconds."""
 
 from loomwind.catalog.model import Catalog
+from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.views import ClusterView, Plan
-from loomwind.control.weight_budget import WeightBudget
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.messages import LoadEstimate
 from loomwind.schema import Artifact
@@ -11,19 +11,19 @@
 
 
 def estimate_loads(
-    view: ClusterView, plan: Plan, budget: WeightBudget, in_flight: int, now: float
+    view: ClusterView, plan: Plan, limiter: RemoteLoadLimiter, in_flight: int, now: float
 ) -> tuple[LoadEstimate, ...]:
     """Return the expected time until each waiting artifact is ready, counting from now."""
     estimates = {}
     ready = {artifact for engine in view.engines for artifact in engine.ready}
     for engine in view.engines:
-        for artifact in engine.busy - ready:
+        for artifact in engine.in_transition - ready:
             seconds = engine.reload_seconds(artifact, view.catalog.load_seconds(artifact))
             estimates[artifact] = seconds
     position = 0
     for artifact in plan.waiting:
         load_seconds, remote = _load_time(view, artifact)
-        wait = budget.wait_for(position, in_flight, load_seconds, now) if remote else 0.0
+        wait = limiter.expected_wait(position, in_flight, load_seconds, now) if remote else 0.0
         position += remote
         estimates[artifact] = wait + load_seconds
     _add_base_loads(view.catalog, estimates)
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -3,9 +3,9 @@
 from msgspec import structs
 
 from loomwind.control.cluster_view import ready_artifacts
-from loomwind.control.demand import DemandBook
-from loomwind.control.ledger import EngineKnowledge, EngineRecord, Ledger
-from loomwind.control.slots import Loan, lend
+from loomwind.control.demand import DemandAggregator
+from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
+from loomwind.control.slot_allocation import SlotAllocation, allocate_slots
 from loomwind.messages import (
     ApplicationRoute,
     Digest,
@@ -25,8 +25,8 @@
 
     def __init__(
         self,
-        ledger: Ledger,
-        book: DemandBook,
+        tracker: EngineTracker,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         applications: tuple[ApplicationRoute, ...],
@@ -42,13 +42,11 @@
         self._estimates = estimates
         self._records = [
             record
-            for _, record in sorted(ledger.records.items())
-            if record.knowledge is EngineKnowledge.FENCED
-            and not record.leaving
-            and not record.failed
+            for _, record in sorted(tracker.records.items())
+            if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
-        self._slots = self._lend_slots(book, shares, routers, earlier)
+        self._slots = self._allocate_slots(demand, shares, routers, earlier)
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RoutingContent) and self._key() == other._key()
@@ -59,32 +57,34 @@
         places = [(record.engine, record.address, record.zone) for record in self._records]
         return (places, self._ready, self._slots, self._applications, self._estimates)
 
-    def _lend_slots(
+    def _allocate_slots(
         self,
-        book: DemandBook,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         earlier: "RoutingContent | None",
-    ) -> dict[str, dict[str, Loan]]:
+    ) -> dict[str, dict[str, SlotAllocation]]:
         """Lend the slots of each engine; engines that nobody asks for share one even loan."""
         counts: dict[Artifact, int] = {}
         for artifacts in self._ready.values():
             for artifact in artifacts:
                 counts[artifact] = counts.get(artifact, 0) + 1
         names = [info.identity.name for info in routers]
-        even: dict[int, dict[str, Loan]] = {}
+        even: dict[int, dict[str, SlotAllocation]] = {}
         slots = {}
         for record in self._records:
             engine, ready = record.engine, self._ready[record.engine]
             if earlier is not None and earlier._ready.get(engine) == ready:
                 slots[engine] = earlier._slots[engine]
                 continue
-            demands = book.slot_demands(counts, ready) if ready else []
+            demands = demand.slot_demands(counts, ready) if ready else []
             concurrency = record.inventory.concurrency if record.inventory else 1
             if not demands and concurrency not in even:
-                even[concurrency] = lend(concurrency, [], shares, names)
+                even[concurrency] = allocate_slots(concurrency, [], shares, names)
             slots[engine] = (
-                lend(concurrency, demands, shares, names) if demands else even[concurrency]
+                allocate_slots(concurrency, demands, shares, names)
+                if demands
+                else even[concurrency]
             )
         return slots
 
@@ -112,13 +112,14 @@
         )
 
     def _route(self, record: EngineRecord, router: MemberInfo) -> EngineRoute:
-        loan = self._slots[record.engine].get(router.identity.name, Loan(1))
+        allocation = self._slots[record.engine].get(router.identity.name, SlotAllocation(1))
         artifacts = tuple(sorted(self._ready[record.engine]))
         places = tuple(
-            GroupPlaces(group, round(value, 2)) for group, value in sorted(loan.places.items())
+            GroupPlaces(group, round(value, 2))
+            for group, value in sorted(allocation.places.items())
         )
         return EngineRoute(
-            record.engine, record.address, record.zone, loan.slots, artifacts, places
+            record.engine, record.address, record.zone, allocation.slots, artifacts, places
         )
 
 
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -42,8 +42,8 @@
 from loomwind.ports.local import LocalTableService
 from loomwind.settings import LimitSettings, Settings
 
-LEARN_INTERVAL_SECONDS = 0.2
-HANDOVER_SECONDS = 2.0
+CATALOG_RETRY_SECONDS = 0.2
+VOTER_REMOVAL_TIMEOUT_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.05
 
 
@@ -53,7 +53,7 @@
     return host, int(port)
 
 
-def _caller_limits(limits: LimitSettings) -> ServerLimits:
+def _server_limits(limits: LimitSettings) -> ServerLimits:
     """Return what the server of callers holds them to."""
     return ServerLimits(
         max_head_bytes=limits.max_head_bytes,
@@ -102,7 +102,7 @@
             lambda: self._controller,
             self.transport,
         )
-        self._connect_parts()
+        self._register_callbacks()
         await self._listen()
         self._spawn_loops()
         log_state("daemon", "started", name=settings.name, peer=self.membership.own.address)
@@ -144,13 +144,13 @@
             self.register, self.membership, self.transport, self.claims, settings.control.voters
         )
         self.machines = MachineWatcher(
-            machines or None, settings.backends, settings.cell, self._wants_machine_list
+            machines or None, settings.backends, settings.cell, self._should_poll_machine_list
         )
         self.catalog = CatalogService(
             CatalogStore(table, objects or None), self.membership, self.transport, self.metrics
         )
 
-    def _wants_machine_list(self) -> bool:
+    def _should_poll_machine_list(self) -> bool:
         """The controller reads the list for the cell; others only while there is none."""
         return self.register.leading or self.membership.leader is None
 
@@ -176,7 +176,7 @@
     def _backends_to_watch(self) -> list[WatchedBackend]:
         return [WatchedBackend(b.name, b.address) for b in self.router.table.all_backends()]
 
-    def _connect_parts(self) -> None:
+    def _register_callbacks(self) -> None:
         self.membership.digest = self._digest
         self.membership.is_leader = lambda: self.register.leading
         self.membership.on_digest = self._on_digest
@@ -189,7 +189,7 @@
 
     async def _listen(self) -> None:
         settings = self.settings
-        self.callers = HttpServer(self.router.handler.handle, _caller_limits(settings.limits))
+        self.callers = HttpServer(self.router.handler.handle, _server_limits(settings.limits))
         self.admin = AdminServer(self.metrics, self.is_ready)
         self._operator = await self._start_operator()
         await self.callers.start(*split_address(settings.listen.caller))
@@ -213,8 +213,8 @@
         self._spawn(self.router.run())
         self._spawn(self.router.reporter.run())
         self._spawn(self.watch.run())
-        self._spawn(self._learn_catalog())
-        self._spawn(self.catalog.poll_store(self._reads_catalog_log))
+        self._spawn(self._load_catalog())
+        self._spawn(self.catalog.poll_store(self._should_poll_catalog))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -227,10 +227,10 @@
         if not task.cancelled() and task.exception() is not None:
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
-    async def _learn_catalog(self) -> None:
+    async def _load_catalog(self) -> None:
         """Take no request before the accepted catalog is known; then add the settings' seed."""
         while not await self.catalog.learn_at_start():
-            await asyncio.sleep(LEARN_INTERVAL_SECONDS)
+            await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
         objects: list[CatalogObject] = [*settings.groups, *settings.models]
         objects += [*settings.adapters, *settings.routes]
@@ -238,7 +238,7 @@
         self.router.handler.ready = True
         log_state("daemon", "ready", catalog_version=self.catalog.catalog.version)
 
-    def _reads_catalog_log(self) -> bool:
+    def _should_poll_catalog(self) -> bool:
         """The controller reads the durable log for its cell, and so does whoever hears none."""
         return self.register.leading or not self.membership.hears_leader()
 
@@ -263,12 +263,12 @@
         if member.cell != self.membership.own.cell:
             return
         self.register.note_peer_stamp(member.identity, digest.register)
-        if self._is_behind(digest):
+        if self._should_fetch_routing(digest):
             self._spawn(self._fetch_routing(member))
         if self._controller is not None:
             self._controller.on_digest(member, digest)
 
-    def _is_behind(self, digest: Digest) -> bool:
+    def _should_fetch_routing(self, digest: Digest) -> bool:
         """Whether a peer has newer routes that the controller will not send here itself."""
         known, theirs = self.router.table.stamp, digest.routing
         newer_term = (theirs.generation, theirs.ballot) > (known.generation, known.ballot)
@@ -314,7 +314,7 @@
         """Put changed limits on callers in force; all else needs a restart."""
         self.settings = settings
         if "limits" in changed:
-            self.callers.limits = _caller_limits(settings.limits)
+            self.callers.limits = _server_limits(settings.limits)
         return tuple(name for name in changed if name != "limits")
 
     # The controller's role.
@@ -333,9 +333,9 @@
             self.metrics,
         )
         self._controller_task = self._spawn(self._controller.run())
-        self._controller_task.add_done_callback(self._on_term_over)
+        self._controller_task.add_done_callback(self._on_controller_done)
 
-    def _on_term_over(self, task: asyncio.Task[None]) -> None:
+    def _on_controller_done(self, task: asyncio.Task[None]) -> None:
         """A term that ended for any reason gives the role up, so that another can begin."""
         if task is self._controller_task:
             self.register.step_down()
@@ -357,7 +357,7 @@
         log_state("daemon", "leaving", name=self.settings.name)
         self.membership.announce_leaving()
         self.register.retire()
-        await self._notice()
+        await self._wait_before_draining()
         self.callers.stop_listening()
         try:
             async with asyncio.timeout(grace_seconds):
@@ -368,11 +368,11 @@
         self.close()
         log_state("daemon", "stopped", name=self.settings.name)
 
-    async def _notice(self) -> None:
+    async def _wait_before_draining(self) -> None:
         """Give peers and load balancers time to notice, while requests are still served."""
         deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
         others = [info for info in self.membership.alive() if info != self.membership.own]
-        limit = deadline + (HANDOVER_SECONDS if others else 0.0)
+        limit = deadline + (VOTER_REMOVAL_TIMEOUT_SECONDS if others else 0.0)
         own = self.membership.own.identity
         while self.membership.now < deadline or (
             own in self.register.voters and self.membership.now < limit
--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -13,9 +13,9 @@
 import msgspec
 from msgspec import Struct
 
-BELIEF_SECONDS = 30.0
+LOOKBACK_SECONDS = 30.0
 REQUEST_TYPE = "loomwind:request"
-ENDS = ("given-up", "out-of-time", "caller-left")
+FAILED_DECISIONS = ("given-up", "out-of-time", "caller-left")
 
 
 class Cause(enum.Enum):
@@ -42,7 +42,7 @@
     UNKNOWN = "the lines do not tell"
 
 
-VERDICTS = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
+WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
 class LogLine(Struct, frozen=True):
@@ -63,7 +63,7 @@
         return self.fields.get(name)
 
 
-class Story(Struct, frozen=True):
+class RequestHistory(Struct, frozen=True):
     """What is known of a request.
 
     :param own: the lines about it.
@@ -83,11 +83,11 @@
     lines: list[LogLine] = []
     for path in paths:
         text = Path(path).read_text(encoding="utf-8", errors="replace")
-        lines += [line for line in map(_parse, text.splitlines()) if line is not None]
+        lines += [line for line in map(_parse_line, text.splitlines()) if line is not None]
     return sorted(lines, key=lambda line: line.time)
 
 
-def _parse(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
@@ -100,16 +100,16 @@
     return LogLine(time, str(fields.pop("daemon", "")), kind, fields)
 
 
-def tell(request_id: str, lines: Sequence[LogLine]) -> Story:
+def explain_request(request_id: str, lines: Sequence[LogLine]) -> RequestHistory:
     """Return the story of a request.
 
     :param lines: all lines, by time.
     """
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
-        return Story(request_id, Cause.NOT_FOUND, (), (), ())
+        return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
     end = own[-1]
-    before = [line for line in lines if end.time - BELIEF_SECONDS <= line.time <= end.time]
+    before = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
@@ -119,11 +119,13 @@
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    beliefs = tuple(_beliefs(before, end.daemon))
-    return Story(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
+    beliefs = tuple(_latest_states(before, end.daemon))
+    return RequestHistory(
+        request_id, _find_cause(own, beliefs, orders, before), own, beliefs, orders
+    )
 
 
-def _beliefs(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
+def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
     newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.daemon == daemon and line.kind not in (REQUEST_TYPE, "loomwind:order"):
@@ -131,7 +133,7 @@
     yield from sorted(newest.values(), key=lambda line: line.time)
 
 
-def _cause(
+def _find_cause(
     own: Sequence[LogLine],
     beliefs: Sequence[LogLine],
     orders: Sequence[LogLine],
@@ -139,7 +141,7 @@
 ) -> Cause:
     """Return the likely cause; the first rule that fits."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
-    ended = next((line for line in own if line.get("decision") in ENDS), None)
+    ended = next((line for line in own if line.get("decision") in FAILED_DECISIONS), None)
     reason = str(refused.get("reason")) if refused else ""
     if refused and refused.get("status") == 404:
         return Cause.NO_ROUTE
@@ -150,14 +152,14 @@
     if ended and ended.get("decision") == "caller-left":
         return Cause.CALLER_LEFT
     if ended and ended.get("waiting"):
-        return _cause_of_wait(own, orders, before)
+        return _find_wait_cause(own, orders, before)
     if "no server of the service" in reason:
         return Cause.NO_SERVER
     failure = next((line for line in reversed(own) if line.get("decision") == "send-failed"), None)
     if ended and ended.get("decision") == "out-of-time" and ended.get("may_have_run"):
         return Cause.SERVER_SILENT
     if failure is not None:
-        return _cause_of_failure(str(failure.get("reason")))
+        return _find_failure_cause(str(failure.get("reason")))
     if any(line.get("decision") == "late" for line in own):
         return Cause.SERVED_LATE
     if any(line.get("decision") == "paused" for line in own):
@@ -165,7 +167,7 @@
     return Cause.UNKNOWN
 
 
-def _cause_of_wait(
+def _find_wait_cause(
     own: Sequence[LogLine], orders: Sequence[LogLine], before: Sequence[LogLine]
 ) -> Cause:
     if any(line.get("state") == "unknown" for line in orders):
@@ -180,13 +182,13 @@
     )
     if not orders and (not any(leads.values()) or store_lost):
         return Cause.NO_LEADER
-    verdict = next((line for line in own if line.get("decision") in VERDICTS), None)
+    verdict = next((line for line in own if line.get("decision") in WAIT_CAUSES), None)
     if verdict is not None and verdict.get("ready_in_ms") is not None:
-        return VERDICTS[str(verdict.get("decision"))]
+        return WAIT_CAUSES[str(verdict.get("decision"))]
     return Cause.MODEL_NOT_LOADED
 
 
-def _cause_of_failure(reason: str) -> Cause:
+def _find_failure_cause(reason: str) -> Cause:
     if "refused unstarted" in reason:
         return Cause.SERVERS_REFUSED
     if "Connect call failed" in reason or "timed out" in reason:
@@ -198,15 +200,15 @@
     return Cause.SERVER_BROKE_OFF
 
 
-def _describe(line: LogLine, begin: float) -> str:
+def _format_line(line: LogLine, begin: float) -> str:
     fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request_id")
     kind = line.kind.removeprefix("loomwind:")
     return f"{line.time - begin:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
 
 
-def print_story(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
+def print_request_history(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
     """Print a request's story."""
-    story = tell(request_id, read_lines(paths))
+    story = explain_request(request_id, read_lines(paths))
     if as_json:
         print(msgspec.json.encode(story, enc_hook=str).decode())
         return
@@ -223,7 +225,7 @@
         if lines:
             print(f"-- {title}")
         for line in lines:
-            print(_describe(line, begin))
+            print(_format_line(line, begin))
 
 
 def print_timeline(paths: Sequence[str], start: float = 0.0, end: float = 0.0) -> None:
@@ -247,4 +249,4 @@
         if line.kind == REQUEST_TYPE:
             counts[str(line.get("decision"))] += 1
         else:
-            print(_describe(line, begin))
+            print(_format_line(line, begin))
--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -7,7 +7,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.platform.dialect import EXPECT_INSTANCE, INSTANCE
-from loomwind.platform.documents import WireHeld, held_models
+from loomwind.platform.documents import WireHeldModel, held_models
 from loomwind.serving.ports import EngineControl
 from loomwind.serving.views import (
     ModelKey,
@@ -17,7 +17,7 @@
     ServerReport,
 )
 
-ANSWERS = {
+ORDER_ANSWER_BY_STATUS = {
     200: OrderAnswer.ALREADY,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
@@ -27,7 +27,7 @@
 }
 
 
-class WireCopies(Struct, rename="kebab"):
+class WireCachedWeights(Struct, rename="kebab"):
     """Copies of weights that a server keeps beside its accelerators."""
 
     resident: list[str] = []
@@ -39,13 +39,13 @@
 
     seq: int = 0
     busy: bool = False
-    models: list[WireHeld] = []
+    models: list[WireHeldModel] = []
     waiting: int = 0
     running: int = 0
     kv_used: int = 0
     kv_total: int = 0
     pending: list[str] = []
-    available: WireCopies = msgspec.field(default_factory=WireCopies)
+    available: WireCachedWeights = msgspec.field(default_factory=WireCachedWeights)
     born: int | None = None
 
 
@@ -62,10 +62,10 @@
             response = await self._http.request(
                 entry.address, HttpRequest("GET", "/report", headers), timeout
             )
-            if response.status != 200 or _is_other(response, entry):
+            if response.status != 200 or _is_other_server(response, entry):
                 return None
             wire = msgspec.json.decode(response.body, type=WireReport)
-            return None if _is_other_life(wire, entry) else _report(wire)
+            return None if _was_restarted(wire, entry) else _report(wire)
         except (HttpError, msgspec.MsgspecError):
             return None
 
@@ -88,14 +88,14 @@
             return OrderAnswer.REJECTED
         except HttpError:
             return OrderAnswer.UNKNOWN
-        return ANSWERS.get(response.status, OrderAnswer.UNKNOWN)
+        return ORDER_ANSWER_BY_STATUS.get(response.status, OrderAnswer.UNKNOWN)
 
 
-def _is_other(response: HttpResponse, entry: ServerEntry) -> bool:
+def _is_other_server(response: HttpResponse, entry: ServerEntry) -> bool:
     return response.header(INSTANCE) not in (None, entry.name)
 
 
-def _is_other_life(wire: WireReport, entry: ServerEntry) -> bool:
+def _was_restarted(wire: WireReport, entry: ServerEntry) -> bool:
     """Whether the server has started again, under its name, since it was listed."""
     return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
@@ -109,13 +109,13 @@
         running=wire.running,
         kv_used=wire.kv_used,
         kv_total=wire.kv_total,
-        pending_adapters=tuple(_pending(text) for text in wire.pending),
+        pending_adapters=tuple(_parse_pending_adapter(text) for text in wire.pending),
         in_memory=frozenset(wire.available.resident),
         on_disk=frozenset(wire.available.disk_cached),
         started_at_ms=wire.born,
     )
 
 
-def _pending(text: str) -> ModelKey:
+def _parse_pending_adapter(text: str) -> ModelKey:
     model, _, adapter = text.partition("@")[0].partition("/")
     return ModelKey(model, adapter)
--- a/loomwind/platform/store.py
+++ b/loomwind/platform/store.py
@@ -22,7 +22,7 @@
 )
 
 JSON_HEADERS = (("content-type", "application/json"),)
-FEED_MARGIN_SECONDS = 0.6
+LONG_POLL_MARGIN_SECONDS = 0.6
 GONE_STATUS = 410
 CONFLICT_STATUS = 412
 
@@ -36,7 +36,7 @@
     gone: bool = False
 
 
-class RowsAnswer(Struct):
+class RowsResponse(Struct):
     """The answer of each call about rows."""
 
     ver: int = 0
@@ -78,7 +78,7 @@
     async def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
         """Return what changed; see :meth:`Store.changes`."""
         query = {"table": table, "after": str(after), "wait-ms": str(int(wait_seconds * 1000))}
-        response = await self._get("/rows-feed", query, wait_seconds + FEED_MARGIN_SECONDS)
+        response = await self._get("/rows-feed", query, wait_seconds + LONG_POLL_MARGIN_SECONDS)
         answer = _decode(response)
         return Snapshot(tuple(_row(row) for row in answer.rows), answer.ver)
 
@@ -121,14 +121,14 @@
         return response
 
 
-def rows_of(body: bytes) -> list[StoredRow]:
+def parse_rows(body: bytes) -> list[StoredRow]:
     """Return the rows of an answer's body."""
-    return [_row(row) for row in msgspec.json.decode(body, type=RowsAnswer).rows]
+    return [_row(row) for row in msgspec.json.decode(body, type=RowsResponse).rows]
 
 
-def _decode(response: HttpResponse) -> RowsAnswer:
+def _decode(response: HttpResponse) -> RowsResponse:
     try:
-        return msgspec.json.decode(response.body, type=RowsAnswer)
+        return msgspec.json.decode(response.body, type=RowsResponse)
     except msgspec.MsgspecError as error:
         raise StoreUnavailable(f"unreadable answer: {error}", outcome_unknown=True) from error
 
--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -224,49 +224,49 @@
 
     :raises SettingsError: with each fault that was found.
     """
-    faults = list(_faults(raw, Settings, ""))
+    faults = list(_find_faults(raw, Settings, ""))
     if faults:
         raise SettingsError("invalid settings", faults)
     settings = msgspec.convert(raw, Settings)
-    faults = list(_cross_faults(settings))
+    faults = list(_find_consistency_faults(settings))
     if faults:
         raise SettingsError("invalid settings", faults)
     return settings
 
 
-def _faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
+def _find_faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
     """Yield every fault below a value, going into tables and lists of tables."""
-    kind = _table_type(kind)
+    kind = _strip_optional(kind)
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
-        yield from _table_faults(value, kind, path)
+        yield from _find_table_faults(value, kind, path)
     elif typing.get_origin(kind) is tuple and isinstance(value, list):
         for index, item in enumerate(value):
-            yield from _faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
+            yield from _find_faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
     else:
         try:
             msgspec.convert(value, kind)
         except msgspec.ValidationError as error:
-            yield SettingFault(path, f"{error}{_bracketed(allowed_values(kind))}")
+            yield SettingFault(path, f"{error}{_parenthesized(allowed_values(kind))}")
 
 
-def _table_faults(
+def _find_table_faults(
     table: dict[str, Any], kind: type[Struct], path: str
 ) -> typing.Iterator[SettingFault]:
     hints = typing.get_type_hints(kind, include_extras=True)
     prefix = f"{path}." if path else ""
     for key, item in table.items():
         if key in hints:
-            yield from _faults(item, hints[key], prefix + key)
+            yield from _find_faults(item, hints[key], prefix + key)
         else:
             yield SettingFault(prefix + key, f"unknown key; known are {', '.join(sorted(hints))}")
     for field in msgspec.structs.fields(kind):
         if field.required and field.name not in table:
             yield SettingFault(
-                prefix + field.name, f"missing{_bracketed(allowed_values(hints[field.name]))}"
+                prefix + field.name, f"missing{_parenthesized(allowed_values(hints[field.name]))}"
             )
 
 
-def _table_type(kind: Any) -> Any:
+def _strip_optional(kind: Any) -> Any:
     """Return the one type beside None of an optional one."""
     if typing.get_origin(kind) in (types.UnionType, typing.Union):
         others = [other for other in typing.get_args(kind) if other is not type(None)]
@@ -289,11 +289,11 @@
     return ", ".join(parts)
 
 
-def _bracketed(text: str) -> str:
+def _parenthesized(text: str) -> str:
     return f" ({text})" if text else ""
 
 
-def _cross_faults(settings: Settings) -> typing.Iterator[SettingFault]:
+def _find_consistency_faults(settings: Settings) -> typing.Iterator[SettingFault]:
     """Yield faults that take more than one key to see."""
     control = settings.control
     if not control.heartbeat_seconds < control.suspect_after_seconds < control.gone_after_seconds:
