--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -37,7 +37,7 @@
     artifact: Artifact
 
 
-class _Draft:
+class _PlanningState:
     """The cluster as it will be, while one plan is made."""
 
     def __init__(self, view: ClusterView) -> None:
@@ -71,11 +71,11 @@
 
 def plan(view: ClusterView) -> Plan:
     """Return what to load and unload now."""
-    draft = _Draft(view)
-    for artifact in _loading_order(draft):
-        _place(draft, artifact)
-    _retire(draft)
-    return Plan(tuple(draft.loads), tuple(draft.unloads), tuple(draft.waiting))
+    state = _PlanningState(view)
+    for artifact in _loading_order(state):
+        _place(state, artifact)
+    _retire(state)
+    return Plan(tuple(state.loads), tuple(state.unloads), tuple(state.waiting))
 
 
 def _wanted_replicas(view: ClusterView) -> dict[Artifact, int]:
@@ -128,9 +128,9 @@
     return memory.get(group, 0) / (known.share if known else 1.0)
 
 
-def _loading_order(draft: _Draft) -> list[Artifact]:
+def _loading_order(state: _PlanningState) -> list[Artifact]:
     """Return the artifacts that lack replicas, the most urgent first."""
-    view = draft.view
+    view = state.view
     memory = group_memory(view)
     urgency: dict[Artifact, _Urgency] = {}
     for demand in view.demand:
@@ -138,14 +138,14 @@
             for artifact in {demand.artifact.base, demand.artifact}:
                 key = _urgency(view.catalog, memory, demand, artifact)
                 urgency[artifact] = min(key, urgency.get(artifact, key))
-    lacking = [a for a in urgency if draft.replicas(a) < draft.wanted.get(a, 0)]
+    lacking = [a for a in urgency if state.replicas(a) < state.wanted.get(a, 0)]
     ordered = sorted(lacking, key=lambda artifact: urgency[artifact])
     preloads = [
         artifact
         for artifact, usage in sorted(view.usage.items())
-        if usage.preload and artifact not in urgency and draft.replicas(artifact) == 0
+        if usage.preload and artifact not in urgency and state.replicas(artifact) == 0
     ]
-    successors = [a for a in sorted(_successors(view)) if draft.replicas(a) == 0]
+    successors = [a for a in sorted(_successors(view)) if state.replicas(a) == 0]
     return ordered + [a for a in successors if a not in urgency] + preloads
 
 
@@ -162,32 +162,32 @@
     )
 
 
-def _place(draft: _Draft, artifact: Artifact) -> None:
+def _place(state: _PlanningState, artifact: Artifact) -> None:
     """Add one replica of an artifact, or make room for it, or note that it waits."""
-    memory_mib = draft.view.catalog.memory_mib(artifact)
+    memory_mib = state.view.catalog.memory_mib(artifact)
     if memory_mib is None:
         return
-    candidates = [e for e in draft.view.engines if _can_host(draft, e, artifact)]
-    if draft.remote_left <= 0:
+    candidates = [e for e in state.view.engines if _can_host(state, e, artifact)]
+    if state.remote_left <= 0:
         candidates = [e for e in candidates if not _is_remote(e, artifact)]
-    roomy = [engine for engine in candidates if draft.free[engine.engine] >= memory_mib]
+    roomy = [engine for engine in candidates if state.free[engine.engine] >= memory_mib]
     if roomy:
-        _load(draft, min(roomy, key=lambda e: _preference(draft, e, artifact)), artifact)
+        _load(state, min(roomy, key=lambda e: _preference(state, e, artifact)), artifact)
         return
-    draft.waiting.append(artifact)
-    coming = [engine for engine in candidates if draft.future[engine.engine] >= memory_mib]
+    state.waiting.append(artifact)
+    coming = [engine for engine in candidates if state.future[engine.engine] >= memory_mib]
     if coming:
-        draft.future[coming[0].engine] -= memory_mib
-    elif not _is_preload(draft, artifact):
-        _make_room(draft, candidates, artifact, memory_mib)
+        state.future[coming[0].engine] -= memory_mib
+    elif not _is_preload(state, artifact):
+        _make_room(state, candidates, artifact, memory_mib)
 
 
-def _is_preload(draft: _Draft, artifact: Artifact) -> bool:
+def _is_preload(state: _PlanningState, artifact: Artifact) -> bool:
     """Return whether nobody waits for an artifact: such a load takes free memory only."""
-    usage = draft.view.usage.get(artifact)
+    usage = state.view.usage.get(artifact)
     waited_for = any(
         demand.waiting and artifact in (demand.artifact, demand.artifact.base)
-        for demand in draft.view.demand
+        for demand in state.view.demand
     )
     return usage is not None and usage.preload and not waited_for
 
@@ -196,60 +196,60 @@
     return engine.tiers.get(artifact, CheckpointTier.REMOTE) is CheckpointTier.REMOTE
 
 
-def _can_host(draft: _Draft, engine: EngineView, artifact: Artifact) -> bool:
-    if not engine.usable or engine.engine in draft.holders[artifact]:
+def _can_host(state: _PlanningState, engine: EngineView, artifact: Artifact) -> bool:
+    if not engine.usable or engine.engine in state.holders[artifact]:
         return False
     if not artifact.adapter:
         return True
-    leaving = artifact.base in draft.leaving_soon(engine.engine)
+    leaving = artifact.base in state.leaving_soon(engine.engine)
     return artifact.base in engine.ready and not leaving
 
 
 def _preference(
-    draft: _Draft, engine: EngineView, artifact: Artifact
+    state: _PlanningState, engine: EngineView, artifact: Artifact
 ) -> tuple[float, int, int, str]:
     """Return the sort key of an engine for an artifact; lower is better."""
-    load_seconds = draft.view.catalog.load_seconds(artifact)
+    load_seconds = state.view.catalog.load_seconds(artifact)
     reload_seconds = engine.reload_seconds(artifact, load_seconds)
-    same_zone = sum(draft.engines[holder].zone == engine.zone for holder in draft.holders[artifact])
-    return (reload_seconds, same_zone, -draft.free[engine.engine], engine.engine)
+    same_zone = sum(state.engines[holder].zone == engine.zone for holder in state.holders[artifact])
+    return (reload_seconds, same_zone, -state.free[engine.engine], engine.engine)
 
 
-def _load(draft: _Draft, engine: EngineView, artifact: Artifact) -> None:
+def _load(state: _PlanningState, engine: EngineView, artifact: Artifact) -> None:
     remote = _is_remote(engine, artifact)
-    memory_mib = draft.view.catalog.memory_mib(artifact) or 0
-    draft.remote_left -= remote
-    draft.free[engine.engine] -= memory_mib
-    draft.future[engine.engine] -= memory_mib
-    draft.holders[artifact].add(engine.engine)
-    draft.loads.append(Load(engine.engine, engine.instance, artifact, memory_mib, remote))
+    memory_mib = state.view.catalog.memory_mib(artifact) or 0
+    state.remote_left -= remote
+    state.free[engine.engine] -= memory_mib
+    state.future[engine.engine] -= memory_mib
+    state.holders[artifact].add(engine.engine)
+    state.loads.append(Load(engine.engine, engine.instance, artifact, memory_mib, remote))
 
 
 def _make_room(
-    draft: _Draft, candidates: list[EngineView], artifact: Artifact, memory_mib: int
+    state: _PlanningState, candidates: list[EngineView], artifact: Artifact, memory_mib: int
 ) -> None:
     """Unload idle replicas on the engine where that costs least."""
     options = []
     for engine in candidates:
-        victims = _victims(draft, engine, memory_mib - draft.future[engine.engine])
+        victims = _victims(state, engine, memory_mib - state.future[engine.engine])
         if victims:
-            options.append((_eviction_cost(draft, engine, victims), engine.engine, victims))
+            options.append((_eviction_cost(state, engine, victims), engine.engine, victims))
     if options:
         _, name, victims = min(options)
-        held = draft.engines[name].held
-        draft.unloads += [Unload(name, victim) for victim in victims]
-        draft.future[name] += sum(held[victim] for victim in victims) - memory_mib
+        held = state.engines[name].held
+        state.unloads += [Unload(name, victim) for victim in victims]
+        state.future[name] += sum(held[victim] for victim in victims) - memory_mib
 
 
-def _victims(draft: _Draft, engine: EngineView, needed_mib: int) -> list[Artifact]:
+def _victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
     """Return idle replicas that free enough memory, the cheapest first; empty when none do."""
-    leaving = draft.leaving_soon(engine.engine)
+    leaving = state.leaving_soon(engine.engine)
     idle = [
         artifact
         for artifact in engine.ready - leaving
-        if not artifact.adapter and _is_idle(draft, engine, artifact)
+        if not artifact.adapter and _is_idle(state, engine, artifact)
     ]
-    idle.sort(key=lambda victim: _eviction_cost(draft, engine, [victim]))
+    idle.sort(key=lambda victim: _eviction_cost(state, engine, [victim]))
     victims: list[Artifact] = []
     freed = 0
     for base in idle:
@@ -261,18 +261,18 @@
     return []
 
 
-def _is_idle(draft: _Draft, engine: EngineView, base: Artifact) -> bool:
+def _is_idle(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
     """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
     family = {artifact for artifact in engine.held if artifact.base == base}
-    wanted = any(draft.wanted.get(artifact, 0) for artifact in family)
+    wanted = any(state.wanted.get(artifact, 0) for artifact in family)
     return not wanted and family <= engine.ready and not family & engine.in_transition
 
 
 def _eviction_cost(
-    draft: _Draft, engine: EngineView, victims: list[Artifact]
+    state: _PlanningState, engine: EngineView, victims: list[Artifact]
 ) -> tuple[float, float]:
     """Return how much the unload of idle replicas costs: over-share groups first, then reloads."""
-    view = draft.view
+    view = state.view
     memory = group_memory(view)
     use = max(_use_of_share(view.catalog, memory, view.catalog.owner(v)) for v in victims)
     reload_cost = 0.0
@@ -284,38 +284,38 @@
     return (-use, reload_cost)
 
 
-def _retire(draft: _Draft) -> None:
+def _retire(state: _PlanningState) -> None:
     """Unload what is idle for longer than it is worth keeping, or is no longer in the catalog."""
-    loading = {load.artifact for load in draft.loads}
-    for engine in draft.view.engines:
+    loading = {load.artifact for load in state.loads}
+    for engine in state.view.engines:
         if not engine.usable:
             continue
         for artifact in sorted(engine.ready, key=lambda a: (not a.adapter, a)):
-            if artifact.base in loading or artifact in draft.leaving_soon(engine.engine):
+            if artifact.base in loading or artifact in state.leaving_soon(engine.engine):
                 continue
-            if _is_expired(draft, engine, artifact):
-                draft.unloads.append(Unload(engine.engine, artifact))
+            if _is_expired(state, engine, artifact):
+                state.unloads.append(Unload(engine.engine, artifact))
 
 
-def _is_expired(draft: _Draft, engine: EngineView, artifact: Artifact) -> bool:
-    if draft.wanted.get(artifact, 0) or artifact in engine.in_transition:
+def _is_expired(state: _PlanningState, engine: EngineView, artifact: Artifact) -> bool:
+    if state.wanted.get(artifact, 0) or artifact in engine.in_transition:
         return False
     family = {a for a in engine.held if a.base == artifact and a != artifact}
-    if not artifact.adapter and family - draft.leaving_soon(engine.engine):
+    if not artifact.adapter and family - state.leaving_soon(engine.engine):
         return False
-    if draft.view.catalog.memory_mib(artifact) is None:
+    if state.view.catalog.memory_mib(artifact) is None:
         return True
-    if _is_superseded(draft, artifact):
+    if _is_superseded(state, artifact):
         return True
-    usage = draft.view.usage.get(artifact)
+    usage = state.view.usage.get(artifact)
     return usage is not None and usage.idle_seconds >= usage.keep_seconds
 
 
-def _is_superseded(draft: _Draft, artifact: Artifact) -> bool:
+def _is_superseded(state: _PlanningState, artifact: Artifact) -> bool:
     """Return whether this is the model's previous version, and the current one is ready."""
-    model = draft.view.catalog.model(artifact.model)
-    previous = draft.view.catalog.previous_version(artifact.model)
+    model = state.view.catalog.model(artifact.model)
+    previous = state.view.catalog.previous_version(artifact.model)
     if model is None or artifact.adapter or artifact.version != previous:
         return False
     current = Artifact(model.name, model.current)
-    return any(current in engine.ready for engine in draft.view.engines)
+    return any(current in engine.ready for engine in state.view.engines)
