--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -43,7 +43,7 @@
     def __init__(self, view: ClusterView) -> None:
         self.view = view
         self.engines = {engine.engine: engine for engine in view.engines}
-        self.free = {engine.engine: engine.free_mib for engine in view.engines}
+        self.free_mib = {engine.engine: engine.free_mib for engine in view.engines}
         # Memory once the unloads under way are done, less what waiting artifacts will take of it.
         self.future = {
             engine.engine: engine.free_mib + sum(engine.held[a] for a in engine.unloading)
@@ -170,7 +170,7 @@
     candidates = [e for e in state.view.engines if _can_host(state, e, artifact)]
     if state.remote_left <= 0:
         candidates = [e for e in candidates if not _is_remote(e, artifact)]
-    roomy = [engine for engine in candidates if state.free[engine.engine] >= memory_mib]
+    roomy = [engine for engine in candidates if state.free_mib[engine.engine] >= memory_mib]
     if roomy:
         _load(state, min(roomy, key=lambda e: _preference(state, e, artifact)), artifact)
         return
@@ -212,14 +212,14 @@
     load_seconds = state.view.catalog.load_seconds(artifact)
     reload_seconds = engine.reload_seconds(artifact, load_seconds)
     same_zone = sum(state.engines[holder].zone == engine.zone for holder in state.holders[artifact])
-    return (reload_seconds, same_zone, -state.free[engine.engine], engine.engine)
+    return (reload_seconds, same_zone, -state.free_mib[engine.engine], engine.engine)
 
 
 def _load(state: _PlanningState, engine: EngineView, artifact: Artifact) -> None:
     remote = _is_remote(engine, artifact)
     memory_mib = state.view.catalog.memory_mib(artifact) or 0
     state.remote_left -= remote
-    state.free[engine.engine] -= memory_mib
+    state.free_mib[engine.engine] -= memory_mib
     state.future[engine.engine] -= memory_mib
     state.holders[artifact].add(engine.engine)
     state.loads.append(Load(engine.engine, engine.instance, artifact, memory_mib, remote))
