--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -45,7 +45,7 @@
         self.engines = {engine.engine: engine for engine in view.engines}
         self.free_mib = {engine.engine: engine.free_mib for engine in view.engines}
         # Memory once the unloads under way are done, less what waiting artifacts will take of it.
-        self.future = {
+        self.projected_free_mib = {
             engine.engine: engine.free_mib + sum(engine.held[a] for a in engine.unloading)
             for engine in view.engines
         }
@@ -175,9 +175,11 @@
         _load(state, min(roomy, key=lambda e: _preference(state, e, artifact)), artifact)
         return
     state.waiting.append(artifact)
-    coming = [engine for engine in candidates if state.future[engine.engine] >= memory_mib]
+    coming = [
+        engine for engine in candidates if state.projected_free_mib[engine.engine] >= memory_mib
+    ]
     if coming:
-        state.future[coming[0].engine] -= memory_mib
+        state.projected_free_mib[coming[0].engine] -= memory_mib
     elif not _is_preload(state, artifact):
         _make_room(state, candidates, artifact, memory_mib)
 
@@ -220,7 +222,7 @@
     memory_mib = state.view.catalog.memory_mib(artifact) or 0
     state.remote_left -= remote
     state.free_mib[engine.engine] -= memory_mib
-    state.future[engine.engine] -= memory_mib
+    state.projected_free_mib[engine.engine] -= memory_mib
     state.holders[artifact].add(engine.engine)
     state.loads.append(Load(engine.engine, engine.instance, artifact, memory_mib, remote))
 
@@ -231,14 +233,14 @@
     """Unload idle replicas on the engine where that costs least."""
     options = []
     for engine in candidates:
-        victims = _victims(state, engine, memory_mib - state.future[engine.engine])
+        victims = _victims(state, engine, memory_mib - state.projected_free_mib[engine.engine])
         if victims:
             options.append((_eviction_cost(state, engine, victims), engine.engine, victims))
     if options:
         _, name, victims = min(options)
         held = state.engines[name].held
         state.unloads += [Unload(name, victim) for victim in victims]
-        state.future[name] += sum(held[victim] for victim in victims) - memory_mib
+        state.projected_free_mib[name] += sum(held[victim] for victim in victims) - memory_mib
 
 
 def _victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
