--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -53,7 +53,7 @@
         for engine in view.engines:
             for artifact in engine.held:
                 self.holders[artifact].add(engine.engine)
-        self.unknown = sum(engine.contents_unknown for engine in view.engines)
+        self.unread_engines = sum(engine.contents_unknown for engine in view.engines)
         self.remote_left = view.remote_loads_allowed
         self.loads: list[Load] = []
         self.unloads: list[Unload] = []
@@ -62,7 +62,7 @@
 
     def replicas(self, artifact: Artifact) -> int:
         """Return how many replicas of an artifact there may be at most."""
-        return len(self.holders[artifact]) + self.unknown
+        return len(self.holders[artifact]) + self.unread_engines
 
     def leaving_soon(self, engine: str) -> set[Artifact]:
         """Return what this plan already unloads from an engine."""
