--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -54,7 +54,7 @@
             for artifact in engine.held:
                 self.holders[artifact].add(engine.engine)
         self.unread_engines = sum(engine.contents_unknown for engine in view.engines)
-        self.remote_left = view.remote_loads_allowed
+        self.remaining_remote_loads = view.remote_loads_allowed
         self.loads: list[Load] = []
         self.unloads: list[Unload] = []
         self.waiting: list[Artifact] = []
@@ -168,7 +168,7 @@
     if memory_mib is None:
         return
     candidates = [e for e in state.view.engines if _can_host(state, e, artifact)]
-    if state.remote_left <= 0:
+    if state.remaining_remote_loads <= 0:
         candidates = [e for e in candidates if not _is_remote(e, artifact)]
     roomy = [engine for engine in candidates if state.free_mib[engine.engine] >= memory_mib]
     if roomy:
@@ -220,7 +220,7 @@
 def _load(state: _PlanningState, engine: EngineView, artifact: Artifact) -> None:
     remote = _is_remote(engine, artifact)
     memory_mib = state.view.catalog.memory_mib(artifact) or 0
-    state.remote_left -= remote
+    state.remaining_remote_loads -= remote
     state.free_mib[engine.engine] -= memory_mib
     state.projected_free_mib[engine.engine] -= memory_mib
     state.holders[artifact].add(engine.engine)
