--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -58,7 +58,7 @@
         self.loads: list[Load] = []
         self.unloads: list[Unload] = []
         self.waiting: list[Artifact] = []
-        self.wanted = _wanted_replicas(view)
+        self.desired_replicas = _desired_replicas(view)
 
     def replicas(self, artifact: Artifact) -> int:
         """Return how many replicas of an artifact there may be at most."""
@@ -78,7 +78,7 @@
     return Plan(tuple(state.loads), tuple(state.unloads), tuple(state.waiting))
 
 
-def _wanted_replicas(view: ClusterView) -> dict[Artifact, int]:
+def _desired_replicas(view: ClusterView) -> dict[Artifact, int]:
     """Return how many replicas of each artifact the demand asks for, within its limit."""
     concurrency = max((engine.concurrency for engine in view.engines), default=1)
     load: dict[Artifact, int] = defaultdict(int)
@@ -87,16 +87,16 @@
         load[demand.artifact] += active
         if demand.artifact.adapter:
             load[demand.artifact.base] += active
-    wanted = {}
+    desired_replicas = {}
     for artifact, active in load.items():
         needed = math.ceil(active / max(concurrency, 1))
-        wanted[artifact] = min(needed, view.catalog.max_replicas(artifact))
+        desired_replicas[artifact] = min(needed, view.catalog.max_replicas(artifact))
     for artifact in _successors(view):
-        wanted[artifact] = max(wanted.get(artifact, 0), 1)
+        desired_replicas[artifact] = max(desired_replicas.get(artifact, 0), 1)
     for artifact, usage in view.usage.items():
         if usage.preload and view.catalog.max_replicas(artifact) > 0:
-            wanted[artifact] = max(wanted.get(artifact, 0), 1)
-    return wanted
+            desired_replicas[artifact] = max(desired_replicas.get(artifact, 0), 1)
+    return desired_replicas
 
 
 def _successors(view: ClusterView) -> set[Artifact]:
@@ -138,7 +138,7 @@
             for artifact in {demand.artifact.base, demand.artifact}:
                 key = _urgency(view.catalog, memory, demand, artifact)
                 urgency[artifact] = min(key, urgency.get(artifact, key))
-    lacking = [a for a in urgency if state.replicas(a) < state.wanted.get(a, 0)]
+    lacking = [a for a in urgency if state.replicas(a) < state.desired_replicas.get(a, 0)]
     ordered = sorted(lacking, key=lambda artifact: urgency[artifact])
     preloads = [
         artifact
@@ -203,8 +203,8 @@
         return False
     if not artifact.adapter:
         return True
-    leaving = artifact.base in state.leaving_soon(engine.engine)
-    return artifact.base in engine.ready and not leaving
+    unload_planned = artifact.base in state.leaving_soon(engine.engine)
+    return artifact.base in engine.ready and not unload_planned
 
 
 def _preference(
@@ -245,10 +245,10 @@
 
 def _victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
     """Return idle replicas that free enough memory, the cheapest first; empty when none do."""
-    leaving = state.leaving_soon(engine.engine)
+    planned = state.leaving_soon(engine.engine)
     idle = [
         artifact
-        for artifact in engine.ready - leaving
+        for artifact in engine.ready - planned
         if not artifact.adapter and _is_idle(state, engine, artifact)
     ]
     idle.sort(key=lambda victim: _eviction_cost(state, engine, [victim]))
@@ -266,8 +266,8 @@
 def _is_idle(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
     """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
     family = {artifact for artifact in engine.held if artifact.base == base}
-    wanted = any(state.wanted.get(artifact, 0) for artifact in family)
-    return not wanted and family <= engine.ready and not family & engine.in_transition
+    has_demand = any(state.desired_replicas.get(artifact, 0) for artifact in family)
+    return not has_demand and family <= engine.ready and not family & engine.in_transition
 
 
 def _eviction_cost(
@@ -300,7 +300,7 @@
 
 
 def _is_expired(state: _PlanningState, engine: EngineView, artifact: Artifact) -> bool:
-    if state.wanted.get(artifact, 0) or artifact in engine.in_transition:
+    if state.desired_replicas.get(artifact, 0) or artifact in engine.in_transition:
         return False
     family = {a for a in engine.held if a.base == artifact and a != artifact}
     if not artifact.adapter and family - state.leaving_soon(engine.engine):
