--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -60,7 +60,7 @@
         self.waiting: list[Artifact] = []
         self.desired_replicas = _desired_replicas(view)
 
-    def replicas(self, artifact: Artifact) -> int:
+    def possible_replicas(self, artifact: Artifact) -> int:
         """Return how many replicas of an artifact there may be at most."""
         return len(self.holders[artifact]) + self.unread_engines
 
@@ -138,14 +138,14 @@
             for artifact in {demand.artifact.base, demand.artifact}:
                 key = _urgency(view.catalog, memory, demand, artifact)
                 urgency[artifact] = min(key, urgency.get(artifact, key))
-    lacking = [a for a in urgency if state.replicas(a) < state.desired_replicas.get(a, 0)]
+    lacking = [a for a in urgency if state.possible_replicas(a) < state.desired_replicas.get(a, 0)]
     ordered = sorted(lacking, key=lambda artifact: urgency[artifact])
     preloads = [
         artifact
         for artifact, usage in sorted(view.usage.items())
-        if usage.preload and artifact not in urgency and state.replicas(artifact) == 0
+        if usage.preload and artifact not in urgency and state.possible_replicas(artifact) == 0
     ]
-    successors = [a for a in sorted(_successors(view)) if state.replicas(a) == 0]
+    successors = [a for a in sorted(_successors(view)) if state.possible_replicas(a) == 0]
     return ordered + [a for a in successors if a not in urgency] + preloads
 
 
