--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -64,7 +64,7 @@
         """Return how many replicas of an artifact there may be at most."""
         return len(self.holders[artifact]) + self.unread_engines
 
-    def leaving_soon(self, engine: str) -> set[Artifact]:
+    def planned_unloads(self, engine: str) -> set[Artifact]:
         """Return what this plan already unloads from an engine."""
         return {unload.artifact for unload in self.unloads if unload.engine == engine}
 
@@ -203,7 +203,7 @@
         return False
     if not artifact.adapter:
         return True
-    unload_planned = artifact.base in state.leaving_soon(engine.engine)
+    unload_planned = artifact.base in state.planned_unloads(engine.engine)
     return artifact.base in engine.ready and not unload_planned
 
 
@@ -245,7 +245,7 @@
 
 def _victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
     """Return idle replicas that free enough memory, the cheapest first; empty when none do."""
-    planned = state.leaving_soon(engine.engine)
+    planned = state.planned_unloads(engine.engine)
     idle = [
         artifact
         for artifact in engine.ready - planned
@@ -293,7 +293,7 @@
         if not engine.usable:
             continue
         for artifact in sorted(engine.ready, key=lambda a: (not a.adapter, a)):
-            if artifact.base in loading or artifact in state.leaving_soon(engine.engine):
+            if artifact.base in loading or artifact in state.planned_unloads(engine.engine):
                 continue
             if _is_expired(state, engine, artifact):
                 state.unloads.append(Unload(engine.engine, artifact))
@@ -303,7 +303,7 @@
     if state.desired_replicas.get(artifact, 0) or artifact in engine.in_transition:
         return False
     family = {a for a in engine.held if a.base == artifact and a != artifact}
-    if not artifact.adapter and family - state.leaving_soon(engine.engine):
+    if not artifact.adapter and family - state.planned_unloads(engine.engine):
         return False
     if state.view.catalog.memory_mib(artifact) is None:
         return True
