--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -91,7 +91,7 @@
     for artifact, active in load.items():
         needed = math.ceil(active / max(concurrency, 1))
         desired_replicas[artifact] = min(needed, view.catalog.max_replicas(artifact))
-    for artifact in _successors(view):
+    for artifact in _replacement_versions(view):
         desired_replicas[artifact] = max(desired_replicas.get(artifact, 0), 1)
     for artifact, usage in view.usage.items():
         if usage.preload and view.catalog.max_replicas(artifact) > 0:
@@ -99,9 +99,9 @@
     return desired_replicas
 
 
-def _successors(view: ClusterView) -> set[Artifact]:
+def _replacement_versions(view: ClusterView) -> set[Artifact]:
     """Return the current versions of models of which the previous one is loaded and in use."""
-    successors = set()
+    replacements = set()
     for engine in view.engines:
         for artifact in engine.ready:
             model = view.catalog.model(artifact.model)
@@ -110,8 +110,8 @@
                 continue
             usage = view.usage.get(artifact)
             if usage is not None and usage.idle_seconds < usage.keep_seconds:
-                successors.add(Artifact(model.name, model.current))
-    return successors
+                replacements.add(Artifact(model.name, model.current))
+    return replacements
 
 
 def group_memory(view: ClusterView) -> dict[str, int]:
@@ -145,8 +145,10 @@
         for artifact, usage in sorted(view.usage.items())
         if usage.preload and artifact not in urgency and state.possible_replicas(artifact) == 0
     ]
-    successors = [a for a in sorted(_successors(view)) if state.possible_replicas(a) == 0]
-    return ordered + [a for a in successors if a not in urgency] + preloads
+    replacements = [
+        a for a in sorted(_replacement_versions(view)) if state.possible_replicas(a) == 0
+    ]
+    return ordered + [a for a in replacements if a not in urgency] + preloads
 
 
 def _urgency(
