--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -31,7 +31,7 @@
     """What loads are ordered by; the lowest goes first."""
 
     negative_priority: int
-    use_of_share: float
+    memory_per_share: float
     deadline_step: int
     negative_load_seconds: float
     artifact: Artifact
@@ -123,7 +123,7 @@
     return memory
 
 
-def _use_of_share(catalog: Catalog, memory: dict[str, int], group: str) -> float:
+def _memory_per_share(catalog: Catalog, memory: dict[str, int], group: str) -> float:
     known = catalog.group(group)
     return memory.get(group, 0) / (known.share if known else 1.0)
 
@@ -157,7 +157,7 @@
     group = catalog.group(demand.group)
     return _Urgency(
         negative_priority=-group.priority if group else 0,
-        use_of_share=_use_of_share(catalog, memory, demand.group),
+        memory_per_share=_memory_per_share(catalog, memory, demand.group),
         deadline_step=int(demand.nearest_deadline_seconds / DEADLINE_STEP_SECONDS),
         negative_load_seconds=-catalog.load_seconds(artifact),
         artifact=artifact,
@@ -278,14 +278,16 @@
     """Return how much the unload of idle replicas costs: over-share groups first, then reloads."""
     view = state.view
     memory = group_memory(view)
-    use = max(_use_of_share(view.catalog, memory, view.catalog.owner(v)) for v in victims)
+    memory_per_share = max(
+        _memory_per_share(view.catalog, memory, view.catalog.owner(v)) for v in victims
+    )
     reload_cost = 0.0
     for victim in victims:
         usage = view.usage.get(victim)
         idle_seconds = usage.idle_seconds if usage else UNUSED_KEEP_SECONDS
         seconds = engine.reload_seconds(victim, view.catalog.load_seconds(victim))
         reload_cost += seconds / (1.0 + idle_seconds)
-    return (-use, reload_cost)
+    return (-memory_per_share, reload_cost)
 
 
 def _retire(state: _PlanningState) -> None:
