--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -24,7 +24,7 @@
 from loomwind.schema import Artifact
 
 UNUSED_KEEP_SECONDS = 60.0
-DEADLINE_STEP_SECONDS = 2.0
+DEADLINE_BUCKET_SECONDS = 2.0
 
 
 class _Urgency(Struct, frozen=True, order=True):
@@ -32,7 +32,7 @@
 
     negative_priority: int
     memory_per_share: float
-    deadline_step: int
+    deadline_bucket: int
     negative_load_seconds: float
     artifact: Artifact
 
@@ -158,7 +158,7 @@
     return _Urgency(
         negative_priority=-group.priority if group else 0,
         memory_per_share=_memory_per_share(catalog, memory, demand.group),
-        deadline_step=int(demand.nearest_deadline_seconds / DEADLINE_STEP_SECONDS),
+        deadline_bucket=int(demand.nearest_deadline_seconds / DEADLINE_BUCKET_SECONDS),
         negative_load_seconds=-catalog.load_seconds(artifact),
         artifact=artifact,
     )
