--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -23,7 +23,7 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
-UNUSED_KEEP_SECONDS = 60.0
+DEFAULT_IDLE_SECONDS = 60.0
 DEADLINE_BUCKET_SECONDS = 2.0
 
 
@@ -284,7 +284,7 @@
     reload_cost = 0.0
     for victim in victims:
         usage = view.usage.get(victim)
-        idle_seconds = usage.idle_seconds if usage else UNUSED_KEEP_SECONDS
+        idle_seconds = usage.idle_seconds if usage else DEFAULT_IDLE_SECONDS
         seconds = engine.reload_seconds(victim, view.catalog.load_seconds(victim))
         reload_cost += seconds / (1.0 + idle_seconds)
     return (-memory_per_share, reload_cost)
