--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -72,7 +72,7 @@
 def plan(view: ClusterView) -> Plan:
     """Return what to load and unload now."""
     state = _PlanningState(view)
-    for artifact in _loading_order(state):
+    for artifact in _load_order(state):
         _place(state, artifact)
     _retire(state)
     return Plan(tuple(state.loads), tuple(state.unloads), tuple(state.waiting))
@@ -128,7 +128,7 @@
     return memory.get(group, 0) / (known.share if known else 1.0)
 
 
-def _loading_order(state: _PlanningState) -> list[Artifact]:
+def _load_order(state: _PlanningState) -> list[Artifact]:
     """Return the artifacts that lack replicas, the most urgent first."""
     view = state.view
     memory = group_memory(view)
