--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -138,8 +138,10 @@
             for artifact in {demand.artifact.base, demand.artifact}:
                 key = _urgency(view.catalog, memory, demand, artifact)
                 urgency[artifact] = min(key, urgency.get(artifact, key))
-    lacking = [a for a in urgency if state.possible_replicas(a) < state.desired_replicas.get(a, 0)]
-    ordered = sorted(lacking, key=lambda artifact: urgency[artifact])
+    under_replicated = [
+        a for a in urgency if state.possible_replicas(a) < state.desired_replicas.get(a, 0)
+    ]
+    ordered = sorted(under_replicated, key=lambda artifact: urgency[artifact])
     preloads = [
         artifact
         for artifact, usage in sorted(view.usage.items())
