--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -73,7 +73,7 @@
     """Return what to load and unload now."""
     state = _PlanningState(view)
     for artifact in _load_order(state):
-        _place(state, artifact)
+        _place_replica(state, artifact)
     _retire(state)
     return Plan(tuple(state.loads), tuple(state.unloads), tuple(state.waiting))
 
@@ -166,7 +166,7 @@
     )
 
 
-def _place(state: _PlanningState, artifact: Artifact) -> None:
+def _place_replica(state: _PlanningState, artifact: Artifact) -> None:
     """Add one replica of an artifact, or make room for it, or note that it waits."""
     memory_mib = state.view.catalog.memory_mib(artifact)
     if memory_mib is None:
@@ -174,16 +174,16 @@
     candidates = [e for e in state.view.engines if _can_host(state, e, artifact)]
     if state.remaining_remote_loads <= 0:
         candidates = [e for e in candidates if not _is_remote(e, artifact)]
-    roomy = [engine for engine in candidates if state.free_mib[engine.engine] >= memory_mib]
-    if roomy:
-        _load(state, min(roomy, key=lambda e: _preference(state, e, artifact)), artifact)
+    fitting = [engine for engine in candidates if state.free_mib[engine.engine] >= memory_mib]
+    if fitting:
+        _load(state, min(fitting, key=lambda e: _preference(state, e, artifact)), artifact)
         return
     state.waiting.append(artifact)
-    coming = [
+    fitting_after_unloads = [
         engine for engine in candidates if state.projected_free_mib[engine.engine] >= memory_mib
     ]
-    if coming:
-        state.projected_free_mib[coming[0].engine] -= memory_mib
+    if fitting_after_unloads:
+        state.projected_free_mib[fitting_after_unloads[0].engine] -= memory_mib
     elif not _is_preload(state, artifact):
         _make_room(state, candidates, artifact, memory_mib)
 
