--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -185,7 +185,7 @@
     if fitting_after_unloads:
         state.projected_free_mib[fitting_after_unloads[0].engine] -= memory_mib
     elif not _is_preload(state, artifact):
-        _make_room(state, candidates, artifact, memory_mib)
+        _plan_eviction(state, candidates, artifact, memory_mib)
 
 
 def _is_preload(state: _PlanningState, artifact: Artifact) -> bool:
@@ -231,13 +231,15 @@
     state.loads.append(Load(engine.engine, engine.instance, artifact, memory_mib, remote))
 
 
-def _make_room(
+def _plan_eviction(
     state: _PlanningState, candidates: list[EngineView], artifact: Artifact, memory_mib: int
 ) -> None:
     """Unload idle replicas on the engine where that costs least."""
     options = []
     for engine in candidates:
-        victims = _victims(state, engine, memory_mib - state.projected_free_mib[engine.engine])
+        victims = _select_victims(
+            state, engine, memory_mib - state.projected_free_mib[engine.engine]
+        )
         if victims:
             options.append((_eviction_cost(state, engine, victims), engine.engine, victims))
     if options:
@@ -247,7 +249,7 @@
         state.projected_free_mib[name] += sum(held[victim] for victim in victims) - memory_mib
 
 
-def _victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
+def _select_victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
     """Return idle replicas that free enough memory, the cheapest first; empty when none do."""
     planned = state.planned_unloads(engine.engine)
     idle = [
