--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -74,7 +74,7 @@
     state = _PlanningState(view)
     for artifact in _load_order(state):
         _place_replica(state, artifact)
-    _retire(state)
+    _unload_expired(state)
     return Plan(tuple(state.loads), tuple(state.unloads), tuple(state.waiting))
 
 
@@ -255,7 +255,7 @@
     idle = [
         artifact
         for artifact in engine.ready - planned
-        if not artifact.adapter and _is_idle(state, engine, artifact)
+        if not artifact.adapter and _is_evictable(state, engine, artifact)
     ]
     idle.sort(key=lambda victim: _eviction_cost(state, engine, [victim]))
     victims: list[Artifact] = []
@@ -269,7 +269,7 @@
     return []
 
 
-def _is_idle(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
+def _is_evictable(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
     """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
     family = {artifact for artifact in engine.held if artifact.base == base}
     has_demand = any(state.desired_replicas.get(artifact, 0) for artifact in family)
@@ -294,7 +294,7 @@
     return (-memory_per_share, reload_cost)
 
 
-def _retire(state: _PlanningState) -> None:
+def _unload_expired(state: _PlanningState) -> None:
     """Unload what is idle for longer than it is worth keeping, or is no longer in the catalog."""
     loading = {load.artifact for load in state.loads}
     for engine in state.view.engines:
