--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -261,9 +261,9 @@
     victims: list[Artifact] = []
     freed = 0
     for base in idle:
-        family = [artifact for artifact in engine.held if artifact.base == base]
-        victims += sorted(family, key=lambda artifact: not artifact.adapter)
-        freed += sum(engine.held[artifact] for artifact in family)
+        base_and_adapters = [artifact for artifact in engine.held if artifact.base == base]
+        victims += sorted(base_and_adapters, key=lambda artifact: not artifact.adapter)
+        freed += sum(engine.held[artifact] for artifact in base_and_adapters)
         if freed >= needed_mib:
             return victims
     return []
@@ -271,9 +271,13 @@
 
 def _is_evictable(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
     """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
-    family = {artifact for artifact in engine.held if artifact.base == base}
-    has_demand = any(state.desired_replicas.get(artifact, 0) for artifact in family)
-    return not has_demand and family <= engine.ready and not family & engine.in_transition
+    base_and_adapters = {artifact for artifact in engine.held if artifact.base == base}
+    has_demand = any(state.desired_replicas.get(artifact, 0) for artifact in base_and_adapters)
+    return (
+        not has_demand
+        and base_and_adapters <= engine.ready
+        and not base_and_adapters & engine.in_transition
+    )
 
 
 def _eviction_cost(
@@ -310,8 +314,8 @@
 def _is_expired(state: _PlanningState, engine: EngineView, artifact: Artifact) -> bool:
     if state.desired_replicas.get(artifact, 0) or artifact in engine.in_transition:
         return False
-    family = {a for a in engine.held if a.base == artifact and a != artifact}
-    if not artifact.adapter and family - state.planned_unloads(engine.engine):
+    adapters = {a for a in engine.held if a.base == artifact and a != artifact}
+    if not artifact.adapter and adapters - state.planned_unloads(engine.engine):
         return False
     if state.view.catalog.memory_mib(artifact) is None:
         return True
