--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -81,15 +81,15 @@
 def _desired_replicas(view: ClusterView) -> dict[Artifact, int]:
     """Return how many replicas of each artifact the demand asks for, within its limit."""
     concurrency = max((engine.concurrency for engine in view.engines), default=1)
-    load: dict[Artifact, int] = defaultdict(int)
+    active: dict[Artifact, int] = defaultdict(int)
     for demand in view.demand:
-        active = demand.waiting + demand.running
-        load[demand.artifact] += active
+        requests = demand.waiting + demand.running
+        active[demand.artifact] += requests
         if demand.artifact.adapter:
-            load[demand.artifact.base] += active
+            active[demand.artifact.base] += requests
     desired_replicas = {}
-    for artifact, active in load.items():
-        needed = math.ceil(active / max(concurrency, 1))
+    for artifact, requests in active.items():
+        needed = math.ceil(requests / max(concurrency, 1))
         desired_replicas[artifact] = min(needed, view.catalog.max_replicas(artifact))
     for artifact in _replacement_versions(view):
         desired_replicas[artifact] = max(desired_replicas.get(artifact, 0), 1)
