--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -118,7 +118,7 @@
     return tuple(sorted(kept))
 
 
-def read_engines(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
+def fenced_engine_names(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
     """Return the engines that were fenced and read in this generation."""
     fenced = {
         engine for engine, record in tracker.records.items() if record.status is EngineStatus.FENCED
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -13,7 +13,7 @@
 from loomwind.catalog.model import Catalog
 from loomwind.control.cluster_view import (
     cluster_view,
-    read_engines,
+    fenced_engine_names,
     reconciled_intents,
     remote_loads_in_flight,
 )
@@ -159,7 +159,7 @@
         value = self._register.committed
         tracker = self.fleet.tracker
         intents = reconciled_intents(tracker, value)
-        fenced = read_engines(tracker, value)
+        fenced = fenced_engine_names(tracker, value)
         decided = self._decide(value, intents, fenced, now)
         added = tuple(
             Intent(load.engine, load.instance, load.artifact, load.memory_mib)
