--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -30,8 +30,8 @@
     """Return what is being unloaded from an engine, by open orders and by its inventory."""
     ordered = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     items = record.inventory.items if record.inventory else ()
-    told = {item.artifact for item in items if item.state is ReplicaState.UNLOADING}
-    return frozenset(ordered | told)
+    reported = {item.artifact for item in items if item.state is ReplicaState.UNLOADING}
+    return frozenset(ordered | reported)
 
 
 def engine_view(record: EngineRecord, value: RegisterValue) -> EngineView:
