--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -137,7 +137,7 @@
         absent what has been loaded since.
         """
         record = self.records.get(engine)
-        if record is None or _is_overtaken(inventory, record.inventory):
+        if record is None or _is_stale(inventory, record.inventory):
             return
         settled = [o for o in record.orders if not _is_settled_by(o, inventory)]
         self._update(
@@ -194,9 +194,9 @@
         return absent and record.pending_order(intent.artifact) is None
 
 
-def _is_overtaken(inventory: Inventory, known: Inventory | None) -> bool:
-    same_life = known is not None and known.instance == inventory.instance
-    return same_life and known is not None and inventory.fence < known.fence
+def _is_stale(inventory: Inventory, known: Inventory | None) -> bool:
+    same_instance = known is not None and known.instance == inventory.instance
+    return same_instance and known is not None and inventory.fence < known.fence
 
 
 def _is_settled_by(order: PendingOrder, inventory: Inventory) -> bool:
