--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -139,14 +139,14 @@
         record = self.records.get(engine)
         if record is None or _is_stale(inventory, record.inventory):
             return
-        settled = [o for o in record.orders if not _is_settled_by(o, inventory)]
+        remaining = [o for o in record.orders if not _is_resolved_by(o, inventory)]
         self._update(
             engine,
             status=EngineStatus.FENCED,
             inventory=inventory,
             failed=False,
             reported_leaving=inventory.leaving,
-            orders=tuple(settled),
+            orders=tuple(remaining),
         )
 
     def on_order_sent(self, engine: str, order: Order) -> None:
@@ -199,7 +199,7 @@
     return same_instance and known is not None and inventory.fence < known.fence
 
 
-def _is_settled_by(order: PendingOrder, inventory: Inventory) -> bool:
+def _is_resolved_by(order: PendingOrder, inventory: Inventory) -> bool:
     """Return whether an inventory tells the fate of an order whose answer is lost."""
     if inventory.instance != order.order.instance:
         return True
