--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -23,8 +23,8 @@
 from loomwind.metrics import Metrics
 from loomwind.schema import Artifact
 
-POLL_SETTLED_SECONDS = 30.0
-POLL_UNSETTLED_SECONDS = 0.1
+POLL_STABLE_SECONDS = 30.0
+POLL_TRANSITION_SECONDS = 0.1
 POLL_FAILED_SECONDS = 0.5
 ENDED_AFTER_REFUSALS = 3
 
@@ -94,14 +94,14 @@
 
     def _poll_seconds(self, record: EngineRecord) -> float:
         if record.inventory is None or record.status is not EngineStatus.FENCED:
-            return POLL_UNSETTLED_SECONDS
+            return POLL_TRANSITION_SECONDS
         if record.failed:
             return POLL_FAILED_SECONDS
-        unsettled = any(
+        in_transition = any(
             item.state is not ReplicaState.READY and record.pending_order(item.artifact) is None
             for item in record.inventory.items
         )
-        return POLL_UNSETTLED_SECONDS if unsettled else POLL_SETTLED_SECONDS
+        return POLL_TRANSITION_SECONDS if in_transition else POLL_STABLE_SECONDS
 
     async def _read(self, engine: str) -> None:
         """Fence an engine and take in its inventory."""
