--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -199,7 +199,7 @@
         for load in decided.loads:
             if load.remote:
                 self._load_limiter.record_start(now)
-            self.fleet.give_load(load, catalog.load_seconds(load.artifact))
+            self.fleet.send_load(load, catalog.load_seconds(load.artifact))
         delay = self._load_limiter.seconds_until_start(now)
         if decided.waiting and delay > 0:
             asyncio.get_running_loop().call_at(now + delay, self.wake)
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -144,7 +144,7 @@
             self.tracker.mark_process_ended(engine)
             self._wake()
 
-    def give_load(self, load: Load, load_seconds: float) -> None:
+    def send_load(self, load: Load, load_seconds: float) -> None:
         """Order a load whose intent is settled, for the engine's life that it was decided for."""
         order = Order(
             self.next_fence(),
