--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -195,7 +195,7 @@
         catalog = self._catalog()
         now = self._membership.now
         for unload in decided.unloads:
-            self.fleet.give_unload(unload.engine, unload.artifact)
+            self.fleet.send_unload(unload.engine, unload.artifact)
         for load in decided.loads:
             if load.remote:
                 self._load_limiter.record_start(now)
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -156,7 +156,7 @@
         )
         self._give(load.engine, order)
 
-    def give_unload(self, engine: str, artifact: Artifact) -> None:
+    def send_unload(self, engine: str, artifact: Artifact) -> None:
         """Order an unload."""
         inventory = self.tracker.records[engine].inventory
         if inventory is not None:
