--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -154,17 +154,17 @@
             load.memory_mib,
             load_seconds,
         )
-        self._give(load.engine, order)
+        self._send_order(load.engine, order)
 
     def send_unload(self, engine: str, artifact: Artifact) -> None:
         """Order an unload."""
         inventory = self.tracker.records[engine].inventory
         if inventory is not None:
-            self._give(
+            self._send_order(
                 engine, Order(self.next_fence(), inventory.instance, Action.UNLOAD, artifact)
             )
 
-    def _give(self, engine: str, order: Order) -> None:
+    def _send_order(self, engine: str, order: Order) -> None:
         record = self.tracker.records[engine]
         if record.pending_order(order.artifact) is not None:
             return
