--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -170,11 +170,13 @@
             return
         # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
         self.tracker.on_order_sent(engine, order)
-        task = asyncio.get_running_loop().create_task(self._carry(engine, record.address, order))
+        task = asyncio.get_running_loop().create_task(
+            self._deliver_order(engine, record.address, order)
+        )
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
 
-    async def _carry(self, engine: str, address: str, order: Order) -> None:
+    async def _deliver_order(self, engine: str, address: str, order: Order) -> None:
         try:
             answer = await self._client.order(address, order, constants.ORDER_TIMEOUT_SECONDS)
         except (EngineUnreachable, EngineAnswerLost):
