--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -112,7 +112,7 @@
                 record.address, request, constants.FENCE_TIMEOUT_SECONDS
             )
         except EngineError as error:
-            self._on_silence(engine, error)
+            self._on_fence_failure(engine, error)
             return
         self._refusals[engine] = 0
         if self._is_newer(inventory):
@@ -130,7 +130,7 @@
         fence = inventory.fence
         return (fence.generation, fence.ballot) > (self._generation, self._ballot)
 
-    def _on_silence(self, engine: str, error: EngineError) -> None:
+    def _on_fence_failure(self, engine: str, error: EngineError) -> None:
         refused = isinstance(error, EngineUnreachable) and error.refused
         self._refusals[engine] = self._refusals.get(engine, 0) + 1 if refused else 0
         record = self.tracker.records[engine]
