--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -39,7 +39,7 @@
         generation: int,
         ballot: Ballot,
         wake: Callable[[], None],
-        superseded: Callable[[], None],
+        on_superseded: Callable[[], None],
     ) -> None:
         self.tracker = EngineTracker()
         self._client = client
@@ -48,7 +48,7 @@
         self._ballot = ballot
         self._sequence = 0
         self._wake = wake
-        self._superseded = superseded
+        self._on_superseded = on_superseded
         self._refusals: dict[str, int] = {}
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._rechecks: dict[str, asyncio.Event] = {}
@@ -116,7 +116,7 @@
             return
         self._refusals[engine] = 0
         if self._is_newer(inventory):
-            self._superseded()
+            self._on_superseded()
             return
         before = self.tracker.records[engine]
         self.tracker.on_inventory(engine, inventory)
@@ -190,7 +190,7 @@
 
     def _on_answer(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         if answer.result is OrderResult.STALE and self._is_newer(answer.inventory):
-            self._superseded()
+            self._on_superseded()
             return
         self.tracker.on_order_answered(engine, order, answer)
         if answer.result is not OrderResult.DONE:
