--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -142,7 +142,7 @@
     def _learn_machines(self) -> None:
         for machine in self._machines.in_role(MachineRole.ENGINE):
             if machine.state is MachineState.GONE:
-                self.fleet.forget(machine.name)
+                self.fleet.remove(machine.name)
             else:
                 drained = self._catalog().is_drained(machine.name)
                 leaving = drained or machine.state is MachineState.LEAVING
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -65,7 +65,7 @@
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
-    def forget(self, engine: str) -> None:
+    def remove(self, engine: str) -> None:
         """Note that an engine is gone for good."""
         record = self.tracker.records.get(engine)
         if record is not None and record.status is not EngineStatus.GONE:
