--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -75,14 +75,14 @@
         self._machines = machines
         self._catalog = catalog
         self._send_routing = send_routing
-        self._wakened = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
         self._usage = UsageTracker(make_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
-        self._audience: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
+        self._recipients: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
         self._next_allocation_at = 0.0
         self._step_seconds = 0.0
         self._load_limiter = RemoteLoadLimiter(
@@ -101,7 +101,7 @@
 
     def wake(self) -> None:
         """Make the next step happen soon."""
-        self._wakened.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
         """Lead until cancelled or superseded."""
@@ -109,7 +109,7 @@
         try:
             while self._register.leading:
                 started = time.process_time()
-                self._learn_machines()
+                self._update_machines()
                 await self._step()
                 self._step_seconds = time.process_time() - started
                 if self._membership.now >= next_repair:
@@ -134,12 +134,12 @@
         await asyncio.sleep(pause)
         try:
             async with asyncio.timeout(constants.CONTROLLER_TICK_SECONDS):
-                await self._wakened.wait()
+                await self._wake_event.wait()
         except TimeoutError:
             pass
-        self._wakened.clear()
+        self._wake_event.clear()
 
-    def _learn_machines(self) -> None:
+    def _update_machines(self) -> None:
         for machine in self._machines.in_role(MachineRole.ENGINE):
             if machine.state is MachineState.GONE:
                 self.fleet.remove(machine.name)
@@ -160,18 +160,18 @@
         tracker = self.fleet.tracker
         intents = reconciled_intents(tracker, value)
         fenced = fenced_engine_names(tracker, value)
-        decided = self._decide(value, intents, fenced, now)
+        new_plan = self._make_plan(value, intents, fenced, now)
         added = tuple(
             Intent(load.engine, load.instance, load.artifact, load.memory_mib)
-            for load in decided.loads
+            for load in new_plan.loads
         )
-        wanted = tuple(sorted({*intents, *added}))
-        if (wanted, fenced) != (value.intents, value.fenced_engines):
-            await self._register.write(wanted, fenced)
-        self._order(decided)
+        new_intents = tuple(sorted({*intents, *added}))
+        if (new_intents, fenced) != (value.intents, value.fenced_engines):
+            await self._register.write(new_intents, fenced)
+        self._send_orders(new_plan)
         self._publish()
 
-    def _decide(
+    def _make_plan(
         self, value: RegisterValue, intents: tuple[Intent, ...], fenced: tuple[str, ...], now: float
     ) -> Plan:
         reconciled = RegisterValue(
@@ -187,21 +187,21 @@
             self._load_limiter.available(now, in_flight),
             now,
         )
-        decided = plan(view)
-        self._estimates = estimate_loads(view, decided, self._load_limiter, in_flight, now)
-        return decided
+        new_plan = plan(view)
+        self._estimates = estimate_loads(view, new_plan, self._load_limiter, in_flight, now)
+        return new_plan
 
-    def _order(self, decided: Plan) -> None:
+    def _send_orders(self, new_plan: Plan) -> None:
         catalog = self._catalog()
         now = self._membership.now
-        for unload in decided.unloads:
+        for unload in new_plan.unloads:
             self.fleet.send_unload(unload.engine, unload.artifact)
-        for load in decided.loads:
+        for load in new_plan.loads:
             if load.remote:
                 self._load_limiter.record_start(now)
             self.fleet.send_load(load, catalog.load_seconds(load.artifact))
         delay = self._load_limiter.seconds_until_start(now)
-        if decided.waiting and delay > 0:
+        if new_plan.waiting and delay > 0:
             asyncio.get_running_loop().call_at(now + delay, self.wake)
 
     def _publish(self) -> None:
@@ -221,10 +221,10 @@
             self._next_allocation_at = now + constants.SLOT_ALLOCATION_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
-        audience = (routers, voters, value.epoch)
-        if content == self._content and audience == self._audience:
+        recipients = (routers, voters, value.epoch)
+        if content == self._content and recipients == self._recipients:
             return
-        self._content, self._audience = content, audience
+        self._content, self._recipients = content, recipients
         updates = self._publisher.updates(content, self._settings.cell, value, routers, voters)
         for router, update in updates:
             self._send_routing(router, update)
@@ -238,10 +238,10 @@
         return tuple(
             ApplicationRoute(m.application, m.name, m.address, m.zone)
             for m in machines
-            if self._takes_work(m)
+            if self._accepts_requests(m)
         )
 
-    def _takes_work(self, machine: Machine) -> bool:
+    def _accepts_requests(self, machine: Machine) -> bool:
         drained = self._catalog().is_drained(machine.name)
         leaving = drained or machine.name in self._leaving_applications
         return machine.state is MachineState.LIVE and not leaving
