--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -155,7 +155,7 @@
         """Publish what is known, decide, settle the intents, give the orders."""
         self._publish()
         now = self._membership.now
-        self._demand.forget_old(now)
+        self._demand.drop_expired(now)
         value = self._register.committed
         tracker = self.fleet.tracker
         intents = reconciled_intents(tracker, value)
@@ -249,7 +249,7 @@
     def on_demand(self, report: DemandReport) -> None:
         """Take in a router's report."""
         now = self._membership.now
-        self._demand.take(report, now)
+        self._demand.update(report, now)
         for entry in report.entries:
             self._usage.record(entry.artifact, entry.arrivals, entry.waiting + entry.running, now)
         if any(entry.waiting for entry in report.entries):
--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -12,7 +12,7 @@
 REPORT_LIFETIME_SECONDS = 3.0
 
 
-class _HeldReport(Struct, frozen=True):
+class _ReceivedReport(Struct, frozen=True):
     """A router's newest report and when it came."""
 
     received_at: float
@@ -23,13 +23,13 @@
     """The newest report of each router. Times in seconds of one steady clock."""
 
     def __init__(self) -> None:
-        self._reports: dict[VoterId, _HeldReport] = {}
+        self._reports: dict[VoterId, _ReceivedReport] = {}
 
-    def take(self, report: DemandReport, now: float) -> None:
+    def update(self, report: DemandReport, now: float) -> None:
         """Keep a router's report in place of its earlier one."""
-        self._reports[report.router] = _HeldReport(now, report.entries)
+        self._reports[report.router] = _ReceivedReport(now, report.entries)
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop reports of routers that no longer send any."""
         self._reports = {
             router: held
@@ -67,8 +67,8 @@
             active: dict[str, float] = defaultdict(float)
             for entry in report.entries:
                 if entry.artifact in held:
-                    wanted = entry.waiting + entry.running
-                    active[entry.group] += wanted / max(1, ready[entry.artifact])
+                    requests = entry.waiting + entry.running
+                    active[entry.group] += requests / max(1, ready[entry.artifact])
             demands += [
                 SlotDemand(router.name, group, max(1, round(value)))
                 for group, value in sorted(active.items())
