--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -32,16 +32,16 @@
     def drop_expired(self, now: float) -> None:
         """Drop reports of routers that no longer send any."""
         self._reports = {
-            router: held
-            for router, held in self._reports.items()
-            if now - held.received_at < REPORT_LIFETIME_SECONDS
+            router: report
+            for router, report in self._reports.items()
+            if now - report.received_at < REPORT_LIFETIME_SECONDS
         }
 
     def views(self) -> tuple[DemandView, ...]:
         """Return the demand for each artifact and group over all routers."""
         grouped: dict[tuple[Artifact, str], list[DemandEntry]] = defaultdict(list)
-        for held in self._reports.values():
-            for entry in held.entries:
+        for report in self._reports.values():
+            for entry in report.entries:
                 grouped[(entry.artifact, entry.group)].append(entry)
         return tuple(
             DemandView(
@@ -55,7 +55,7 @@
         )
 
     def slot_demands(
-        self, ready: dict[Artifact, int], held: frozenset[Artifact]
+        self, ready_counts: dict[Artifact, int], served: frozenset[Artifact]
     ) -> list[SlotDemand]:
         """Return what the routers want of one engine.
 
@@ -66,9 +66,9 @@
         for router, report in self._reports.items():
             active: dict[str, float] = defaultdict(float)
             for entry in report.entries:
-                if entry.artifact in held:
+                if entry.artifact in served:
                     requests = entry.waiting + entry.running
-                    active[entry.group] += requests / max(1, ready[entry.artifact])
+                    active[entry.group] += requests / max(1, ready_counts[entry.artifact])
             demands += [
                 SlotDemand(router.name, group, max(1, round(value)))
                 for group, value in sorted(active.items())
