--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -16,7 +16,7 @@
     active: int
 
 
-def divide(total: int, weights: dict[str, float], wanted: dict[str, int]) -> dict[str, float]:
+def max_min_fair(total: int, weights: dict[str, float], wanted: dict[str, int]) -> dict[str, float]:
     """Divide places by weight, none getting more than it wants (max-min fair).
 
     :param total: places to divide.
@@ -70,7 +70,7 @@
     for demand in demands:
         asked[demand.group] = asked.get(demand.group, 0) + demand.active
     weights = {group: shares.get(group, 1.0) for group in asked}
-    by_group = divide(concurrency, weights, asked)
+    by_group = max_min_fair(concurrency, weights, asked)
     places: dict[str, dict[str, float]] = {router: {} for router in routers}
     for demand in demands:
         if demand.router in places and asked[demand.group]:
