--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -16,7 +16,9 @@
     active: int
 
 
-def max_min_fair(total: int, weights: dict[str, float], wanted: dict[str, int]) -> dict[str, float]:
+def max_min_fair(
+    total: int, weights: dict[str, float], requested: dict[str, int]
+) -> dict[str, float]:
     """Divide places by weight, none getting more than it wants (max-min fair).
 
     :param total: places to divide.
@@ -24,22 +26,22 @@
     :param wanted: how many places each asks for.
     :returns: places of each taker, as fractions.
     """
-    given = dict.fromkeys(weights, 0.0)
-    open_takers = {taker for taker in weights if wanted.get(taker, 0) > 0}
-    left = float(total)
-    while open_takers and left > 1e-9:
-        weight_sum = sum(weights[taker] for taker in open_takers)
-        offer = {taker: left * weights[taker] / weight_sum for taker in open_takers}
-        full = {t for t in open_takers if given[t] + offer[t] >= wanted[t]}
-        if not full:
-            for taker in open_takers:
-                given[taker] += offer[taker]
+    allocated = dict.fromkeys(weights, 0.0)
+    unsatisfied = {claimant for claimant in weights if requested.get(claimant, 0) > 0}
+    remaining = float(total)
+    while unsatisfied and remaining > 1e-9:
+        weight_sum = sum(weights[claimant] for claimant in unsatisfied)
+        offer = {claimant: remaining * weights[claimant] / weight_sum for claimant in unsatisfied}
+        satisfied = {t for t in unsatisfied if allocated[t] + offer[t] >= requested[t]}
+        if not satisfied:
+            for claimant in unsatisfied:
+                allocated[claimant] += offer[claimant]
             break
-        for taker in full:
-            left -= wanted[taker] - given[taker]
-            given[taker] = float(wanted[taker])
-        open_takers -= full
-    return given
+        for claimant in satisfied:
+            remaining -= requested[claimant] - allocated[claimant]
+            allocated[claimant] = float(requested[claimant])
+        unsatisfied -= satisfied
+    return allocated
 
 
 class SlotAllocation(Struct, frozen=True):
