--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -68,27 +68,27 @@
     """
     if not routers:
         return {}
-    asked: dict[str, int] = {}
+    requested: dict[str, int] = {}
     for demand in demands:
-        asked[demand.group] = asked.get(demand.group, 0) + demand.active
-    weights = {group: shares.get(group, 1.0) for group in asked}
-    by_group = max_min_fair(concurrency, weights, asked)
+        requested[demand.group] = requested.get(demand.group, 0) + demand.active
+    weights = {group: shares.get(group, 1.0) for group in requested}
+    group_totals = max_min_fair(concurrency, weights, requested)
     places: dict[str, dict[str, float]] = {router: {} for router in routers}
     for demand in demands:
-        if demand.router in places and asked[demand.group]:
-            part = by_group[demand.group] * demand.active / asked[demand.group]
-            held = places[demand.router]
-            held[demand.group] = held.get(demand.group, 0.0) + part
-    exact = {router: sum(held.values()) for router, held in places.items()}
-    spare = max(0.0, concurrency - sum(exact.values()))
-    slots = _round({r: value + spare / len(routers) for r, value in exact.items()}, concurrency)
+        if demand.router in places and requested[demand.group]:
+            share = group_totals[demand.group] * demand.active / requested[demand.group]
+            router_slots = places[demand.router]
+            router_slots[demand.group] = router_slots.get(demand.group, 0.0) + share
+    fractional = {router: sum(router_slots.values()) for router, router_slots in places.items()}
+    spare = max(0.0, concurrency - sum(fractional.values()))
+    slots = _round({r: value + spare / len(routers) for r, value in fractional.items()}, concurrency)
     return {router: SlotAllocation(slots[router], places[router]) for router in routers}
 
 
-def _round(exact: dict[str, float], total: int) -> dict[str, int]:
+def _round(fractional: dict[str, float], total: int) -> dict[str, int]:
     """Round places down, then give the rest to the largest remainders; at least one to each."""
-    places = {router: max(1, int(value)) for router, value in exact.items()}
-    order = sorted(exact, key=lambda router: (int(exact[router]) - exact[router], router))
+    places = {router: max(1, int(value)) for router, value in fractional.items()}
+    order = sorted(fractional, key=lambda router: (int(fractional[router]) - fractional[router], router))
     for router in order:
         if sum(places.values()) >= total:
             break
