--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -54,8 +54,8 @@
     __hash__ = None  # type: ignore[assignment]
 
     def _key(self) -> tuple[object, ...]:
-        places = [(record.engine, record.address, record.zone) for record in self._records]
-        return (places, self._ready, self._slots, self._applications, self._estimates)
+        group_places = [(record.engine, record.address, record.zone) for record in self._records]
+        return (group_places, self._ready, self._slots, self._applications, self._estimates)
 
     def _allocate_slots(
         self,
@@ -114,12 +114,12 @@
     def _route(self, record: EngineRecord, router: MemberInfo) -> EngineRoute:
         allocation = self._slots[record.engine].get(router.identity.name, SlotAllocation(1))
         artifacts = tuple(sorted(self._ready[record.engine]))
-        places = tuple(
+        group_places = tuple(
             GroupPlaces(group, round(value, 2))
-            for group, value in sorted(allocation.places.items())
+            for group, value in sorted(allocation.group_slots.items())
         )
         return EngineRoute(
-            record.engine, record.address, record.zone, allocation.slots, artifacts, places
+            record.engine, record.address, record.zone, allocation.slots, artifacts, group_places
         )
 
 
--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -52,7 +52,7 @@
     """
 
     slots: int
-    places: dict[str, float] = {}
+    group_slots: dict[str, float] = {}
 
 
 def allocate_slots(
@@ -73,24 +73,30 @@
         requested[demand.group] = requested.get(demand.group, 0) + demand.active
     weights = {group: shares.get(group, 1.0) for group in requested}
     group_totals = max_min_fair(concurrency, weights, requested)
-    places: dict[str, dict[str, float]] = {router: {} for router in routers}
+    group_slots: dict[str, dict[str, float]] = {router: {} for router in routers}
     for demand in demands:
-        if demand.router in places and requested[demand.group]:
+        if demand.router in group_slots and requested[demand.group]:
             share = group_totals[demand.group] * demand.active / requested[demand.group]
-            router_slots = places[demand.router]
+            router_slots = group_slots[demand.router]
             router_slots[demand.group] = router_slots.get(demand.group, 0.0) + share
-    fractional = {router: sum(router_slots.values()) for router, router_slots in places.items()}
+    fractional = {
+        router: sum(router_slots.values()) for router, router_slots in group_slots.items()
+    }
     spare = max(0.0, concurrency - sum(fractional.values()))
-    slots = _round({r: value + spare / len(routers) for r, value in fractional.items()}, concurrency)
-    return {router: SlotAllocation(slots[router], places[router]) for router in routers}
+    slots = _round(
+        {r: value + spare / len(routers) for r, value in fractional.items()}, concurrency
+    )
+    return {router: SlotAllocation(slots[router], group_slots[router]) for router in routers}
 
 
 def _round(fractional: dict[str, float], total: int) -> dict[str, int]:
     """Round places down, then give the rest to the largest remainders; at least one to each."""
-    places = {router: max(1, int(value)) for router, value in fractional.items()}
-    order = sorted(fractional, key=lambda router: (int(fractional[router]) - fractional[router], router))
+    rounded = {router: max(1, int(value)) for router, value in fractional.items()}
+    order = sorted(
+        fractional, key=lambda router: (int(fractional[router]) - fractional[router], router)
+    )
     for router in order:
-        if sum(places.values()) >= total:
+        if sum(rounded.values()) >= total:
             break
-        places[router] += 1
-    return places
+        rounded[router] += 1
+    return rounded
