--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -54,8 +54,8 @@
     __hash__ = None  # type: ignore[assignment]
 
     def _key(self) -> tuple[object, ...]:
-        group_places = [(record.engine, record.address, record.zone) for record in self._records]
-        return (group_places, self._ready, self._slots, self._applications, self._estimates)
+        endpoints = [(record.engine, record.address, record.zone) for record in self._records]
+        return (endpoints, self._ready, self._slots, self._applications, self._estimates)
 
     def _allocate_slots(
         self,
