--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -31,7 +31,7 @@
         routers: list[MemberInfo],
         applications: tuple[ApplicationRoute, ...],
         estimates: tuple[LoadEstimate, ...],
-        earlier: "RoutingContent | None" = None,
+        previous: "RoutingContent | None" = None,
     ) -> None:
         """Collect what is known.
 
@@ -46,7 +46,7 @@
             if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
-        self._slots = self._allocate_slots(demand, shares, routers, earlier)
+        self._slots = self._allocate_slots(demand, shares, routers, previous)
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RoutingContent) and self._key() == other._key()
@@ -62,29 +62,31 @@
         demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
-        earlier: "RoutingContent | None",
+        previous: "RoutingContent | None",
     ) -> dict[str, dict[str, SlotAllocation]]:
         """Lend the slots of each engine; engines that nobody asks for share one even loan."""
-        counts: dict[Artifact, int] = {}
+        ready_counts: dict[Artifact, int] = {}
         for artifacts in self._ready.values():
             for artifact in artifacts:
-                counts[artifact] = counts.get(artifact, 0) + 1
-        names = [info.identity.name for info in routers]
-        even: dict[int, dict[str, SlotAllocation]] = {}
+                ready_counts[artifact] = ready_counts.get(artifact, 0) + 1
+        router_names = [info.identity.name for info in routers]
+        even_allocations: dict[int, dict[str, SlotAllocation]] = {}
         slots = {}
         for record in self._records:
             engine, ready = record.engine, self._ready[record.engine]
-            if earlier is not None and earlier._ready.get(engine) == ready:
-                slots[engine] = earlier._slots[engine]
+            if previous is not None and previous._ready.get(engine) == ready:
+                slots[engine] = previous._slots[engine]
                 continue
-            demands = demand.slot_demands(counts, ready) if ready else []
+            demands = demand.slot_demands(ready_counts, ready) if ready else []
             concurrency = record.inventory.concurrency if record.inventory else 1
-            if not demands and concurrency not in even:
-                even[concurrency] = allocate_slots(concurrency, [], shares, names)
+            if not demands and concurrency not in even_allocations:
+                even_allocations[concurrency] = allocate_slots(
+                    concurrency, [], shares, router_names
+                )
             slots[engine] = (
-                allocate_slots(concurrency, demands, shares, names)
+                allocate_slots(concurrency, demands, shares, router_names)
                 if demands
-                else even[concurrency]
+                else even_allocations[concurrency]
             )
         return slots
 
@@ -143,10 +145,10 @@
         self._sequence += 1
         for router in routers:
             update = content.update_for(router, cell, value, self._sequence, voters)
-            earlier = self._sent.get(router.identity)
-            if not _same(earlier, update):
+            previous = self._sent.get(router.identity)
+            if not _is_equivalent(previous, update):
                 self._sent[router.identity] = update
-                sending.append((router, _difference(earlier, update)))
+                sending.append((router, _difference(previous, update)))
         alive = {router.identity for router in routers}
         self._sent = {k: v for k, v in self._sent.items() if k in alive}
         return sending
@@ -160,31 +162,31 @@
         return sent if known < (sent.stamp, sent.sequence) else None
 
 
-def _same_term(earlier: RoutingUpdate, update: RoutingUpdate) -> bool:
-    before, after = earlier.stamp, update.stamp
+def _same_term(previous: RoutingUpdate, update: RoutingUpdate) -> bool:
+    before, after = previous.stamp, update.stamp
     return (before.generation, before.ballot) == (after.generation, after.ballot)
 
 
-def _difference(earlier: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
+def _difference(previous: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
     """Return an update with only the engines that changed since an earlier one."""
-    if earlier is None or not _same_term(earlier, update):
+    if previous is None or not _same_term(previous, update):
         return update
-    known = {route.engine: route for route in earlier.engines}
+    known = {route.engine: route for route in previous.engines}
     changed = tuple(route for route in update.engines if known.get(route.engine) != route)
     present = {route.engine for route in update.engines}
     removed = tuple(engine for engine in known if engine not in present)
-    return structs.replace(update, base=earlier.sequence, engines=changed, removed=removed)
+    return structs.replace(update, base=previous.sequence, engines=changed, removed=removed)
 
 
-def _same(earlier: RoutingUpdate | None, update: RoutingUpdate) -> bool:
+def _is_equivalent(previous: RoutingUpdate | None, update: RoutingUpdate) -> bool:
     """Return whether two updates say the same; versions of the register alone do not count."""
-    if earlier is None:
+    if previous is None:
         return False
     return (
-        earlier.engines == update.engines
-        and earlier.applications == update.applications
-        and earlier.estimates == update.estimates
-        and earlier.voters == update.voters
-        and earlier.epoch == update.epoch
-        and _same_term(earlier, update)
+        previous.engines == update.engines
+        and previous.applications == update.applications
+        and previous.estimates == update.estimates
+        and previous.voters == update.voters
+        and previous.epoch == update.epoch
+        and _same_term(previous, update)
     )
