--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -148,7 +148,7 @@
             previous = self._sent.get(router.identity)
             if not _is_equivalent(previous, update):
                 self._sent[router.identity] = update
-                sending.append((router, _difference(previous, update)))
+                sending.append((router, _delta(previous, update)))
         alive = {router.identity for router in routers}
         self._sent = {k: v for k, v in self._sent.items() if k in alive}
         return sending
@@ -167,7 +167,7 @@
     return (before.generation, before.ballot) == (after.generation, after.ballot)
 
 
-def _difference(previous: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
+def _delta(previous: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
     """Return an update with only the engines that changed since an earlier one."""
     if previous is None or not _same_term(previous, update):
         return update
