--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -267,6 +267,6 @@
 
     def on_digest(self, member: MemberInfo, digest: Digest) -> None:
         """Send a router again what it seems to have missed."""
-        missed = self._publisher.missed(member.identity, digest)
+        missed = self._publisher.missed_update(member.identity, digest)
         if missed is not None:
             self._send_routing(member, missed)
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -153,7 +153,7 @@
         self._sent = {k: v for k, v in self._sent.items() if k in alive}
         return sending
 
-    def missed(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
+    def missed_update(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
         """Return the last update to a router whose digest shows that it never came."""
         sent = self._sent.get(router)
         if sent is None:
