--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -26,7 +26,7 @@
     return HistogramKeepAlive(settings.idle_hour_cost, settings.fixed_seconds)
 
 
-class _HeldDecision(Struct, frozen=True):
+class _CachedDecision(Struct, frozen=True):
     """A decision, and how many gaps it was made on."""
 
     gaps: int
@@ -41,7 +41,7 @@
         self._policy = policy
         self._gaps: dict[Artifact, GapHistogram] = {}
         self._last_active: dict[Artifact, float] = {}
-        self._decisions: dict[Artifact, _HeldDecision] = {}
+        self._decisions: dict[Artifact, _CachedDecision] = {}
 
     def record(self, artifact: Artifact, arrivals: int, active: int, now: float) -> None:
         """Take in a router's report on an artifact, and on its base model with it."""
@@ -73,12 +73,12 @@
     def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
-        held = self._decisions.get(artifact)
-        if held is None or (held.gaps, held.reload_seconds) != (gaps.count, reload_seconds):
+        cached = self._decisions.get(artifact)
+        if cached is None or (cached.gaps, cached.reload_seconds) != (gaps.count, reload_seconds):
             decision = self._policy.decide(gaps, reload_seconds)
-            held = _HeldDecision(gaps.count, reload_seconds, decision)
-            self._decisions[artifact] = held
-        return held.decision
+            cached = _CachedDecision(gaps.count, reload_seconds, decision)
+            self._decisions[artifact] = cached
+        return cached.decision
 
     def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
         latest = self._gaps[artifact].percentile(99)
