--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -29,7 +29,7 @@
 class _CachedDecision(Struct, frozen=True):
     """A decision, and how many gaps it was made on."""
 
-    gaps: int
+    gap_count: int
     reload_seconds: float
     decision: KeepAliveDecision
 
@@ -74,7 +74,7 @@
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
         cached = self._decisions.get(artifact)
-        if cached is None or (cached.gaps, cached.reload_seconds) != (gaps.count, reload_seconds):
+        if cached is None or (cached.gap_count, cached.reload_seconds) != (gaps.count, reload_seconds):
             decision = self._policy.decide(gaps, reload_seconds)
             cached = _CachedDecision(gaps.count, reload_seconds, decision)
             self._decisions[artifact] = cached
