--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -97,7 +97,7 @@
 ) -> dict[Artifact, UsageView]:
     views = {}
     artifacts = {artifact for engine in engines for artifact in engine.ready}
-    for artifact in artifacts | set(usage.known()):
+    for artifact in artifacts | set(usage.artifacts()):
         usage.start_idle(artifact, now)
         # A near copy of the weights may be gone by the next request, and what is weighed is the
         # tail of cold starts, so the worth of keeping is that of a load from the weight store.
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -74,7 +74,10 @@
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
         cached = self._decisions.get(artifact)
-        if cached is None or (cached.gap_count, cached.reload_seconds) != (gaps.count, reload_seconds):
+        if cached is None or (cached.gap_count, cached.reload_seconds) != (
+            gaps.count,
+            reload_seconds,
+        ):
             decision = self._policy.decide(gaps, reload_seconds)
             cached = _CachedDecision(gaps.count, reload_seconds, decision)
             self._decisions[artifact] = cached
@@ -84,6 +87,6 @@
         latest = self._gaps[artifact].percentile(99)
         return after <= idle_seconds <= 1.1 * latest
 
-    def known(self) -> list[Artifact]:
+    def artifacts(self) -> list[Artifact]:
         """Return all artifacts that were ever used."""
         return list(self._last_active)
