--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -65,7 +65,7 @@
         idle_seconds = now - self._last_active.get(artifact, now)
         decision = self._decide(artifact, reload_seconds)
         preload_after = decision.preload_after_seconds
-        preload = preload_after is not None and self._preload_due(
+        preload = preload_after is not None and self._is_preload_due(
             idle_seconds, preload_after, artifact
         )
         return UsageView(idle_seconds, decision.keep_seconds, preload)
@@ -83,7 +83,7 @@
             self._decisions[artifact] = cached
         return cached.decision
 
-    def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
+    def _is_preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
         latest = self._gaps[artifact].percentile(99)
         return after <= idle_seconds <= 1.1 * latest
 
