--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -18,7 +18,7 @@
 HISTOGRAM_RESOLUTION = 0.02
 PRELOAD_SPREAD_LIMIT = 0.1
 PRELOAD_MIN_SAMPLES = 5
-NEVER_SECONDS = float("inf")
+KEEP_FOREVER_SECONDS = float("inf")
 
 
 class GapHistogram:
@@ -104,7 +104,7 @@
 
     def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
         """Return an endless time."""
-        return KeepAliveDecision(NEVER_SECONDS)
+        return KeepAliveDecision(KEEP_FOREVER_SECONDS)
 
 
 class HistogramKeepAlive(KeepAlive):
@@ -123,10 +123,12 @@
         break_even = reload_seconds / self._idle_second_cost
         if gaps.count < MIN_SAMPLES:
             return KeepAliveDecision(min(self._default_seconds, break_even))
-        keep_seconds = self._cheapest(gaps.values(), reload_seconds)
-        return KeepAliveDecision(keep_seconds, self._preload(gaps, keep_seconds, reload_seconds))
+        keep_seconds = self._cheapest_keep_seconds(gaps.values(), reload_seconds)
+        return KeepAliveDecision(
+            keep_seconds, self._preload_after_seconds(gaps, keep_seconds, reload_seconds)
+        )
 
-    def _cheapest(self, gaps: list[GapCount], reload_seconds: float) -> float:
+    def _cheapest_keep_seconds(self, gaps: list[GapCount], reload_seconds: float) -> float:
         total = sum(gap.count for gap in gaps)
         best_seconds, best_cost = 0.0, total * reload_seconds
         idle_so_far = 0.0
@@ -140,7 +142,7 @@
                 best_seconds, best_cost = gap.seconds * 1.05, cost
         return best_seconds
 
-    def _preload(
+    def _preload_after_seconds(
         self, gaps: GapHistogram, keep_seconds: float, reload_seconds: float
     ) -> float | None:
         """Return when to load ahead: only for long gaps that vary little."""
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -83,9 +83,11 @@
             self._decisions[artifact] = cached
         return cached.decision
 
-    def _is_preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
-        latest = self._gaps[artifact].percentile(99)
-        return after <= idle_seconds <= 1.1 * latest
+    def _is_preload_due(
+        self, idle_seconds: float, preload_after: float, artifact: Artifact
+    ) -> bool:
+        longest_gap = self._gaps[artifact].percentile(99)
+        return preload_after <= idle_seconds <= 1.1 * longest_gap
 
     def artifacts(self) -> list[Artifact]:
         """Return all artifacts that were ever used."""
