--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -305,7 +305,7 @@
 
 
 @then("intents for its earlier life may be removed and those for the new life not")
-def step_lives(context: Any) -> None:
+def step_instances(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
     assert context.tracker.removable_intents((earlier, later)) == {earlier}
 
