--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -30,8 +30,8 @@
     """Return what is being unloaded from an engine, by open orders and by its inventory."""
     ordered = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     items = record.inventory.items if record.inventory else ()
-    told = {item.artifact for item in items if item.state is ReplicaState.UNLOADING}
-    return frozenset(ordered | told)
+    reported = {item.artifact for item in items if item.state is ReplicaState.UNLOADING}
+    return frozenset(ordered | reported)
 
 
 def engine_view(record: EngineRecord, value: RegisterValue) -> EngineView:
@@ -97,7 +97,7 @@
 ) -> dict[Artifact, UsageView]:
     views = {}
     artifacts = {artifact for engine in engines for artifact in engine.ready}
-    for artifact in artifacts | set(usage.known()):
+    for artifact in artifacts | set(usage.artifacts()):
         usage.start_idle(artifact, now)
         # A near copy of the weights may be gone by the next request, and what is weighed is the
         # tail of cold starts, so the worth of keeping is that of a load from the weight store.
@@ -118,7 +118,7 @@
     return tuple(sorted(kept))
 
 
-def read_engines(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
+def fenced_engine_names(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
     """Return the engines that were fenced and read in this generation."""
     fenced = {
         engine for engine, record in tracker.records.items() if record.status is EngineStatus.FENCED
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -23,8 +23,8 @@
 from loomwind.metrics import Metrics
 from loomwind.schema import Artifact
 
-POLL_SETTLED_SECONDS = 30.0
-POLL_UNSETTLED_SECONDS = 0.1
+POLL_STABLE_SECONDS = 30.0
+POLL_TRANSITION_SECONDS = 0.1
 POLL_FAILED_SECONDS = 0.5
 ENDED_AFTER_REFUSALS = 3
 
@@ -39,7 +39,7 @@
         generation: int,
         ballot: Ballot,
         wake: Callable[[], None],
-        superseded: Callable[[], None],
+        on_superseded: Callable[[], None],
     ) -> None:
         self.tracker = EngineTracker()
         self._client = client
@@ -48,7 +48,7 @@
         self._ballot = ballot
         self._sequence = 0
         self._wake = wake
-        self._superseded = superseded
+        self._on_superseded = on_superseded
         self._refusals: dict[str, int] = {}
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._rechecks: dict[str, asyncio.Event] = {}
@@ -65,7 +65,7 @@
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
-    def forget(self, engine: str) -> None:
+    def remove(self, engine: str) -> None:
         """Note that an engine is gone for good."""
         record = self.tracker.records.get(engine)
         if record is not None and record.status is not EngineStatus.GONE:
@@ -94,14 +94,14 @@
 
     def _poll_seconds(self, record: EngineRecord) -> float:
         if record.inventory is None or record.status is not EngineStatus.FENCED:
-            return POLL_UNSETTLED_SECONDS
+            return POLL_TRANSITION_SECONDS
         if record.failed:
             return POLL_FAILED_SECONDS
-        unsettled = any(
+        in_transition = any(
             item.state is not ReplicaState.READY and record.pending_order(item.artifact) is None
             for item in record.inventory.items
         )
-        return POLL_UNSETTLED_SECONDS if unsettled else POLL_SETTLED_SECONDS
+        return POLL_TRANSITION_SECONDS if in_transition else POLL_STABLE_SECONDS
 
     async def _read(self, engine: str) -> None:
         """Fence an engine and take in its inventory."""
@@ -112,11 +112,11 @@
                 record.address, request, constants.FENCE_TIMEOUT_SECONDS
             )
         except EngineError as error:
-            self._on_silence(engine, error)
+            self._on_fence_failure(engine, error)
             return
         self._refusals[engine] = 0
         if self._is_newer(inventory):
-            self._superseded()
+            self._on_superseded()
             return
         before = self.tracker.records[engine]
         self.tracker.on_inventory(engine, inventory)
@@ -130,7 +130,7 @@
         fence = inventory.fence
         return (fence.generation, fence.ballot) > (self._generation, self._ballot)
 
-    def _on_silence(self, engine: str, error: EngineError) -> None:
+    def _on_fence_failure(self, engine: str, error: EngineError) -> None:
         refused = isinstance(error, EngineUnreachable) and error.refused
         self._refusals[engine] = self._refusals.get(engine, 0) + 1 if refused else 0
         record = self.tracker.records[engine]
@@ -144,7 +144,7 @@
             self.tracker.mark_process_ended(engine)
             self._wake()
 
-    def give_load(self, load: Load, load_seconds: float) -> None:
+    def send_load(self, load: Load, load_seconds: float) -> None:
         """Order a load whose intent is settled, for the engine's life that it was decided for."""
         order = Order(
             self.next_fence(),
@@ -154,27 +154,29 @@
             load.memory_mib,
             load_seconds,
         )
-        self._give(load.engine, order)
+        self._send_order(load.engine, order)
 
-    def give_unload(self, engine: str, artifact: Artifact) -> None:
+    def send_unload(self, engine: str, artifact: Artifact) -> None:
         """Order an unload."""
         inventory = self.tracker.records[engine].inventory
         if inventory is not None:
-            self._give(
+            self._send_order(
                 engine, Order(self.next_fence(), inventory.instance, Action.UNLOAD, artifact)
             )
 
-    def _give(self, engine: str, order: Order) -> None:
+    def _send_order(self, engine: str, order: Order) -> None:
         record = self.tracker.records[engine]
         if record.pending_order(order.artifact) is not None:
             return
         # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
         self.tracker.on_order_sent(engine, order)
-        task = asyncio.get_running_loop().create_task(self._carry(engine, record.address, order))
+        task = asyncio.get_running_loop().create_task(
+            self._deliver_order(engine, record.address, order)
+        )
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
 
-    async def _carry(self, engine: str, address: str, order: Order) -> None:
+    async def _deliver_order(self, engine: str, address: str, order: Order) -> None:
         try:
             answer = await self._client.order(address, order, constants.ORDER_TIMEOUT_SECONDS)
         except (EngineUnreachable, EngineAnswerLost):
@@ -188,7 +190,7 @@
 
     def _on_answer(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         if answer.result is OrderResult.STALE and self._is_newer(answer.inventory):
-            self._superseded()
+            self._on_superseded()
             return
         self.tracker.on_order_answered(engine, order, answer)
         if answer.result is not OrderResult.DONE:
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -26,10 +26,10 @@
     return HistogramKeepAlive(settings.idle_hour_cost, settings.fixed_seconds)
 
 
-class _HeldDecision(Struct, frozen=True):
+class _CachedDecision(Struct, frozen=True):
     """A decision, and how many gaps it was made on."""
 
-    gaps: int
+    gap_count: int
     reload_seconds: float
     decision: KeepAliveDecision
 
@@ -41,7 +41,7 @@
         self._policy = policy
         self._gaps: dict[Artifact, GapHistogram] = {}
         self._last_active: dict[Artifact, float] = {}
-        self._decisions: dict[Artifact, _HeldDecision] = {}
+        self._decisions: dict[Artifact, _CachedDecision] = {}
 
     def record(self, artifact: Artifact, arrivals: int, active: int, now: float) -> None:
         """Take in a router's report on an artifact, and on its base model with it."""
@@ -65,7 +65,7 @@
         idle_seconds = now - self._last_active.get(artifact, now)
         decision = self._decide(artifact, reload_seconds)
         preload_after = decision.preload_after_seconds
-        preload = preload_after is not None and self._preload_due(
+        preload = preload_after is not None and self._is_preload_due(
             idle_seconds, preload_after, artifact
         )
         return UsageView(idle_seconds, decision.keep_seconds, preload)
@@ -73,17 +73,22 @@
     def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
         """Return the policy's decision, made anew only when gaps were added."""
         gaps = self._gaps.get(artifact) or NO_GAPS
-        held = self._decisions.get(artifact)
-        if held is None or (held.gaps, held.reload_seconds) != (gaps.count, reload_seconds):
+        cached = self._decisions.get(artifact)
+        if cached is None or (cached.gap_count, cached.reload_seconds) != (
+            gaps.count,
+            reload_seconds,
+        ):
             decision = self._policy.decide(gaps, reload_seconds)
-            held = _HeldDecision(gaps.count, reload_seconds, decision)
-            self._decisions[artifact] = held
-        return held.decision
+            cached = _CachedDecision(gaps.count, reload_seconds, decision)
+            self._decisions[artifact] = cached
+        return cached.decision
 
-    def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
-        latest = self._gaps[artifact].percentile(99)
-        return after <= idle_seconds <= 1.1 * latest
+    def _is_preload_due(
+        self, idle_seconds: float, preload_after: float, artifact: Artifact
+    ) -> bool:
+        longest_gap = self._gaps[artifact].percentile(99)
+        return preload_after <= idle_seconds <= 1.1 * longest_gap
 
-    def known(self) -> list[Artifact]:
+    def artifacts(self) -> list[Artifact]:
         """Return all artifacts that were ever used."""
         return list(self._last_active)
