--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: wires the parts together, starts them in order, and stops them gently."""
+"""The catalog daemon: creates its components, starts them and shuts them down gracefully."""
 
 import asyncio
 import uuid
@@ -43,6 +43,7 @@
 from loomwind.settings import LimitSettings, Settings
 
 CATALOG_RETRY_SECONDS = 0.2
+# How much longer a stopping daemon waits to be removed from the voters.
 VOTER_REMOVAL_TIMEOUT_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.05
 
@@ -54,7 +55,7 @@
 
 
 def _server_limits(limits: LimitSettings) -> ServerLimits:
-    """Return what the server of callers holds them to."""
+    """Return the limits that the HTTP server enforces on callers."""
     return ServerLimits(
         max_head_bytes=limits.max_head_bytes,
         max_body_bytes=limits.max_body_bytes,
@@ -65,7 +66,10 @@
 
 
 class Daemon:
-    """One daemon. Call :meth:`start`, and later :meth:`stop`."""
+    """A daemon that serves the objects of the catalog.
+
+    Call :meth:`start`, and :meth:`stop` or :meth:`close` at the end.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -83,10 +87,10 @@
     async def _on_message(self, message: AnyMessage) -> AnyMessage | None:
         return None if self._dispatch is None else await self._dispatch.handle(message)
 
-    # Start.
+    # Startup.
 
     async def start(self) -> None:
-        """Listen, join the cell, and serve as soon as the catalog is known."""
+        """Open the listeners and join the cell; requests are served once the catalog is loaded."""
         settings = self.settings
         await self.transport.start(*split_address(settings.listen.peer))
         self.membership = self._make_membership()
@@ -119,7 +123,7 @@
     def _table_service(self) -> TableService:
         platform = self.settings.platform
         if platform.table is None:
-            log_state("platform", "no-table-service", warning="nothing outlasts this process")
+            log_state("platform", "no-table-service", warning="state is lost when the process ends")
             return LocalTableService()
         return HttpTableService(self._client, platform.table, platform.timeout_seconds)
 
@@ -151,7 +155,7 @@
         )
 
     def _should_poll_machine_list(self) -> bool:
-        """The controller reads the list for the cell; others only while there is none."""
+        """Whether to poll the machine list: the controller does, others only without a leader."""
         return self.register.leading or self.membership.leader is None
 
     def _make_router(self) -> None:
@@ -196,7 +200,7 @@
         await self.admin.server.start(*split_address(settings.listen.admin))
 
     async def _start_operator(self) -> Server | None:
-        """Listen for operators, if the settings have their token."""
+        """Start the operator endpoint, if the settings have a token for it."""
         token = self.settings.operator_token
         if token is None:
             log_state("operator", "closed", reason="no operator_token in the settings")
@@ -216,8 +220,8 @@
         self._spawn(self._load_catalog())
         self._spawn(self.catalog.poll_store(self._should_poll_catalog))
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
@@ -228,7 +232,7 @@
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
     async def _load_catalog(self) -> None:
-        """Take no request before the accepted catalog is known; then add the settings' seed."""
+        """Load the accepted catalog, add the objects of the settings, and accept requests."""
         while not await self.catalog.learn_at_start():
             await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
@@ -239,15 +243,15 @@
         log_state("daemon", "ready", catalog_version=self.catalog.catalog.version)
 
     def _should_poll_catalog(self) -> bool:
-        """The controller reads the durable log for its cell, and so does whoever hears none."""
+        """Whether to poll the durable log: the controller does, and daemons that hear no leader."""
         return self.register.leading or not self.membership.hears_leader()
 
     def is_ready(self) -> bool:
-        """Return whether callers should be sent here: the catalog and the routes are known."""
-        known = self.router.handler.ready and self.router.table.update is not None
-        return known and not self.stopping
+        """Return whether to accept traffic: the catalog and the routing table are loaded."""
+        loaded = self.router.handler.ready and self.router.table.update is not None
+        return loaded and not self.stopping
 
-    # What reaches several parts at once.
+    # Events that concern several components.
 
     def _digest(self) -> Digest:
         return Digest(
@@ -269,19 +273,19 @@
             self._controller.on_digest(member, digest)
 
     def _should_fetch_routing(self, digest: Digest) -> bool:
-        """Whether a peer has newer routes that the controller will not send here itself."""
-        known, theirs = self.router.table.stamp, digest.routing
-        newer_term = (theirs.generation, theirs.ballot) > (known.generation, known.ballot)
+        """Whether a peer has a newer routing table that the controller will not send itself."""
+        own, peer = self.router.table.stamp, digest.routing
+        newer_term = (peer.generation, peer.ballot) > (own.generation, own.ballot)
         newer = newer_term or digest.routing_sequence > self.router.table.sequence
         return newer_term or (newer and not self.membership.hears_leader())
 
     async def _fetch_routing(self, member: MemberInfo) -> None:
         try:
-            answer = await self.transport.call(member.address, RoutingRequest(member.cell))
+            response = await self.transport.call(member.address, RoutingRequest(member.cell))
         except PeerUnreachable:
             return
-        if isinstance(answer, RoutingUpdate) and self._dispatch is not None:
-            self._dispatch.on_routing(answer)
+        if isinstance(response, RoutingUpdate) and self._dispatch is not None:
+            self._dispatch.on_routing(response)
 
     def _on_catalog_change(self) -> None:
         self.router.review()
@@ -305,19 +309,19 @@
             self.transport.send(member.address, update)
 
     def redirect(self, overrides: dict[str, str]) -> None:
-        """Reach some addresses through others from now on, and drop the links to them."""
+        """Connect to other addresses instead of the given ones, and drop open connections."""
         self._connector.redirect({**self.settings.address_overrides, **overrides})
         for address in overrides:
             self.transport.disconnect(address)
 
     def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
-        """Put changed limits on callers in force; all else needs a restart."""
+        """Apply changed limits on callers; returns the sections that need a restart."""
         self.settings = settings
         if "limits" in changed:
             self.callers.limits = _server_limits(settings.limits)
         return tuple(name for name in changed if name != "limits")
 
-    # The controller's role.
+    # Controller terms.
 
     def _begin_term(self) -> None:
         self.metrics.leading.set(1)
@@ -336,7 +340,7 @@
         self._controller_task.add_done_callback(self._on_controller_done)
 
     def _on_controller_done(self, task: asyncio.Task[None]) -> None:
-        """A term that ended for any reason gives the role up, so that another can begin."""
+        """Step down when the controller ended for any reason, so that a new term can begin."""
         if task is self._controller_task:
             self.register.step_down()
 
@@ -349,10 +353,13 @@
         self._controller_task = None
         self._controller = None
 
-    # Stop.
+    # Shutdown.
 
     async def stop(self, grace_seconds: float = constants.SHUTDOWN_GRACE_SECONDS) -> None:
-        """Leave: hand over, take nothing new, finish what is in progress, then end."""
+        """Shut down: hand over the controller role, stop accepting, finish open requests.
+
+        :param grace_seconds: how long open requests may take; then they are aborted.
+        """
         self.stopping = True
         log_state("daemon", "leaving", name=self.settings.name)
         self.membership.announce_leaving()
@@ -369,18 +376,21 @@
         log_state("daemon", "stopped", name=self.settings.name)
 
     async def _wait_before_draining(self) -> None:
-        """Give peers and load balancers time to notice, while requests are still served."""
-        deadline = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
-        others = [info for info in self.membership.alive() if info != self.membership.own]
-        limit = deadline + (VOTER_REMOVAL_TIMEOUT_SECONDS if others else 0.0)
+        """Serve on until peers and load balancers have noticed and another voter has taken over.
+
+        Without other daemons, none can take over as a voter.
+        """
+        earliest_end = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
+        peers = [info for info in self.membership.alive() if info != self.membership.own]
+        latest_end = earliest_end + (VOTER_REMOVAL_TIMEOUT_SECONDS if peers else 0.0)
         own = self.membership.own.identity
-        while self.membership.now < deadline or (
-            own in self.register.voters and self.membership.now < limit
+        while self.membership.now < earliest_end or (
+            own in self.register.voters and self.membership.now < latest_end
         ):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         self._end_term()
         for task in list(self._tasks):
             task.cancel()
