--- a/loomwind/demo.py
+++ b/loomwind/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one daemon with embedded stand-ins in one process, a cold and a warm request."""
+"""Demo: a daemon, a simulated platform and an engine in one process; a cold and a warm request."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
 
 
 class DemoResult(Struct, frozen=True):
-    """What one request brought; the time is to the first byte of the body, in seconds."""
+    """Status and time to the first byte of the body of one response."""
 
     status: int
     first_token_seconds: float
@@ -52,7 +52,7 @@
 
 
 async def send_chat_request(client: HttpClient, address: str, prompt: str) -> DemoResult:
-    """Send a streamed chat request and print the answer as it comes."""
+    """Send a streaming chat request and print the response as it arrives."""
     message = {"role": "user", "content": prompt}
     body = {"model": "tutor", "stream": True, "messages": [message]}
     headers = (("content-type", "application/json"), ("request-timeout", "20"))
@@ -61,18 +61,18 @@
     started = time.monotonic()
     connection.send_request(request)
     head = await connection.read_head()
-    first = 0.0
-    while piece := await connection.read_body():
-        first = first or time.monotonic() - started
-        print(piece.decode(), end="", flush=True)
+    first_token_seconds = 0.0
+    while chunk := await connection.read_body():
+        first_token_seconds = first_token_seconds or time.monotonic() - started
+        print(chunk.decode(), end="", flush=True)
     client.release(connection)
-    return DemoResult(head.status, first)
+    return DemoResult(head.status, first_token_seconds)
 
 
 async def run_demo() -> int:
     """Run the demo.
 
-    :returns: the exit status: 0 when both requests were answered.
+    :returns: the exit status: 0 when both requests succeeded.
     """
     platform = Platform()
     await platform.server.start("127.0.0.1", 0)
