--- a/loomwind/peer_dispatch.py
+++ b/loomwind/peer_dispatch.py
@@ -1,4 +1,4 @@
-"""Gives each message from a peer to the part of the daemon that it is for."""
+"""Dispatches messages from peers to the components of the daemon."""
 
 from collections.abc import Callable
 
@@ -31,7 +31,7 @@
 
 
 class PeerDispatch:
-    """The incoming side of the internal protocol."""
+    """Handles the incoming messages of the protocol between daemons."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._controller = controller
 
     async def handle(self, message: AnyMessage) -> AnyMessage | None:
-        """Act on a message; returns the answer of one that wants one."""
+        """Handle a message; returns the response to a request, None for other messages."""
         match message:
             case Heartbeat():
                 return self._membership.on_heartbeat(message)
@@ -71,7 +71,7 @@
                 return await self._handle_control(message)
 
     async def _handle_control(self, message: AnyMessage) -> AnyMessage | None:
-        """Act on a message of the cell's control; those of other cells are ignored."""
+        """Handle a control message of the own cell; those of other cells are ignored."""
         if getattr(message, "cell", self._register.cell) != self._register.cell:
             return None
         now = self._membership.now
@@ -97,7 +97,7 @@
         return None
 
     def _on_demand_report(self, report: DemandReport) -> None:
-        """Take in a report, or pass it on for a daemon that cannot reach the controller."""
+        """Handle a report, or forward it for a daemon that cannot reach the controller."""
         controller = self._controller()
         leader = self._membership.leader
         if controller is not None:
@@ -106,7 +106,7 @@
             self._transport.send(leader.address, report)
 
     def on_routing(self, update: RoutingUpdate) -> None:
-        """Take in a routing update, and with it who votes."""
+        """Apply a routing update, and learn the voters from it."""
         if self._router.on_routing(update):
             self._register.note_infos(update.voters)
             voters = tuple(sorted(info.identity for info in update.voters))
