--- a/loomwind/schema.py
+++ b/loomwind/schema.py
@@ -1,8 +1,8 @@
-"""The public data types that operators and callers deal with. Read this module first.
+"""Public data types of the catalog, for operators and callers. Read this module first.
 
-A *group* owns *models*, *adapters* and *routes*. A model has *versions*, one of them current.
-An adapter is served on top of one version of its base model. A route sends ordinary HTTP requests
-to an application server.
+A *group* owns *models*, *adapters* and *routes*. A model has *versions*, one of which is current.
+An adapter is served with one version of its base model. A route sends ordinary HTTP requests to an
+application server.
 """
 
 import enum
@@ -19,11 +19,11 @@
 
 
 class Group(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A team or business that shares the pool.
+    """A tenant of the pool, such as a team or a business.
 
-    :param share: weight of this group when shares collide, relative to the other groups.
-    :param priority: 0 (lowest) to 9; a higher class is served first.
-    :param max_waiting: how many requests of the group may wait in one daemon.
+    :param share: weight of this group relative to the others when capacity is scarce.
+    :param priority: 0 (lowest) to 9; higher priorities are served first.
+    :param max_waiting: the maximum number of queued requests of the group in one daemon.
     """
 
     name: Name
@@ -35,8 +35,8 @@
 class Version(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One set of weights of a model.
 
-    :param memory_mib: accelerator memory that a loaded replica occupies, in MiB.
-    :param load_seconds: expected time of a load from the weight store, in seconds.
+    :param memory_mib: accelerator memory of a loaded replica, in MiB.
+    :param load_seconds: expected load time from the weight store.
     """
 
     name: Name
@@ -47,8 +47,8 @@
 class Model(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A model of a group.
 
-    :param current: name of the version that callers get when they name none.
-    :param max_replicas: how many replicas of one version may be loaded at the same time.
+    :param current: name of the version that serves requests without a version.
+    :param max_replicas: the maximum number of loaded replicas of one version.
     """
 
     name: Name
@@ -58,7 +58,7 @@
     max_replicas: Replicas = 1
 
     def version(self, name: str) -> Version | None:
-        """Return the version of that name, or None."""
+        """Return the version with a name, or None."""
         return next((version for version in self.versions if version.name == name), None)
 
 
@@ -74,9 +74,9 @@
 
 
 class Route(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Sends requests whose path starts with ``prefix`` to the application servers of that name.
+    """Sends requests whose path starts with ``prefix`` to the servers of an application.
 
-    :param repeatable: whether POST, PUT and PATCH on it may be run twice.
+    :param repeatable: whether POST, PUT and PATCH requests may run more than once.
     """
 
     prefix: Annotated[str, Meta(pattern=r"^/[A-Za-z0-9/_.-]*$")]
@@ -86,13 +86,13 @@
 
 
 class Drain(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An operator's wish that a back end of that name gets no new work."""
+    """An operator's instruction to send no new requests to a back end."""
 
     name: Name
 
 
 class Outcome(enum.Enum):
-    """What a refusal says about whether the request ran at a back end."""
+    """Whether a refused request was run by a back end, as stated in the refusal."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -100,7 +100,7 @@
 
 
 class Artifact(Struct, frozen=True, order=True):
-    """What an engine can load: a version of a model, or an adapter on top of one.
+    """What an engine can load: a version of a model, or an adapter for one.
 
     :param adapter: name of the adapter, or empty for the base model itself.
     """
@@ -111,7 +111,7 @@
 
     @property
     def base(self) -> "Artifact":
-        """Return the base model's artifact; itself when this is no adapter."""
+        """Return the artifact of the base model; the artifact itself when it is no adapter."""
         return Artifact(self.model, self.version) if self.adapter else self
 
     def __str__(self) -> str:
