--- a/loomwind/settings.py
+++ b/loomwind/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a daemon: one TOML file, overridden by flags, decoded into typed structs.
+"""Settings of a daemon: a TOML file, overridden by flags, decoded into typed structs.
 
-All faults of a file are found in one pass and raised together, each with its path, the unit and
-the allowed range.
+All faults of a file are found in one pass and raised together, each with its path, unit and
+allowed range.
 """
 
 import tomllib
@@ -24,9 +24,9 @@
 
 
 class SettingFault(LoomwindError):
-    """One wrong key or value.
+    """One invalid key or value.
 
-    :param path: where it stands, such as ``limits.max_body_bytes``.
+    :param path: its dotted path, such as ``limits.max_body_bytes``.
     """
 
     def __init__(self, path: str, detail: str) -> None:
@@ -35,14 +35,14 @@
 
 
 class SettingsError(ExceptionGroup[SettingFault]):
-    """All faults of a settings file."""
+    """Raised with all faults of a settings file."""
 
 
 class ListenSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The addresses that the daemon listens on; port 0 takes any free one.
+    """The addresses that the daemon listens on; port 0 selects a free port.
 
-    :param relay: for requests that peers cannot serve themselves; the port after that for peers if
-        it is not given.
+    :param relay: for requests relayed by peers that cannot serve them; default: the port after
+        that of ``peer``.
     """
 
     caller: Address = "127.0.0.1:8080"
@@ -54,13 +54,13 @@
 
 
 class PeerSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where other daemons are found at first; later ones are learned from them."""
+    """A seed peer, from which the daemon learns of the others."""
 
     address: Address
 
 
 class PlatformSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's services are. Without them the daemon runs on static back ends."""
+    """Addresses of the platform's services; without them the daemon uses static back ends."""
 
     table: Address | None = None
     objects: Address | None = None
@@ -69,9 +69,9 @@
 
 
 class StoreSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """A store that holds the configuration and the list of servers, instead of an own catalog.
+    """A store that holds the configuration and the list of servers, instead of the catalog.
 
-    :param kind: which adapter speaks to it.
+    :param kind: the adapter for its protocol.
     """
 
     address: Address
@@ -80,16 +80,19 @@
 
 
 class BoundSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the deployment holds this daemon to. Times in the unit of each name.
-
-    :param grace_seconds: how long a planned stop may take.
-    :param notice_seconds: how long callers are still sent here after a planned stop began.
-    :param drain_ms: how soon a server that leaves must get no new work.
-    :param apply_ms: how soon a configuration that the store has taken must be in force.
-    :param retry_ratio: repeated sends over all daemons, for each request to a service.
-    :param retry_allowance: repeated sends over all daemons that are free in each window.
-    :param retry_safety: the part of the retry budget that is used.
-    :param load_overshoot: how far loads begun in a window may exceed the weight store's rate.
+    """Limits that the deployment sets for this daemon.
+
+    :param grace_seconds: the maximum duration of a graceful shutdown.
+    :param notice_seconds: how long callers are still routed here after a graceful shutdown began.
+    :param drain_ms: how soon a draining server must get no new requests.
+    :param apply_ms: how soon a configuration written to the store must be applied.
+    :param retry_ratio: retry budget of a service over all daemons, for each request to it.
+    :param retry_allowance: retries of a service over all daemons that are always allowed in a
+        window.
+    :param retry_window_seconds: the window of the retry budget.
+    :param retry_safety: the fraction of the retry budget that daemons use.
+    :param load_window_seconds: the window over which the weight store's load rate is measured.
+    :param load_overshoot: the factor by which loads started in a window may exceed that rate.
     """
 
     lease_ms: Annotated[float, Meta(gt=0, le=600_000, description="milliseconds")] = 3000.0
@@ -106,19 +109,19 @@
 
     @property
     def drain_seconds(self) -> float:
-        """Return how soon a server that leaves must get no new work, in seconds."""
+        """Return ``drain_ms`` in seconds."""
         return self.drain_ms / 1000
 
 
 class WeightStoreSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the weight store allows this cell."""
+    """Limits of the weight store for this cell."""
 
     loads_per_second: Annotated[float, Meta(gt=0, le=10_000, description="loads a second")] = 2.0
     parallel_loads: Annotated[int, Meta(ge=1, le=10_000, description="loads at once")] = 8
 
 
 class LimitSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on callers."""
+    """Limits on the requests and connections of callers."""
 
     max_head_bytes: Annotated[int, Meta(ge=1024, le=1 << 20, description="bytes")] = (
         constants.MAX_HEAD_BYTES
@@ -139,8 +142,8 @@
 class KeepAlivePolicy(Struct, frozen=True, forbid_unknown_fields=True):
     """How long an idle replica stays loaded.
 
-    :param policy: ``histogram`` learns from arrivals; ``fixed`` and ``never`` are baselines.
-    :param idle_hour_cost: what one idle accelerator hour costs, in seconds of cold-start tail.
+    :param policy: ``histogram`` learns from arrival times; ``fixed`` and ``never`` are baselines.
+    :param idle_hour_cost: cost of one idle accelerator hour, in seconds of cold-start tail latency.
     """
 
     policy: typing.Literal["histogram", "fixed", "never"] = "histogram"
@@ -151,7 +154,7 @@
 
 
 class ControlSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Timers of membership and control. All in seconds."""
+    """Settings of membership and the controller."""
 
     heartbeat_seconds: Seconds = constants.HEARTBEAT_INTERVAL_SECONDS
     suspect_after_seconds: Seconds = constants.SUSPECT_AFTER_SECONDS
@@ -160,9 +163,9 @@
 
 
 class BackendSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """A back end that is known without the machine list.
+    """A static back end, which need not be on the machine list.
 
-    :param application: name of the application it serves; empty for a model engine.
+    :param application: name of the application that it serves; empty for a model engine.
     """
 
     name: Name
@@ -172,7 +175,7 @@
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that a daemon is told at its start."""
+    """All settings of a daemon."""
 
     name: Name
     cell: Name = "cell"
@@ -197,11 +200,11 @@
 
 
 def load_settings(path: str, overrides: dict[str, object] | None = None) -> Settings:
-    """Read a settings file and lay flags over it.
+    """Read a settings file and apply overrides.
 
     :param path: the TOML file.
     :param overrides: dotted path to value, such as ``{"listen.caller": "127.0.0.1:80"}``.
-    :raises SettingsError: with each fault that was found.
+    :raises SettingsError: the file is unreadable or has faults.
     """
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -220,9 +223,9 @@
 
 
 def decode_settings(raw: dict[str, Any]) -> Settings:
-    """Decode a parsed TOML table.
+    """Decode a parsed settings file.
 
-    :raises SettingsError: with each fault that was found.
+    :raises SettingsError: it has faults.
     """
     faults = list(_find_faults(raw, Settings, ""))
     if faults:
@@ -234,57 +237,61 @@
     return settings
 
 
-def _find_faults(value: Any, kind: Any, path: str) -> typing.Iterator[SettingFault]:
-    """Yield every fault below a value, going into tables and lists of tables."""
-    kind = _strip_optional(kind)
-    if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
-        yield from _find_table_faults(value, kind, path)
-    elif typing.get_origin(kind) is tuple and isinstance(value, list):
+def _find_faults(value: Any, expected_type: Any, path: str) -> typing.Iterator[SettingFault]:
+    """Yield the faults of a value, recursively for tables and lists of tables."""
+    expected_type = _strip_optional(expected_type)
+    if (
+        isinstance(expected_type, type)
+        and issubclass(expected_type, Struct)
+        and isinstance(value, dict)
+    ):
+        yield from _find_table_faults(value, expected_type, path)
+    elif typing.get_origin(expected_type) is tuple and isinstance(value, list):
         for index, item in enumerate(value):
-            yield from _find_faults(item, typing.get_args(kind)[0], f"{path}[{index}]")
+            yield from _find_faults(item, typing.get_args(expected_type)[0], f"{path}[{index}]")
     else:
         try:
-            msgspec.convert(value, kind)
+            msgspec.convert(value, expected_type)
         except msgspec.ValidationError as error:
-            yield SettingFault(path, f"{error}{_parenthesized(allowed_values(kind))}")
+            yield SettingFault(path, f"{error}{_parenthesized(allowed_values(expected_type))}")
 
 
 def _find_table_faults(
-    table: dict[str, Any], kind: type[Struct], path: str
+    table: dict[str, Any], expected_type: type[Struct], path: str
 ) -> typing.Iterator[SettingFault]:
-    hints = typing.get_type_hints(kind, include_extras=True)
+    hints = typing.get_type_hints(expected_type, include_extras=True)
     prefix = f"{path}." if path else ""
     for key, item in table.items():
         if key in hints:
             yield from _find_faults(item, hints[key], prefix + key)
         else:
             yield SettingFault(prefix + key, f"unknown key; known are {', '.join(sorted(hints))}")
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(expected_type):
         if field.required and field.name not in table:
             yield SettingFault(
                 prefix + field.name, f"missing{_parenthesized(allowed_values(hints[field.name]))}"
             )
 
 
-def _strip_optional(kind: Any) -> Any:
-    """Return the one type beside None of an optional one."""
-    if typing.get_origin(kind) in (types.UnionType, typing.Union):
-        others = [other for other in typing.get_args(kind) if other is not type(None)]
-        return others[0] if len(others) == 1 else kind
-    return kind
+def _strip_optional(expected_type: Any) -> Any:
+    """Return ``X`` for ``X | None``, any other type unchanged."""
+    if typing.get_origin(expected_type) in (types.UnionType, typing.Union):
+        others = [other for other in typing.get_args(expected_type) if other is not type(None)]
+        return others[0] if len(others) == 1 else expected_type
+    return expected_type
 
 
-def allowed_values(kind: Any) -> str:
-    """Return the unit and range of an annotated type; empty when it has none."""
-    if typing.get_origin(kind) is not Annotated:
+def allowed_values(expected_type: Any) -> str:
+    """Return the unit and range of an annotated type as text; empty when it has none."""
+    if typing.get_origin(expected_type) is not Annotated:
         return ""
     parts = []
-    for meta in typing.get_args(kind)[1:]:
+    for meta in typing.get_args(expected_type)[1:]:
         parts += [meta.description] if meta.description else []
         parts += [f"more than {meta.gt}"] if meta.gt is not None else []
         parts += [f"at least {meta.ge}"] if meta.ge is not None else []
         parts += [f"at most {meta.le}"] if meta.le is not None else []
-    if kind == Seconds:
+    if expected_type == Seconds:
         parts.insert(0, "seconds")
     return ", ".join(parts)
 
@@ -294,7 +301,7 @@
 
 
 def _find_consistency_faults(settings: Settings) -> typing.Iterator[SettingFault]:
-    """Yield faults that take more than one key to see."""
+    """Yield inconsistencies between several keys."""
     control = settings.control
     if not control.heartbeat_seconds < control.suspect_after_seconds < control.gone_after_seconds:
         detail = (
@@ -302,11 +309,11 @@
         )
         yield SettingFault("control", detail)
     groups = {group.name for group in settings.groups}
-    owned: list[tuple[str, str]] = []
-    owned += [(f"models[{i}].group", model.group) for i, model in enumerate(settings.models)]
-    owned += [(f"adapters[{i}].group", item.group) for i, item in enumerate(settings.adapters)]
-    owned += [(f"routes[{i}].group", route.group) for i, route in enumerate(settings.routes)]
-    for path, group in owned:
+    references: list[tuple[str, str]] = []
+    references += [(f"models[{i}].group", model.group) for i, model in enumerate(settings.models)]
+    references += [(f"adapters[{i}].group", item.group) for i, item in enumerate(settings.adapters)]
+    references += [(f"routes[{i}].group", route.group) for i, route in enumerate(settings.routes)]
+    for path, group in references:
         if group not in groups:
             yield SettingFault(path, f"group {group} is not among groups")
     versions = {(m.name, v.name) for m in settings.models for v in m.versions}
