--- a/loomwind/settings_table.py
+++ b/loomwind/settings_table.py
@@ -1,4 +1,4 @@
-"""Lists every setting with its value, where that comes from, its unit and range: for operators."""
+"""Lists every setting with its value, source, unit and range, for ``check-config --explain``."""
 
 import tomllib
 import typing
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class SettingRow:
-    """One setting.
+    """A setting as it is listed.
 
-    :ivar path: such as ``bounds.lease_ms``.
-    :ivar value: the value in force, as TOML would show it.
-    :ivar source: whether the file gives it.
+    :ivar path: its dotted path, such as ``bounds.lease_ms``.
+    :ivar value: the active value as text; secrets are masked.
+    :ivar source: whether the value is from the file or the default.
     :ivar allowed: unit and range; empty when there are none.
     """
 
@@ -36,9 +36,9 @@
 
 
 def setting_rows(settings: Settings, path: Path) -> list[SettingRow]:
-    """Return all settings in force, tables of one kind only where they are given.
+    """Return a row for each setting; arrays of tables are one row with their length.
 
-    :param path: the file that they were read from.
+    :param path: the file that the settings were read from.
     """
     file_values = tomllib.loads(path.read_text(encoding="utf-8"))
     return list(_rows(settings, file_values, ""))
@@ -54,12 +54,12 @@
             yield from _rows(value, table.get(field.name), f"{name}.")
         else:
             source = SOURCE_FILE if field.name in table else SOURCE_DEFAULT
-            shown = "(secret)" if value and name in SECRET_SETTINGS else _format_value(value)
-            yield SettingRow(name, shown, source, allowed_values(hints[field.name]))
+            text = "(secret)" if value and name in SECRET_SETTINGS else _format_value(value)
+            yield SettingRow(name, text, source, allowed_values(hints[field.name]))
 
 
 def _format_value(value: object) -> str:
-    """Return a value in short; lists by their length."""
+    """Return a value as text; of arrays and tables, only the length."""
     if isinstance(value, tuple | dict):
         return f"{len(value)} given"
     return "none" if value is None else str(value)
