--- a/loomwind/control/engine_tracker.py
+++ b/loomwind/control/engine_tracker.py
@@ -1,8 +1,8 @@
-"""What is known of each engine: a state machine without I/O or clock.
+"""Tracks the state of each engine; does no I/O and reads no clock.
 
-The rule that it keeps: an order without an answer is unknown, never "not run". What an engine may
-hold is the union of its intents and of its last inventory, until an inventory that was read under
-a newer fence than the order's shows otherwise.
+An order without a response has an unknown outcome; it is never assumed not to have run. An engine
+may hold the union of its intents and its last inventory, until an inventory that was read under a
+newer fence than the order's shows otherwise.
 """
 
 import enum
@@ -22,9 +22,13 @@
 
 
 class EngineStatus(enum.Enum):
-    """How far an engine is known to this controller.
+    """What this controller knows about an engine.
 
-    LIFELESS: its host keeps refusing connections, so the process that held memory has ended.
+    UNKNOWN: the engine has to be fenced and read.
+    FENCED: the engine accepted this controller's fence and its inventory was read.
+    PROCESS_ENDED: the engine's host keeps refusing connections, so the process that held the
+    memory has ended.
+    GONE: the machine list reports the engine as gone.
     """
 
     UNKNOWN = "unknown"
@@ -37,17 +41,24 @@
 
 
 class PendingOrder(Struct, frozen=True):
-    """An order that was given and not answered. ``lost`` once its answer cannot come any more."""
+    """An order without a response.
+
+    :param lost: whether the response can no longer arrive.
+    """
 
     order: Order
     lost: bool = False
 
 
 class EngineRecord(Struct, frozen=True):
-    """One engine as this controller knows it.
-
-    :param listed_leaving: whether the machine list says that it is leaving.
-    :param told_leaving: whether the engine itself, or a watcher of it, says so.
+    """State of one engine, as known to this controller.
+
+    :param listed_leaving: whether the machine list says that the engine is leaving, or an operator
+        drains it.
+    :param reported_leaving: whether the engine itself or one of its watchers reports that it is
+        leaving.
+    :param failed: whether the engine did not respond to the last read.
+    :param orders: the orders without a response.
     """
 
     engine: str
@@ -61,40 +72,40 @@
     orders: tuple[PendingOrder, ...] = ()
 
     def state_of(self, artifact: Artifact) -> ReplicaState | None:
-        """Return what the last inventory says of an artifact."""
+        """Return the state of an artifact in the last inventory, or None."""
         items = self.inventory.items if self.inventory else ()
         return next((item.state for item in items if item.artifact == artifact), None)
 
     def pending_order(self, artifact: Artifact) -> PendingOrder | None:
-        """Return the open order for an artifact, or None."""
+        """Return the pending order for an artifact, or None."""
         return next((o for o in self.orders if o.order.artifact == artifact), None)
 
     @property
     def leaving(self) -> bool:
-        """Whether any source says that the engine is leaving."""
+        """Whether any source reports that the engine is leaving."""
         return self.listed_leaving or self.reported_leaving
 
     @property
     def usable(self) -> bool:
-        """Whether new work may be placed here."""
+        """Whether new artifacts may be loaded on the engine."""
         fenced = self.status is EngineStatus.FENCED
         return fenced and not self.leaving and not self.failed
 
     def tier(self, artifact: Artifact) -> CheckpointTier:
-        """Return where this engine has an artifact's weights."""
+        """Return the storage tier in which the engine has an artifact's weights."""
         items = self.inventory.checkpoints if self.inventory else ()
         found = [item.tier for item in items if item.artifact == artifact]
         return found[0] if found else CheckpointTier.REMOTE
 
 
 class EngineTracker:
-    """All engines of the cell under one ballot."""
+    """State of all engines of the cell, as known to one controller under its ballot."""
 
     def __init__(self) -> None:
         self.records: dict[str, EngineRecord] = {}
 
     def add_or_update(self, engine: str, address: str, zone: str, leaving: bool) -> None:
-        """Take in an engine from the machine list; one that came back is unknown again."""
+        """Add or update an engine of the machine list; one that returns is read again."""
         record = self.records.get(engine)
         if record is None or record.status is EngineStatus.GONE:
             self.records[engine] = EngineRecord(engine, address, zone, listed_leaving=leaving)
@@ -105,36 +116,36 @@
         self.records[engine] = structs.replace(self.records[engine], **changes)
 
     def mark_failed(self, engine: str, failed: bool) -> None:
-        """Note that an engine does not answer, or answers again."""
+        """Record whether an engine fails to respond."""
         if engine in self.records:
             self._update(engine, failed=failed)
 
     def mark_leaving(self, engine: str) -> None:
-        """Note that an engine is leaving: nothing new goes there."""
+        """Record that an engine is leaving and gets no new artifacts."""
         if engine in self.records:
             self._update(engine, reported_leaving=True)
 
     def mark_unknown(self, engine: str) -> None:
-        """Note that an engine must be fenced and read again."""
+        """Record that an engine must be fenced and read again."""
         record = self.records.get(engine)
         if record is not None and record.status is EngineStatus.FENCED:
             self._update(engine, status=EngineStatus.UNKNOWN)
 
     def mark_process_ended(self, engine: str) -> None:
-        """Note that the engine's process has ended; it may come back as another life."""
+        """Record that an engine's process has ended; it may restart as a new instance."""
         if engine in self.records:
             self._update(engine, status=EngineStatus.PROCESS_ENDED, inventory=None, orders=())
 
     def mark_gone(self, engine: str) -> None:
-        """Note that the machine list says that an engine no longer exists."""
+        """Record that the machine list reports an engine as gone."""
         if engine in self.records:
             self._update(engine, status=EngineStatus.GONE, inventory=None, orders=())
 
     def on_inventory(self, engine: str, inventory: Inventory) -> None:
-        """Take in an inventory that was read under a fence of this controller.
+        """Apply an inventory that was read under a fence of this controller.
 
-        One that was overtaken by a newer answer of the same life is ignored: it may show as
-        absent what has been loaded since.
+        An inventory that is older than the known one of the same instance is ignored: artifacts
+        that have been loaded since would seem to be absent.
         """
         record = self.records.get(engine)
         if record is None or _is_stale(inventory, record.inventory):
@@ -150,12 +161,12 @@
         )
 
     def on_order_sent(self, engine: str, order: Order) -> None:
-        """Note an order before its first byte goes out."""
+        """Record an order; must be called before its first byte is sent."""
         record = self.records[engine]
         self._update(engine, orders=(*record.orders, PendingOrder(order)))
 
     def on_order_answered(self, engine: str, order: Order, answer: OrderAnswer) -> None:
-        """Close an order by its answer, and take in the inventory that came with it."""
+        """Remove an order that got its response, and apply the inventory in the response."""
         record = self.records.get(engine)
         if record is None or record.status in ENDED_STATUSES:
             return
@@ -166,7 +177,7 @@
             self._update(engine, inventory=answer.inventory)
 
     def on_order_lost(self, engine: str, order: Order) -> None:
-        """Keep an order as unknown: the engine must be fenced and read again."""
+        """Record that an order's response was lost; the engine must be fenced and read again."""
         record = self.records.get(engine)
         if record is None or record.status in ENDED_STATUSES:
             return
@@ -177,7 +188,7 @@
         self.mark_unknown(engine)
 
     def removable_intents(self, intents: tuple[Intent, ...]) -> set[Intent]:
-        """Return the intents whose artifact is surely not on its engine, nor will be."""
+        """Return the intents whose artifact is certainly not on its engine and not being loaded."""
         return {intent for intent in intents if self._is_removable(intent)}
 
     def _is_removable(self, intent: Intent) -> bool:
@@ -200,7 +211,7 @@
 
 
 def _is_resolved_by(order: PendingOrder, inventory: Inventory) -> bool:
-    """Return whether an inventory tells the fate of an order whose answer is lost."""
+    """Return whether an inventory shows the outcome of an order whose response was lost."""
     if inventory.instance != order.order.instance:
         return True
     return order.lost and inventory.fence > order.order.fence
