--- a/loomwind/control/views.py
+++ b/loomwind/control/views.py
@@ -1,4 +1,4 @@
-"""Immutable views that the decision functions work on. Memory in MiB, times in seconds."""
+"""Immutable inputs and results of the placement functions; memory in MiB, times in seconds."""
 
 from msgspec import Struct
 
@@ -6,6 +6,7 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
+# Load time from each tier relative to a load from the weight store.
 RELOAD_TIME_FACTORS = {
     CheckpointTier.MEMORY: 0.05,
     CheckpointTier.DISK: 0.3,
@@ -14,14 +15,15 @@
 
 
 class EngineView(Struct, frozen=True):
-    """One engine as placement sees it.
-
-    :param usable: whether new work may be placed here.
-    :param may_hold_anything: it was never read in this generation and is not known to be gone.
-    :param held: all that it may hold, with the memory reserved for each.
-    :param ready: what serves there now.
-    :param busy: what is being loaded or unloaded there.
-    :param unloading: what is being unloaded there, so that its memory comes free.
+    """State of one engine, as input of placement.
+
+    :param usable: whether new artifacts may be loaded on the engine.
+    :param contents_unknown: whether the engine has not been read in this generation and may still
+        be running.
+    :param held: the artifacts that the engine may hold, with the memory reserved for each.
+    :param ready: the artifacts that can serve requests.
+    :param in_transition: the held artifacts that are not ready.
+    :param unloading: the artifacts that are being unloaded; their memory will become free.
     """
 
     engine: str
@@ -39,16 +41,16 @@
 
     @property
     def free_mib(self) -> int:
-        """Return the memory that is not reserved."""
+        """The memory that is not reserved."""
         return self.memory_mib - sum(self.held.values())
 
     def reload_seconds(self, artifact: Artifact, load_seconds: float) -> float:
-        """Return how long a load here would take, given where the weights are."""
+        """Return the load time of an artifact on this engine, given the tier of its weights."""
         return load_seconds * RELOAD_TIME_FACTORS[self.tiers.get(artifact, CheckpointTier.REMOTE)]
 
 
 class DemandView(Struct, frozen=True):
-    """What callers want of one artifact, over all routers."""
+    """Queued and running requests of one group for one artifact, over all routers."""
 
     artifact: Artifact
     group: str
@@ -58,11 +60,11 @@
 
 
 class UsageView(Struct, frozen=True):
-    """How an artifact was used.
+    """Usage of an artifact.
 
-    :param idle_seconds: time since its last request.
-    :param keep_seconds: how long an idle replica is worth keeping.
-    :param preload: whether its next request is expected so soon that it should be loaded.
+    :param idle_seconds: the time since the last request.
+    :param keep_seconds: the idle time after which a replica is unloaded.
+    :param preload: whether to load the artifact now, ahead of its predicted next request.
     """
 
     idle_seconds: float
@@ -71,7 +73,7 @@
 
 
 class ClusterView(Struct, frozen=True):
-    """All that placement decides on."""
+    """The complete input of placement."""
 
     catalog: Catalog
     engines: tuple[EngineView, ...]
@@ -81,7 +83,7 @@
 
 
 class Load(Struct, frozen=True):
-    """Decision to load an artifact on one life of an engine."""
+    """Decision to load an artifact on one instance of an engine."""
 
     engine: str
     instance: str
@@ -98,7 +100,10 @@
 
 
 class Plan(Struct, frozen=True):
-    """What to do now, and what waits for memory or for the weight store, in order."""
+    """Loads and unloads to start now.
+
+    :param waiting: the artifacts that wait for memory or for the weight store, most urgent first.
+    """
 
     loads: tuple[Load, ...] = ()
     unloads: tuple[Unload, ...] = ()
