--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -1,9 +1,13 @@
-"""Placement: which artifacts are loaded where. Pure functions over typed views.
+"""Placement: decides which artifacts to load on and unload from which engines.
 
-Rules, in this order: never more replicas than the model's limit, counting whatever an engine may
-hold; never more memory than an engine has; who waits goes before who may come; higher priority
-first, then the group that has least of its share, then the nearest deadline, then the longest load:
-among equally urgent ones that makes the last of a burst ready soonest.
+The functions are pure and work on typed views. Constraints and priorities, in this order:
+
+* A model never gets more replicas than its limit; engines whose contents are unknown count.
+* Artifacts never take more memory than an engine has.
+* Artifacts with queued requests are loaded before those with predicted requests only.
+* Loads are ordered by the group's priority (highest first), the memory that the group uses
+  relative to its share (least first), the earliest deadline and the load time (longest first).
+  Starting the longest load first makes the last artifact of a burst ready as early as possible.
 """
 
 import math
@@ -28,7 +32,7 @@
 
 
 class _Urgency(Struct, frozen=True, order=True):
-    """What loads are ordered by; the lowest goes first."""
+    """Sort key of a load; the lowest key is loaded first."""
 
     negative_priority: int
     memory_per_share: float
@@ -38,13 +42,13 @@
 
 
 class _PlanningState:
-    """The cluster as it will be, while one plan is made."""
+    """State of the cluster with the loads and unloads that have been planned so far."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view = view
         self.engines = {engine.engine: engine for engine in view.engines}
         self.free_mib = {engine.engine: engine.free_mib for engine in view.engines}
-        # Memory once the unloads under way are done, less what waiting artifacts will take of it.
+        # Free memory after the unloads in progress, minus what waiting artifacts will use of it.
         self.projected_free_mib = {
             engine.engine: engine.free_mib + sum(engine.held[a] for a in engine.unloading)
             for engine in view.engines
@@ -61,16 +65,16 @@
         self.desired_replicas = _desired_replicas(view)
 
     def possible_replicas(self, artifact: Artifact) -> int:
-        """Return how many replicas of an artifact there may be at most."""
+        """Return an upper bound on the number of replicas of an artifact that exist."""
         return len(self.holders[artifact]) + self.unread_engines
 
     def planned_unloads(self, engine: str) -> set[Artifact]:
-        """Return what this plan already unloads from an engine."""
+        """Return the artifacts that the plan so far unloads from an engine."""
         return {unload.artifact for unload in self.unloads if unload.engine == engine}
 
 
 def plan(view: ClusterView) -> Plan:
-    """Return what to load and unload now."""
+    """Return the loads and unloads to start now."""
     state = _PlanningState(view)
     for artifact in _load_order(state):
         _place_replica(state, artifact)
@@ -79,7 +83,7 @@
 
 
 def _desired_replicas(view: ClusterView) -> dict[Artifact, int]:
-    """Return how many replicas of each artifact the demand asks for, within its limit."""
+    """Return the number of replicas that each artifact needs, capped at its replica limit."""
     concurrency = max((engine.concurrency for engine in view.engines), default=1)
     active: dict[Artifact, int] = defaultdict(int)
     for demand in view.demand:
@@ -100,7 +104,7 @@
 
 
 def _replacement_versions(view: ClusterView) -> set[Artifact]:
-    """Return the current versions of models of which the previous one is loaded and in use."""
+    """Return the current versions of models whose previous version is loaded and in use."""
     replacements = set()
     for engine in view.engines:
         for artifact in engine.ready:
@@ -115,7 +119,7 @@
 
 
 def group_memory(view: ClusterView) -> dict[str, int]:
-    """Return the memory that each group's artifacts hold over all engines, in MiB."""
+    """Return the memory reserved for each group's artifacts over all engines, in MiB."""
     memory: dict[str, int] = defaultdict(int)
     for engine in view.engines:
         for artifact, memory_mib in engine.held.items():
@@ -129,7 +133,7 @@
 
 
 def _load_order(state: _PlanningState) -> list[Artifact]:
-    """Return the artifacts that lack replicas, the most urgent first."""
+    """Return the artifacts that need another replica, most urgent first."""
     view = state.view
     memory = group_memory(view)
     urgency: dict[Artifact, _Urgency] = {}
@@ -167,7 +171,7 @@
 
 
 def _place_replica(state: _PlanningState, artifact: Artifact) -> None:
-    """Add one replica of an artifact, or make room for it, or note that it waits."""
+    """Plan a load of an artifact, or mark it as waiting and evict idle replicas if necessary."""
     memory_mib = state.view.catalog.memory_mib(artifact)
     if memory_mib is None:
         return
@@ -176,7 +180,7 @@
         candidates = [e for e in candidates if not _is_remote(e, artifact)]
     fitting = [engine for engine in candidates if state.free_mib[engine.engine] >= memory_mib]
     if fitting:
-        _load(state, min(fitting, key=lambda e: _preference(state, e, artifact)), artifact)
+        _plan_load(state, min(fitting, key=lambda e: _host_cost(state, e, artifact)), artifact)
         return
     state.waiting.append(artifact)
     fitting_after_unloads = [
@@ -189,7 +193,7 @@
 
 
 def _is_preload(state: _PlanningState, artifact: Artifact) -> bool:
-    """Return whether nobody waits for an artifact: such a load takes free memory only."""
+    """Return whether a load serves predicted requests only; such a load never evicts replicas."""
     usage = state.view.usage.get(artifact)
     waited_for = any(
         demand.waiting and artifact in (demand.artifact, demand.artifact.base)
@@ -211,17 +215,17 @@
     return artifact.base in engine.ready and not unload_planned
 
 
-def _preference(
+def _host_cost(
     state: _PlanningState, engine: EngineView, artifact: Artifact
 ) -> tuple[float, int, int, str]:
-    """Return the sort key of an engine for an artifact; lower is better."""
+    """Return the sort key of an engine as host of an artifact; lower is better."""
     load_seconds = state.view.catalog.load_seconds(artifact)
     reload_seconds = engine.reload_seconds(artifact, load_seconds)
     same_zone = sum(state.engines[holder].zone == engine.zone for holder in state.holders[artifact])
     return (reload_seconds, same_zone, -state.free_mib[engine.engine], engine.engine)
 
 
-def _load(state: _PlanningState, engine: EngineView, artifact: Artifact) -> None:
+def _plan_load(state: _PlanningState, engine: EngineView, artifact: Artifact) -> None:
     remote = _is_remote(engine, artifact)
     memory_mib = state.view.catalog.memory_mib(artifact) or 0
     state.remaining_remote_loads -= remote
@@ -234,7 +238,7 @@
 def _plan_eviction(
     state: _PlanningState, candidates: list[EngineView], artifact: Artifact, memory_mib: int
 ) -> None:
-    """Unload idle replicas on the engine where that costs least."""
+    """Plan to unload idle replicas on the engine where the eviction costs least."""
     options = []
     for engine in candidates:
         victims = _select_victims(
@@ -250,7 +254,7 @@
 
 
 def _select_victims(state: _PlanningState, engine: EngineView, needed_mib: int) -> list[Artifact]:
-    """Return idle replicas that free enough memory, the cheapest first; empty when none do."""
+    """Return idle replicas to evict, cheapest first, or nothing if they free too little memory."""
     planned = state.planned_unloads(engine.engine)
     idle = [
         artifact
@@ -270,7 +274,7 @@
 
 
 def _is_evictable(state: _PlanningState, engine: EngineView, base: Artifact) -> bool:
-    """Return whether nobody wants a base model or an adapter on it, and all of it is settled."""
+    """Return whether a base model and its adapters have no demand and are not in transition."""
     base_and_adapters = {artifact for artifact in engine.held if artifact.base == base}
     has_demand = any(state.desired_replicas.get(artifact, 0) for artifact in base_and_adapters)
     return (
@@ -283,7 +287,11 @@
 def _eviction_cost(
     state: _PlanningState, engine: EngineView, victims: list[Artifact]
 ) -> tuple[float, float]:
-    """Return how much the unload of idle replicas costs: over-share groups first, then reloads."""
+    """Return the sort key of an eviction; lower is better.
+
+    Replicas of the group that uses the most memory relative to its share are evicted first, then
+    those that are cheapest to reload.
+    """
     view = state.view
     memory = group_memory(view)
     memory_per_share = max(
@@ -299,7 +307,7 @@
 
 
 def _unload_expired(state: _PlanningState) -> None:
-    """Unload what is idle for longer than it is worth keeping, or is no longer in the catalog."""
+    """Plan to unload replicas that are expired, superseded or no longer in the catalog."""
     loading = {load.artifact for load in state.loads}
     for engine in state.view.engines:
         if not engine.usable:
@@ -326,7 +334,7 @@
 
 
 def _is_superseded(state: _PlanningState, artifact: Artifact) -> bool:
-    """Return whether this is the model's previous version, and the current one is ready."""
+    """Return whether this is a model's previous version and its current version is ready."""
     model = state.view.catalog.model(artifact.model)
     previous = state.view.catalog.previous_version(artifact.model)
     if model is None or artifact.adapter or artifact.version != previous:
