--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -1,15 +1,18 @@
-"""Slots: how a replica's concurrency is lent to routers. Pure functions.
+"""Allocates the concurrency of each engine to the routers; pure functions.
 
-Within one engine each group gets places in proportion to its share, as far as it asks for them;
-each router gets its part of every group's places, in proportion to what the group asks for there.
-So the groups' shares hold over the cell, with no message per request.
+Each group gets slots of an engine in proportion to its share, up to its demand. Each router gets a
+part of every group's slots, in proportion to the group's demand at that router. This enforces the
+shares over the whole cell without a message per request.
 """
 
 from msgspec import Struct
 
 
 class SlotDemand(Struct, frozen=True):
-    """Requests of one group at one router for one engine; ``active`` is waiting and running."""
+    """Requests of one group at one router for one engine.
+
+    :param active: the number of queued and running requests.
+    """
 
     router: str
     group: str
@@ -19,12 +22,12 @@
 def max_min_fair(
     total: int, weights: dict[str, float], requested: dict[str, int]
 ) -> dict[str, float]:
-    """Divide places by weight, none getting more than it wants (max-min fair).
+    """Divide slots among claimants by weighted max-min fairness.
 
-    :param total: places to divide.
-    :param weights: weight of each taker, above 0.
-    :param wanted: how many places each asks for.
-    :returns: places of each taker, as fractions.
+    :param total: the number of slots to divide.
+    :param weights: the weight of each claimant, above 0.
+    :param requested: the number of slots that each claimant can use.
+    :returns: the slots of each claimant; may be fractional.
     """
     allocated = dict.fromkeys(weights, 0.0)
     unsatisfied = {claimant for claimant in weights if requested.get(claimant, 0) > 0}
@@ -45,10 +48,10 @@
 
 
 class SlotAllocation(Struct, frozen=True):
-    """What one router is lent of an engine.
+    """Slots of one engine that are allocated to one router.
 
-    :param slots: requests that it may run there at once.
-    :param places: how much of that is for each group, as fractions.
+    :param slots: the number of requests that the router may run on the engine concurrently.
+    :param group_slots: the part of the slots for each group; may be fractional.
     """
 
     slots: int
@@ -61,10 +64,10 @@
     shares: dict[str, float],
     routers: list[str],
 ) -> dict[str, SlotAllocation]:
-    """Return what each router is lent of an engine's places.
+    """Return the allocation of an engine's slots to each router.
 
-    Every router keeps at least one, so that a first request need not wait for a loan; places that
-    nobody asks for are lent evenly.
+    Every router gets at least one slot, so that its first request does not have to wait for an
+    allocation. Slots without demand are divided evenly.
     """
     if not routers:
         return {}
@@ -90,7 +93,7 @@
 
 
 def _round(fractional: dict[str, float], total: int) -> dict[str, int]:
-    """Round places down, then give the rest to the largest remainders; at least one to each."""
+    """Round by the largest remainder method, with at least one slot for each router."""
     rounded = {router: max(1, int(value)) for router, value in fractional.items()}
     order = sorted(
         fractional, key=lambda router: (int(fractional[router]) - fractional[router], router)
