--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -1,4 +1,4 @@
-"""What waits and runs in the cell, summed from the routers' reports."""
+"""Aggregates the routers' reports of queued and running requests."""
 
 from collections import defaultdict
 
@@ -13,24 +13,24 @@
 
 
 class _ReceivedReport(Struct, frozen=True):
-    """A router's newest report and when it came."""
+    """The latest report of a router."""
 
     received_at: float
     entries: tuple[DemandEntry, ...]
 
 
 class DemandAggregator:
-    """The newest report of each router. Times in seconds of one steady clock."""
+    """Latest report of each router; times are monotonic, in seconds."""
 
     def __init__(self) -> None:
         self._reports: dict[VoterId, _ReceivedReport] = {}
 
     def update(self, report: DemandReport, now: float) -> None:
-        """Keep a router's report in place of its earlier one."""
+        """Replace the previous report of a router."""
         self._reports[report.router] = _ReceivedReport(now, report.entries)
 
     def drop_expired(self, now: float) -> None:
-        """Drop reports of routers that no longer send any."""
+        """Drop the reports of routers that have stopped reporting."""
         self._reports = {
             router: report
             for router, report in self._reports.items()
@@ -57,10 +57,11 @@
     def slot_demands(
         self, ready_counts: dict[Artifact, int], served: frozenset[Artifact]
     ) -> list[SlotDemand]:
-        """Return what the routers want of one engine.
+        """Return the routers' demand for the slots of one engine.
 
-        :param ready: how many engines serve each artifact; its demand is divided among them.
-        :param held: what this engine serves.
+        :param ready_counts: the number of engines on which each artifact is ready; the demand for
+            the artifact is divided evenly among them.
+        :param served: the artifacts that are ready on this engine.
         """
         demands = []
         for router, report in self._reports.items():
