--- a/loomwind/control/estimates.py
+++ b/loomwind/control/estimates.py
@@ -1,4 +1,4 @@
-"""When artifacts that are waited for are expected to be ready. Pure functions, times in seconds."""
+"""Estimates when requested artifacts will be ready; pure functions, times in seconds."""
 
 from loomwind.catalog.model import Catalog
 from loomwind.control.remote_load_limiter import RemoteLoadLimiter
@@ -13,7 +13,7 @@
 def estimate_loads(
     view: ClusterView, plan: Plan, limiter: RemoteLoadLimiter, in_flight: int, now: float
 ) -> tuple[LoadEstimate, ...]:
-    """Return the expected time until each waiting artifact is ready, counting from now."""
+    """Return the expected time until each loading or waiting artifact is ready."""
     estimates = {}
     ready = {artifact for engine in view.engines for artifact in engine.ready}
     for engine in view.engines:
@@ -33,7 +33,7 @@
 
 
 def _load_time(view: ClusterView, artifact: Artifact) -> tuple[float, bool]:
-    """Return the shortest load time of an artifact, and whether it takes the weight store."""
+    """Return the shortest load time of an artifact, and whether it needs the weight store."""
     load_seconds = view.catalog.load_seconds(artifact)
     tiers = [e.tiers.get(artifact, CheckpointTier.REMOTE) for e in view.engines if e.usable]
     remote = all(tier is CheckpointTier.REMOTE for tier in tiers)
@@ -48,6 +48,6 @@
 
 
 def _round(seconds: float) -> float:
-    """Round up, so that an estimate does not change with every tick."""
+    """Round up, so that an estimate does not change on every controller step."""
     steps = -(-seconds // ROUNDING_SECONDS)
     return steps * ROUNDING_SECONDS
