--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -1,4 +1,4 @@
-"""How artifacts are used: gaps between requests and idle time, for the keep-alive policy."""
+"""Tracks request gaps and idle times of artifacts, for the keep-alive policy."""
 
 from msgspec import Struct
 
@@ -18,7 +18,7 @@
 
 
 def make_policy(settings: KeepAlivePolicy) -> KeepAlive:
-    """Return the keep-alive policy that the settings name."""
+    """Return the configured keep-alive policy."""
     if settings.policy == "fixed":
         return FixedKeepAlive(settings.fixed_seconds)
     if settings.policy == "never":
@@ -27,7 +27,7 @@
 
 
 class _CachedDecision(Struct, frozen=True):
-    """A decision, and how many gaps it was made on."""
+    """A keep-alive decision and the inputs that it was computed from."""
 
     gap_count: int
     reload_seconds: float
@@ -35,7 +35,7 @@
 
 
 class UsageTracker:
-    """What is known of each artifact's use. Times in seconds of one steady clock."""
+    """Usage of each artifact; times are monotonic, in seconds."""
 
     def __init__(self, policy: KeepAlive) -> None:
         self._policy = policy
@@ -44,7 +44,7 @@
         self._decisions: dict[Artifact, _CachedDecision] = {}
 
     def record(self, artifact: Artifact, arrivals: int, active: int, now: float) -> None:
-        """Take in a router's report on an artifact, and on its base model with it."""
+        """Record requests for an artifact, which also count as usage of its base model."""
         for used in {artifact, artifact.base}:
             if arrivals:
                 if used not in self._gaps:
@@ -54,13 +54,13 @@
                 self._last_active[used] = now
 
     def start_idle(self, artifact: Artifact, now: float) -> None:
-        """Begin to count idle time of a replica that was never used."""
+        """Start the idle time of an artifact that has not been used yet."""
         self._last_active.setdefault(artifact, now)
 
     def view(self, artifact: Artifact, reload_seconds: float, now: float) -> UsageView:
-        """Return how long an artifact is idle and what that means.
+        """Return the idle time of an artifact and the keep-alive decision for it.
 
-        :param reload_seconds: how long its next load would take.
+        :param reload_seconds: the duration of the artifact's next load.
         """
         idle_seconds = now - self._last_active.get(artifact, now)
         decision = self._decide(artifact, reload_seconds)
@@ -71,7 +71,7 @@
         return UsageView(idle_seconds, decision.keep_seconds, preload)
 
     def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
-        """Return the policy's decision, made anew only when gaps were added."""
+        """Return the policy's decision, computed again only if its inputs have changed."""
         gaps = self._gaps.get(artifact) or NO_GAPS
         cached = self._decisions.get(artifact)
         if cached is None or (cached.gap_count, cached.reload_seconds) != (
@@ -90,5 +90,5 @@
         return preload_after <= idle_seconds <= 1.1 * longest_gap
 
     def artifacts(self) -> list[Artifact]:
-        """Return all artifacts that were ever used."""
+        """Return all artifacts with recorded usage."""
         return list(self._last_active)
