--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -1,8 +1,8 @@
-"""How long an idle replica is kept, learned from each artifact's own gaps between requests.
+"""Keep-alive policies: how long to keep an idle replica, based on the gaps between its requests.
 
-The cost of keeping for T seconds is the idle time that it adds; the cost of not keeping is the
-reload that the next request waits for. One setting weighs the two: what an idle accelerator hour
-costs, in seconds of cold-start tail. Policies are pure; gaps are in seconds.
+Keeping a replica for T seconds costs idle accelerator time; unloading it costs a reload that the
+next request waits for. One setting weighs the two: the cost of an idle accelerator hour, expressed
+in seconds of tail cold-start latency. Policies are pure; gaps are in seconds.
 """
 
 from abc import ABC, abstractmethod
@@ -22,7 +22,7 @@
 
 
 class GapHistogram:
-    """A histogram of the gaps between an artifact's requests."""
+    """Histogram of the gaps between the requests for an artifact."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_GAP_SECONDS * GAP_UNITS_PER_SECOND, HISTOGRAM_DIGITS)
@@ -30,7 +30,10 @@
         self.last_arrival: float | None = None
 
     def record_arrival(self, now: float) -> None:
-        """Take in a request at a time in seconds."""
+        """Record a request.
+
+        :param now: the time of the request, monotonic, in seconds.
+        """
         if self.last_arrival is not None:
             gap = now - self.last_arrival
             if gap >= MIN_GAP_SECONDS:
@@ -39,21 +42,21 @@
 
     def _record(self, value: int) -> None:
         self._histogram.record_value(value)
-        # Walking the histogram's own iterator costs milliseconds; few of its buckets are in use.
+        # Iterating over the whole histogram takes milliseconds, although few buckets are in use.
         self._recorded.add(self._histogram.get_highest_equivalent_value(value))
 
     @property
     def count(self) -> int:
-        """Return how many gaps were recorded."""
+        """The number of recorded gaps."""
         return int(self._histogram.get_total_count())
 
     def percentile(self, percent: float) -> float:
-        """Return a gap's quantile in seconds."""
+        """Return a percentile of the gaps in seconds."""
         value: int = self._histogram.get_value_at_percentile(percent)
         return value / GAP_UNITS_PER_SECOND
 
     def values(self) -> list["GapCount"]:
-        """Return each recorded gap with its count, the shortest first."""
+        """Return each recorded gap with its count, shortest first."""
         return [
             GapCount(value / GAP_UNITS_PER_SECOND, self._histogram.get_count_at_value(value))
             for value in sorted(self._recorded)
@@ -61,16 +64,17 @@
 
 
 class GapCount(Struct, frozen=True):
-    """A gap in seconds and how often it was seen."""
+    """A gap and the number of times that it was recorded."""
 
     seconds: float
     count: int
 
 
 class KeepAliveDecision(Struct, frozen=True):
-    """How long to keep an idle replica, and when to load it again ahead of its next request.
+    """When to unload an idle replica, and when to load it ahead of its next request.
 
-    :param preload_after_seconds: idle time after which to load again; None for never.
+    :param keep_seconds: the idle time after which to unload the replica.
+    :param preload_after_seconds: the idle time after which to load it again; None for never.
     """
 
     keep_seconds: float
@@ -78,40 +82,40 @@
 
 
 class KeepAlive(ABC):
-    """A keep-alive policy."""
+    """Base class of keep-alive policies."""
 
     @abstractmethod
     def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
-        """Return what to do with an idle replica.
+        """Return when to unload and preload an idle replica.
 
-        :param reload_seconds: how long the next load would take.
+        :param reload_seconds: the duration of the next load.
         """
 
 
 class FixedKeepAlive(KeepAlive):
-    """Baseline: keep for a fixed time."""
+    """Baseline policy: keep replicas for a fixed time."""
 
     def __init__(self, seconds: float) -> None:
         self._decision = KeepAliveDecision(seconds)
 
     def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
-        """Return the fixed time."""
+        """Return the fixed decision."""
         return self._decision
 
 
 class NeverUnload(KeepAlive):
-    """Baseline: keep until the memory is needed."""
+    """Baseline policy: keep replicas until their memory is needed."""
 
     def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
-        """Return an endless time."""
+        """Return a decision to keep the replica forever."""
         return KeepAliveDecision(KEEP_FOREVER_SECONDS)
 
 
 class HistogramKeepAlive(KeepAlive):
-    """Keep for the time that costs least over the gaps seen so far.
+    """Keep replicas for the time that has the lowest cost over the recorded gaps.
 
-    :param idle_hour_cost: what an idle hour costs, in seconds of cold-start tail.
-    :param default_seconds: used until enough gaps were seen.
+    :param idle_hour_cost: the cost of an idle hour, in seconds of tail cold-start latency.
+    :param default_seconds: the maximum time to keep a replica until enough gaps are recorded.
     """
 
     def __init__(self, idle_hour_cost: float, default_seconds: float) -> None:
@@ -119,7 +123,7 @@
         self._default_seconds = default_seconds
 
     def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
-        """Return the cheapest time, and a preload when the next request is well predicted."""
+        """Return the keep time with the lowest cost, and a preload if the gaps are regular."""
         break_even = reload_seconds / self._idle_second_cost
         if gaps.count < MIN_SAMPLES:
             return KeepAliveDecision(min(self._default_seconds, break_even))
@@ -145,7 +149,7 @@
     def _preload_after_seconds(
         self, gaps: GapHistogram, keep_seconds: float, reload_seconds: float
     ) -> float | None:
-        """Return when to load ahead: only for long gaps that vary little."""
+        """Return the idle time after which to preload; None if the gaps are short or irregular."""
         if gaps.count < PRELOAD_MIN_SAMPLES:
             return None
         early, late = gaps.percentile(5), gaps.percentile(95)
