--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -1,4 +1,4 @@
-"""Builds the typed view that placement decides on. Pure functions."""
+"""Builds the input of placement from the state of the cell; pure functions."""
 
 from loomwind.catalog.model import Catalog
 from loomwind.control.engine_tracker import (
@@ -15,7 +15,7 @@
 
 
 def ready_artifacts(record: EngineRecord) -> frozenset[Artifact]:
-    """Return what serves on an engine now: ready, and not ordered away."""
+    """Return the artifacts that can serve requests on an engine: ready and not being unloaded."""
     if record.inventory is None or record.failed or record.status in ENDED_STATUSES:
         return frozenset()
     unloading = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
@@ -27,7 +27,7 @@
 
 
 def unloading_artifacts(record: EngineRecord) -> frozenset[Artifact]:
-    """Return what is being unloaded from an engine, by open orders and by its inventory."""
+    """Return the artifacts that are being unloaded, by pending orders and by the inventory."""
     ordered = {o.order.artifact for o in record.orders if o.order.action is Action.UNLOAD}
     items = record.inventory.items if record.inventory else ()
     reported = {item.artifact for item in items if item.state is ReplicaState.UNLOADING}
@@ -35,7 +35,7 @@
 
 
 def engine_view(record: EngineRecord, value: RegisterValue) -> EngineView:
-    """Return one engine as placement sees it."""
+    """Return the placement view of one engine."""
     held = {i.artifact: i.memory_mib for i in value.intents if i.engine == record.engine}
     inventory = record.inventory
     items = inventory.items if inventory else ()
@@ -62,7 +62,7 @@
 
 
 def remote_loads_in_flight(tracker: EngineTracker) -> int:
-    """Return how many loads from the weight store are under way, by orders and by inventories."""
+    """Return the number of weight store loads in progress, by orders and inventories."""
     count = 0
     for record in tracker.records.values():
         loading = {o.order.artifact for o in record.orders if o.order.action is Action.LOAD}
@@ -81,7 +81,7 @@
     remote_loads_allowed: int,
     now: float,
 ) -> ClusterView:
-    """Return all that placement decides on."""
+    """Return the complete input of placement."""
     engines = tuple(engine_view(record, value) for _, record in sorted(tracker.records.items()))
     return ClusterView(
         catalog=catalog,
@@ -99,14 +99,14 @@
     artifacts = {artifact for engine in engines for artifact in engine.ready}
     for artifact in artifacts | set(usage.artifacts()):
         usage.start_idle(artifact, now)
-        # A near copy of the weights may be gone by the next request, and what is weighed is the
-        # tail of cold starts, so the worth of keeping is that of a load from the weight store.
+        # Assumes that the next load comes from the weight store: a cached copy of the weights may
+        # be evicted before the next request, and the policy weighs the tail of cold starts.
         views[artifact] = usage.view(artifact, catalog.load_seconds(artifact), now)
     return views
 
 
 def reconciled_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
-    """Return the intents without those that surely ended, and with what engines hold besides."""
+    """Return the intents without removable ones, plus intents for other artifacts on engines."""
     kept = set(value.intents) - tracker.removable_intents(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
     for record in tracker.records.values():
@@ -119,7 +119,7 @@
 
 
 def fenced_engine_names(tracker: EngineTracker, value: RegisterValue) -> tuple[str, ...]:
-    """Return the engines that were fenced and read in this generation."""
+    """Return the engines that have been fenced and read in this generation."""
     fenced = {
         engine for engine, record in tracker.records.items() if record.status is EngineStatus.FENCED
     }
