--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -1,4 +1,4 @@
-"""The controller's dealings with engines: fencing, reading inventories, giving orders."""
+"""Communicates with the engines: fences them, reads their inventories and sends orders."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """The engines of the cell under one ballot; made anew at each takeover."""
+    """The engines of the cell under one ballot; created anew at each takeover."""
 
     def __init__(
         self,
@@ -55,18 +55,18 @@
         self._orders: set[asyncio.Task[None]] = set()
 
     def next_fence(self) -> Fence:
-        """Return a fence that is higher than all that this controller used."""
+        """Return a fence that is higher than all previous ones of this controller."""
         self._sequence += 1
         return Fence(self._generation, self._ballot, self._sequence)
 
     def watch(self, engine: str, address: str, zone: str, leaving: bool) -> None:
-        """Take in an engine and keep its inventory fresh."""
+        """Add or update an engine and poll its inventory."""
         self.tracker.add_or_update(engine, address, zone, leaving)
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
     def remove(self, engine: str) -> None:
-        """Note that an engine is gone for good."""
+        """Mark an engine as gone and stop polling it."""
         record = self.tracker.records.get(engine)
         if record is not None and record.status is not EngineStatus.GONE:
             log_state("engine", "gone", engine=engine)
@@ -88,7 +88,7 @@
                 pass
 
     def recheck(self, engine: str) -> None:
-        """Read an engine anew, since something about it changed."""
+        """Read an engine's inventory without waiting for the next poll."""
         if engine in self._rechecks:
             self._rechecks[engine].set()
 
@@ -104,7 +104,7 @@
         return POLL_TRANSITION_SECONDS if in_transition else POLL_STABLE_SECONDS
 
     async def _read(self, engine: str) -> None:
-        """Fence an engine and take in its inventory."""
+        """Fence an engine and apply its inventory."""
         record = self.tracker.records[engine]
         request = FenceRequest(self.next_fence())
         try:
@@ -145,7 +145,7 @@
             self._wake()
 
     def send_load(self, load: Load, load_seconds: float) -> None:
-        """Order a load whose intent is settled, for the engine's life that it was decided for."""
+        """Send a load order to the planned engine instance; the intent must have been committed."""
         order = Order(
             self.next_fence(),
             load.instance,
@@ -157,7 +157,7 @@
         self._send_order(load.engine, order)
 
     def send_unload(self, engine: str, artifact: Artifact) -> None:
-        """Order an unload."""
+        """Send an unload order."""
         inventory = self.tracker.records[engine].inventory
         if inventory is not None:
             self._send_order(
@@ -168,7 +168,7 @@
         record = self.tracker.records[engine]
         if record.pending_order(order.artifact) is not None:
             return
-        # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
+        # Recorded before the first byte is sent: a lost response must never count as "not run".
         self.tracker.on_order_sent(engine, order)
         task = asyncio.get_running_loop().create_task(
             self._deliver_order(engine, record.address, order)
@@ -197,6 +197,6 @@
             self.recheck(engine)
 
     def close(self) -> None:
-        """Stop polling and waiting for answers; what was ordered stays ordered."""
+        """Stop polling and waiting for responses; orders that were sent stay in effect."""
         for task in [*self._pollers.values(), *self._orders]:
             task.cancel()
