--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -1,4 +1,4 @@
-"""Tells the routers of the cell where requests can go, whenever that changes."""
+"""Publishes routing updates to the routers of the cell when routes change."""
 
 from msgspec import structs
 
@@ -21,7 +21,7 @@
 
 
 class RoutingContent:
-    """What is published: everything of an update but its number."""
+    """Content of a routing update, without its sequence number."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         estimates: tuple[LoadEstimate, ...],
         previous: "RoutingContent | None" = None,
     ) -> None:
-        """Collect what is known.
+        """Collect the content and allocate the slots.
 
-        :param earlier: content whose loans of slots still stand where the same engine serves the
-            same; None to lend anew.
+        :param previous: earlier content whose slot allocations are kept for engines with the same
+            ready artifacts; None to allocate all slots anew.
         """
         self._applications = applications
         self._estimates = estimates
@@ -64,7 +64,7 @@
         routers: list[MemberInfo],
         previous: "RoutingContent | None",
     ) -> dict[str, dict[str, SlotAllocation]]:
-        """Lend the slots of each engine; engines that nobody asks for share one even loan."""
+        """Allocate the slots of each engine; engines without demand share one even allocation."""
         ready_counts: dict[Artifact, int] = {}
         for artifacts in self._ready.values():
             for artifact in artifacts:
@@ -126,7 +126,7 @@
 
 
 class RoutingPublisher:
-    """Numbers updates, and remembers what each router was sent."""
+    """Numbers updates and keeps the last update that was sent to each router."""
 
     def __init__(self) -> None:
         self._sequence = 0
@@ -140,7 +140,7 @@
         routers: list[MemberInfo],
         voters: tuple[MemberInfo, ...],
     ) -> list[tuple[MemberInfo, RoutingUpdate]]:
-        """Return the updates that must be sent now, each with its router."""
+        """Return the updates to send now, each with its router."""
         sending = []
         self._sequence += 1
         for router in routers:
@@ -154,7 +154,7 @@
         return sending
 
     def missed_update(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
-        """Return the last update to a router whose digest shows that it never came."""
+        """Return a router's last update if its digest shows that it did not arrive, else None."""
         sent = self._sent.get(router)
         if sent is None:
             return None
@@ -168,7 +168,7 @@
 
 
 def _delta(previous: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
-    """Return an update with only the engines that changed since an earlier one."""
+    """Return an update with only the engines that changed since the previous update."""
     if previous is None or not _same_term(previous, update):
         return update
     known = {route.engine: route for route in previous.engines}
@@ -179,7 +179,7 @@
 
 
 def _is_equivalent(previous: RoutingUpdate | None, update: RoutingUpdate) -> bool:
-    """Return whether two updates say the same; versions of the register alone do not count."""
+    """Return whether two updates differ at most in the version of the register."""
     if previous is None:
         return False
     return (
