--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -1,7 +1,7 @@
-"""The controller of a cell: turns demand into intents, intents into orders, results into routes.
+"""Controller of a cell: plans loads and unloads, orders them and publishes the routes.
 
-It runs in the daemon that leads the cell. Each step reads what is known, decides by pure
-functions, writes the intents to a majority, and only then gives orders.
+It runs in the leader of the cell. Each step builds a plan with pure functions, writes the intents
+to a majority of the voters, and only then sends orders to the engines.
 """
 
 import asyncio
@@ -54,7 +54,7 @@
 
 
 class Controller:
-    """One term of a daemon as controller of its cell."""
+    """Controls the cell for one term of leadership of a daemon."""
 
     def __init__(
         self,
@@ -100,11 +100,11 @@
         )
 
     def wake(self) -> None:
-        """Make the next step happen soon."""
+        """Trigger the next step."""
         self._wake_event.set()
 
     async def run(self) -> None:
-        """Lead until cancelled or superseded."""
+        """Run until cancelled or superseded."""
         next_repair = 0.0
         try:
             while self._register.leading:
@@ -114,7 +114,7 @@
                 self._step_seconds = time.process_time() - started
                 if self._membership.now >= next_repair:
                     if await self._voter_changes.repair():
-                        # Routers must learn the new voters at once: the old ones grant no claims.
+                        # Publish the new voters at once, since the old ones no longer grant claims.
                         self._publish()
                         await self._register.publish_voters()
                     next_repair = self._membership.now + REPAIR_INTERVAL_SECONDS
@@ -125,10 +125,10 @@
             self.fleet.close()
 
     async def _wait(self) -> None:
-        """Wait for a reason to step; many reasons in a row share one step.
+        """Wait for the next wake-up or tick; wake-ups during the pause share one step.
 
-        The pause after a step is a multiple of the processor time that it took, so that control
-        leaves the daemon's loop to its requests however large the cell is.
+        The pause is a multiple of the CPU time of the last step, so that the controller leaves the
+        daemon's event loop to requests in cells of any size.
         """
         pause = min(STEP_PAUSE_FACTOR * self._step_seconds, MAX_STEP_PAUSE_SECONDS)
         await asyncio.sleep(pause)
@@ -152,7 +152,7 @@
                 self._membership.detector.listed_gone(machine.name)
 
     async def _step(self) -> None:
-        """Publish what is known, decide, settle the intents, give the orders."""
+        """Publish routes, make a plan, commit its intents and send the orders."""
         self._publish()
         now = self._membership.now
         self._demand.drop_expired(now)
@@ -205,7 +205,7 @@
             asyncio.get_running_loop().call_at(now + delay, self.wake)
 
     def _publish(self) -> None:
-        """Send each router what changed for it."""
+        """Send routing updates to the routers that need one."""
         now = self._membership.now
         routers = self._membership.alive()
         content = RoutingContent(
@@ -247,7 +247,7 @@
         return machine.state is MachineState.LIVE and not leaving
 
     def on_demand(self, report: DemandReport) -> None:
-        """Take in a router's report."""
+        """Handle a router's demand report."""
         now = self._membership.now
         self._demand.update(report, now)
         for entry in report.entries:
@@ -256,7 +256,7 @@
             self.wake()
 
     def on_backend_report(self, report: BackendReport) -> None:
-        """Take in that a back end is leaving, or that one of its watchers finds it changed."""
+        """Handle a report that a back end is leaving, or that a watcher found it changed."""
         if report.leaving:
             self.fleet.tracker.mark_leaving(report.backend)
             self._leaving_applications.add(report.backend)
@@ -266,7 +266,7 @@
         self.wake()
 
     def on_digest(self, member: MemberInfo, digest: Digest) -> None:
-        """Send a router again what it seems to have missed."""
+        """Resend the last routing update to a router that has missed it."""
         missed = self._publisher.missed_update(member.identity, digest)
         if missed is not None:
             self._send_routing(member, missed)
