--- a/loomwind/control/errors.py
+++ b/loomwind/control/errors.py
@@ -4,11 +4,11 @@
 
 
 class ControlError(LoomwindError):
-    """Base class of the control layer's errors."""
+    """Base class of all errors of the control layer."""
 
 
 class RegisterUnavailable(ControlError):
-    """No majority of the voters answered, or another daemon leads now."""
+    """No majority of the voters responded, or another daemon is the leader."""
 
 
 class ClaimRefused(ControlError):
@@ -16,12 +16,12 @@
 
 
 class ClaimTaken(ClaimRefused):
-    """Another request with the same key has the claim: it runs, or has run."""
+    """Another request with the same key holds the claim and is running or has run."""
 
 
 class ClaimBarrier(ClaimRefused):
-    """Earlier claims were lost; whether a request with this key ran cannot be told yet."""
+    """Earlier claims were lost, so it is unknown whether a request with this key has run."""
 
 
 class ClaimUnavailable(ClaimRefused):
-    """Too few voters answered."""
+    """Too few voters responded."""
