--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -97,7 +97,7 @@
     def __init__(self, site: Site, seed: int) -> None:
         self._addresses = [daemon.address for daemon in site.daemons.values()]
         self._random = random.Random(seed)
-        self._client = HttpClient(Connector(), max_idle=1024)
+        self._client = HttpClient(Connector(), max_idle_per_address=1024)
         self._tasks: set[asyncio.Task[None]] = set()
         self.ended: list[tuple[str, float]] = []
         self.waits: dict[str, list[float]] = {}
--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -315,9 +315,9 @@
         whose peer stops acknowledging; not called for an orderly close.
     """
 
-    def __init__(self, connector: Connector, max_idle: int = 64) -> None:
+    def __init__(self, connector: Connector, max_idle_per_address: int = 64) -> None:
         self._connector = connector
-        self._max_idle = max_idle
+        self._max_idle_per_address = max_idle_per_address
         self._idle: dict[str, deque[ClientConnection]] = {}
         self.on_idle_connection_error: Callable[[str], None] | None = None
 
@@ -361,7 +361,7 @@
             connection.close()
             return
         idle = self._idle.setdefault(connection.address, deque())
-        if len(idle) >= self._max_idle:
+        if len(idle) >= self._max_idle_per_address:
             connection.close()
         else:
             connection.on_idle_connection_error = self.on_idle_connection_error
