--- a/loomwind/http/client.py
+++ b/loomwind/http/client.py
@@ -122,9 +122,9 @@
         self.state = ClientState.ACTIVE
         head = _head_event(request, self.address)
         with map_exceptions(PROTOCOL_EXCEPTIONS):
-            pieces = [self._h11.send(head), self._h11.send(h11.Data(data=request.body))]
-            pieces.append(self._h11.send(h11.EndOfMessage()))
-        self._transport.write(b"".join(piece for piece in pieces if piece))
+            parts = [self._h11.send(head), self._h11.send(h11.Data(data=request.body))]
+            parts.append(self._h11.send(h11.EndOfMessage()))
+        self._transport.write(b"".join(part for part in parts if part))
 
     async def _next_event(self) -> object:
         while True:
@@ -162,7 +162,7 @@
             self.expires_at = now + seconds - KEEP_ALIVE_MARGIN_SECONDS
 
     def abort_reading(self) -> None:
-        """Make the pending read fail with :class:`ExchangeTimeout`: the server has stalled."""
+        """Make reads that wait for data fail with :class:`ExchangeTimeout`."""
         self._read_aborted = True
         self._wake()
 
@@ -170,6 +170,7 @@
         """Return the response's status and headers, without its body.
 
         :raises ConnectionBroken: the connection ended before the head was complete.
+        :raises ExchangeTimeout: the read was aborted.
         """
         event: object = None
         while not isinstance(event, h11.Response):
@@ -207,6 +208,7 @@
         """Return the part of the body that has arrived; empty at the end of the body.
 
         :raises BodyTruncated: the connection ended before the end of the body.
+        :raises ExchangeTimeout: the read was aborted.
         """
         if self._body_complete:
             self._finish_exchange()
@@ -385,8 +387,8 @@
                 head = await connection.read_head()
                 connection.note_keep_alive(head)
                 body = bytearray()
-                while piece := await connection.read_body():
-                    body += piece
+                while data := await connection.read_body():
+                    body += data
                     if len(body) > max_bytes:
                         raise ConnectionBroken("the answer is too large")
         except TimeoutError as error:
