--- a/loomwind/logs.py
+++ b/loomwind/logs.py
@@ -1,7 +1,7 @@
 """Structured logs with eliot: one JSON line for each state change and each decision.
 
 Lines go through a bounded buffer that a background task flushes, so that logging never blocks a
-request. Lines that do not fit are dropped; the next line written gives their number.
+request. Lines that do not fit are dropped, and a later line reports their number.
 """
 
 import asyncio
@@ -67,7 +67,7 @@
 
 
 def log_to_stderr() -> None:
-    """Log to standard error, unbuffered."""
+    """Log to standard error, without the bounded buffer."""
     eliot.to_file(sys.stderr)
 
 
