--- a/loomwind/constants.py
+++ b/loomwind/constants.py
@@ -82,4 +82,5 @@
 # Platform calls and shutdown.
 PLATFORM_TIMEOUT_SECONDS: Final = 1.0
 SHUTDOWN_GRACE_SECONDS: Final = 30.0
+# Requests are still accepted during this delay, while peers and load balancers learn of the stop.
 SHUTDOWN_DELAY_SECONDS: Final = 1.0
