--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -54,30 +54,30 @@
         self._daemon = daemon
         self._clock = clock
         self._content = _read_bytes(path)
-        self._requested = asyncio.Event()
+        self._reload_requested = asyncio.Event()
 
     def install_signal_handler(self) -> None:
         """Check the file on each SIGHUP."""
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._requested.set)
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._reload_requested.set)
 
     async def run(self) -> None:
         """Check the file periodically and on SIGHUP, until cancelled."""
         while True:
             await self._wait_for_trigger()
-            signalled = self._requested.is_set()
-            self._requested.clear()
+            signalled = self._reload_requested.is_set()
+            self._reload_requested.clear()
             self.check_file(signalled)
 
     async def _wait_for_trigger(self) -> None:
         triggers = [
-            asyncio.ensure_future(self._requested.wait()),
+            asyncio.ensure_future(self._reload_requested.wait()),
             asyncio.ensure_future(self._clock.sleep_ms(POLL_INTERVAL_MS)),
         ]
         try:
             await asyncio.wait(triggers, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for trigger in triggers:
-                trigger.cancel()
+            for wait in triggers:
+                wait.cancel()
 
     def check_file(self, signalled: bool) -> None:
         """Reload the file if its content has changed.
