--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -112,7 +112,7 @@
         self.membership = membership
         claims = ClaimStore(OWN, RETENTION_SECONDS)
         register = RegisterService(membership, transport, self.table, SEATS, claims, metrics)
-        register.note_register(value(0, self.voters).stamp, self.voters)
+        register.observe_register(value(0, self.voters).stamp, self.voters)
         for each in self.accepted:
             register.on_message(Accept(CELL, each))
         self.says_that_it_votes = bool(metrics.voter._value.get())
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -312,7 +312,7 @@
         answer = self.voter.on_accept(message)
         value = message.value
         if isinstance(answer, Accepted):
-            self.note_register(value.stamp, value.voters, value.joint)
+            self.observe_register(value.stamp, value.voters, value.joint)
             if value.epoch == 0 and self.voter.identity in value.voters:
                 self.claims.found(value.stamp.generation, self._membership.now)
         return answer
@@ -331,7 +331,7 @@
             )
         return self.voter.on_prepare(message)
 
-    def note_register(
+    def observe_register(
         self, stamp: Stamp, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
     ) -> None:
         """Learn a newer register stamp and its voter set from a peer.
@@ -386,7 +386,7 @@
         self._note_committed()
 
     def _note_committed(self) -> None:
-        self.note_register(self.committed.stamp, self.committed.voters, self.committed.joint)
+        self.observe_register(self.committed.stamp, self.committed.voters, self.committed.joint)
 
     async def change_voters(self, voters: tuple[VoterId, ...]) -> None:
         """Put another voter set on a majority of the old one and of itself.
--- a/loomwind/peer_dispatch.py
+++ b/loomwind/peer_dispatch.py
@@ -110,7 +110,7 @@
         if self._router.on_routing(update):
             self._register.note_infos(update.voters)
             voters = tuple(sorted(info.identity for info in update.voters))
-            self._register.note_register(update.stamp, voters)
+            self._register.observe_register(update.stamp, voters)
 
     def _on_backend_report(self, report: BackendReport) -> None:
         self._router.on_backend_report(report)
