--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -172,7 +172,7 @@
         self.generation = known.number
         self.voters = tuple(sorted(info.identity for info in known.voters))
         self._joint = ()
-        self.note_infos(known.voters)
+        self.update_member_infos(known.voters)
         log_state("generation", "known", generation=known.number)
 
     async def _found(self, number: int) -> bool:
@@ -353,7 +353,7 @@
         if self.leading and (stamp.generation, stamp.ballot) > term:
             self.step_down()
 
-    def note_infos(self, infos: tuple[MemberInfo, ...]) -> None:
+    def update_member_infos(self, infos: tuple[MemberInfo, ...]) -> None:
         """Learn the addresses of voters."""
         self._infos.update({info.identity: info for info in infos})
 
--- a/loomwind/peer_dispatch.py
+++ b/loomwind/peer_dispatch.py
@@ -108,7 +108,7 @@
     def on_routing(self, update: RoutingUpdate) -> None:
         """Take in a routing update, and with it who votes."""
         if self._router.on_routing(update):
-            self._register.note_infos(update.voters)
+            self._register.update_member_infos(update.voters)
             voters = tuple(sorted(info.identity for info in update.voters))
             self._register.observe_register(update.stamp, voters)
 
