--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -118,7 +118,7 @@
         self.says_that_it_votes = bool(metrics.voter._value.get())
         for identity, stamp in self.peer_stamps.items():
             membership.detector.heard(member(identity), membership.now)
-            register.note_peer_stamp(identity, stamp)
+            register.record_peer_stamp(identity, stamp)
         for identity in self.ended:
             membership.detector.heard(member(identity), membership.now)
             membership.detector.refused(identity)
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -200,7 +200,7 @@
         present = {info.identity for info in self._membership.reachable()}
         return any(self._peer_stamps.get(peer, self.seen) > self.seen for peer in present)
 
-    def note_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
+    def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
         """Take in the newest register stamp that a peer knows."""
         self._peer_stamps[peer] = stamp
         members = self._membership.detector.members
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -262,7 +262,7 @@
         self.catalog.on_digest(member, digest.catalog_version)
         if member.cell != self.membership.own.cell:
             return
-        self.register.note_peer_stamp(member.identity, digest.register)
+        self.register.record_peer_stamp(member.identity, digest.register)
         if self._should_fetch_routing(digest):
             self._spawn(self._fetch_routing(member))
         if self._controller is not None:
