--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -55,7 +55,7 @@
         self.generation = 0
         self.voters: tuple[VoterId, ...] = ()
         self._joint: tuple[VoterId, ...] = ()
-        self.seen = Stamp()
+        self.newest_stamp = Stamp()
         self._peer_stamps: dict[VoterId, Stamp] = {}
         self.on_lead: Callable[[], None] = lambda: None
         self.on_step_down: Callable[[], None] = lambda: None
@@ -198,7 +198,9 @@
     def _peer_knows_newer(self) -> bool:
         """Whether a peer that is not gone knows a newer voter set: then that one has to judge."""
         present = {info.identity for info in self._membership.reachable()}
-        return any(self._peer_stamps.get(peer, self.seen) > self.seen for peer in present)
+        return any(
+            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in present
+        )
 
     def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
         """Take in the newest register stamp that a peer knows."""
@@ -338,9 +340,9 @@
 
         :param joint: the earlier voter set while the change is not settled.
         """
-        if stamp <= self.seen:
+        if stamp <= self.newest_stamp:
             return
-        self.seen = stamp
+        self.newest_stamp = stamp
         if stamp.generation >= self.generation:
             self.generation = stamp.generation
             self.voters = voters
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -254,7 +254,7 @@
             catalog_version=self.catalog.catalog.version,
             routing=self.router.table.stamp,
             routing_sequence=self.router.table.sequence,
-            register=self.register.seen,
+            register=self.register.newest_stamp,
             hears_leader=self.membership.hears_leader(),
         )
 
