--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -156,7 +156,7 @@
         """Return the generation that the table has in the end."""
         register = self.make()
         generations = GenerationStore(self.table, CELL)
-        await generations.found(Generation(1, tuple(member(v) for v in self.voters)))
+        await generations.create(Generation(1, tuple(member(v) for v in self.voters)))
         running = asyncio.create_task(register.run())
         known: Generation | None = None
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
--- a/loomwind/control/generation.py
+++ b/loomwind/control/generation.py
@@ -34,7 +34,7 @@
         row = await self._table.read(self._key)
         return msgspec.msgpack.decode(row.value, type=Generation) if row.version else None
 
-    async def found(self, generation: Generation) -> bool:
+    async def create(self, generation: Generation) -> bool:
         """Write a generation that follows the stored one.
 
         :returns: False when another daemon was first or the answer is lost: what counts then is
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -181,7 +181,7 @@
         chosen = choose_voters((), alive, self._seats)
         members = tuple(info for info in alive if info.identity in chosen)
         founded = Generation(number, members)
-        if not await self._generations.found(founded):
+        if not await self._generations.create(founded):
             return False
         log_state("generation", "founded", generation=number)
         self._adopt(founded)
@@ -316,7 +316,7 @@
         if isinstance(answer, Accepted):
             self.observe_register(value.stamp, value.voters, value.joint)
             if value.epoch == 0 and self.voter.identity in value.voters:
-                self.claims.found(value.stamp.generation, self._membership.now)
+                self.claims.create(value.stamp.generation, self._membership.now)
         return answer
 
     def _on_prepare(self, message: Prepare) -> AnyMessage:
