--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -62,7 +62,7 @@
     def __len__(self) -> int:
         return len(self._held)
 
-    def found(self, generation: int, now: float) -> None:
+    def start_generation(self, generation: int, now: float) -> None:
         """Become ready as one of the first voters of a generation.
 
         The claims of an earlier generation are lost. Until they would have been forgotten, no
