--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -316,7 +316,7 @@
         if isinstance(answer, Accepted):
             self.observe_register(value.stamp, value.voters, value.joint)
             if value.epoch == 0 and self.voter.identity in value.voters:
-                self.claims.create(value.stamp.generation, self._membership.now)
+                self.claims.start_generation(value.stamp.generation, self._membership.now)
         return answer
 
     def _on_prepare(self, message: Prepare) -> AnyMessage:
