--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -164,7 +164,7 @@
         alive = len(self._membership.alive())
         if self._membership.has_seeds and alive < self._seats and waited < BOOTSTRAP_WAIT_SECONDS:
             return False
-        return await self._found(1)
+        return await self._create_generation(1)
 
     def _adopt(self, known: Generation) -> None:
         if known.number <= self.generation:
@@ -175,7 +175,7 @@
         self.update_member_infos(known.voters)
         log_state("generation", "known", generation=known.number)
 
-    async def _found(self, number: int) -> bool:
+    async def _create_generation(self, number: int) -> bool:
         """Found a generation with voters from the live daemons; False when another was first."""
         alive = self._membership.alive()
         chosen = choose_voters((), alive, self._seats)
@@ -221,7 +221,7 @@
         if known is not None and known.number > self.generation:
             self._adopt(known)
             return False
-        return await self._found(self.generation + 1)
+        return await self._create_generation(self.generation + 1)
 
     async def _campaign(self) -> None:
         self._settled = asyncio.get_running_loop().create_future()
