--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -145,7 +145,7 @@
     async def _seek_role(self) -> None:
         if not await self._know_generation():
             return
-        if self._majority_has_ended() and not await self._found_generation():
+        if self._majority_has_ended() and not await self._create_next_generation():
             return
         await self._campaign()
 
@@ -212,7 +212,7 @@
         member = self._membership.detector.members.get(voter)
         return voter in self._refused_voters or (member is not None and member.ended)
 
-    async def _found_generation(self) -> bool:
+    async def _create_next_generation(self) -> bool:
         """Found the next generation, unless one was founded already."""
         try:
             known = await self._generations.read()
