--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -122,7 +122,7 @@
         )
         return ClaimTransfer(self._identity, self._ready, records)
 
-    def admit(
+    def import_claims(
         self, generation: int, epoch: int, transfers: list[ClaimTransfer], now: float
     ) -> None:
         """Become ready with the claims of a majority of the earlier voter set."""
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -88,7 +88,7 @@
         if 2 * len(ready) <= message.voter_count:
             return VoterAdmitted(ready=False)
         now = self._membership.now
-        self._claims.admit(message.generation, message.epoch, ready, now)
+        self._claims.import_claims(message.generation, message.epoch, ready, now)
         return VoterAdmitted(ready=True)
 
     async def _fetch_claims(
