--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -140,7 +140,7 @@
         groups = [
             entry.group.name for entry in self._catalog.catalog.values(Kind.GROUP) if entry.group
         ]
-        queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_of(g)) for g in groups]
+        queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_in_group(g)) for g in groups]
         return pb.StatusReply(
             daemon=self._membership.own.identity.name,
             catalog_version=self._catalog.catalog.version,
--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -45,7 +45,7 @@
         """Return how many requests wait for a target."""
         return self._waiting_by_target[target]
 
-    def waiting_of(self, group: str) -> int:
+    def waiting_in_group(self, group: str) -> int:
         """Return how many requests of a group wait."""
         return self._queue.count(group)
 
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -76,7 +76,7 @@
             ready=bool(self.table.backends(identified.target)),
             estimate_seconds=self.table.estimate_seconds(identified.target),
             controlled=self._is_controlled(),
-            waiting=self.queue.waiting_of(identified.group),
+            waiting=self.queue.waiting_in_group(identified.group),
             queue_seconds=queue_seconds,
         )
 
