--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -27,7 +27,7 @@
         :param weight: the places that this router was lent for a group, if any.
         """
         self._weight = weight
-        self.on_demand: Callable[[], None] = lambda: None
+        self.on_demand_changed: Callable[[], None] = lambda: None
         self.arrivals: Counter[tuple[Target, str]] = Counter()
         self._selector = selector
         self._queue: FairQueue[WaitingRequest] = FairQueue()
@@ -62,7 +62,7 @@
         self._waiting_by_target[admitted.target] += 1
         self.pump()
         if not turn.done():
-            self.on_demand()
+            self.on_demand_changed()
         try:
             return await turn
         except asyncio.CancelledError:
@@ -78,7 +78,7 @@
         if entry.turn.done() and not entry.turn.cancelled() and not entry.turn.exception():
             self._selector.release(entry.turn.result())
             self.pump()
-        self.on_demand()
+        self.on_demand_changed()
 
     def pump(self) -> None:
         """Give free slots to waiting requests, in fair order."""
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -44,7 +44,7 @@
         self.selector = Selector(self.table, membership.own.zone)
         self.queue = RequestQueue(self.selector, self.table.weight)
         self.reporter = DemandReporter(membership, transport, self.queue, self.selector)
-        self.queue.on_demand = self.reporter.notify
+        self.queue.on_demand_changed = self.reporter.notify
         self._membership = membership
         self._transport = transport
         self._metrics = metrics
