--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -28,7 +28,7 @@
 CALL_TIMEOUT_SECONDS = 0.5
 
 
-class HeldKey(Struct, frozen=True):
+class ClaimHandle(Struct, frozen=True):
     """A claim that a majority granted to this daemon."""
 
     key: str
@@ -63,7 +63,7 @@
         self._attempts = itertools.count(1)
         self._random = random.Random(membership.own.identity.incarnation)
 
-    async def claim(self, key: str, timeout: float) -> HeldKey:
+    async def claim(self, key: str, timeout: float) -> ClaimHandle:
         """Claim a key.
 
         :raises ClaimTaken: another request has it, or may have it.
@@ -74,7 +74,7 @@
         try:
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
-                    held = HeldKey(key, next(self._attempts))
+                    held = ClaimHandle(key, next(self._attempts))
                     standing = await self._try(held)
                     if standing is Standing.WON:
                         return held
@@ -85,7 +85,7 @@
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _try(self, held: HeldKey) -> Standing:
+    async def _try(self, held: ClaimHandle) -> Standing:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
             standing = await self._ask(held)
@@ -96,7 +96,7 @@
             self.release(held)
         return standing
 
-    async def _ask(self, held: HeldKey) -> Standing:
+    async def _ask(self, held: ClaimHandle) -> Standing:
         update = self._routing()
         if update is None or not update.voters:
             return Standing.UNANSWERED
@@ -142,7 +142,7 @@
             return None
         return answer if isinstance(answer, ClaimAnswer) else None
 
-    def release(self, held: HeldKey) -> None:
+    def release(self, held: ClaimHandle) -> None:
         """Give a key back whose request did not run and will not."""
         own = self._membership.own
         message = ClaimRelease(own.cell, held.key, own.identity, held.attempt)
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -7,7 +7,7 @@
 
 from loomwind import constants
 from loomwind.catalog.model import Catalog
-from loomwind.control.claim_service import ClaimService, HeldKey
+from loomwind.control.claim_service import ClaimService, ClaimHandle
 from loomwind.control.errors import ClaimBarrier, ClaimTaken, ClaimUnavailable
 from loomwind.http.errors import ConnectionBroken
 from loomwind.http.server import Exchange
@@ -51,7 +51,7 @@
 
     def __init__(self) -> None:
         self.attempt: Attempt | None = None
-        self.held: HeldKey | None = None
+        self.held: ClaimHandle | None = None
         self.may_have_run = False
 
     @property
@@ -242,7 +242,7 @@
         self._selector.release(attempt.selected)
         self._queue.pump()
 
-    async def _claim(self, admitted: AdmittedRequest) -> HeldKey | None:
+    async def _claim(self, admitted: AdmittedRequest) -> ClaimHandle | None:
         """Claim the request's key, if it has one.
 
         :raises RequestRefused: the key was not granted.
