--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -89,7 +89,7 @@
 
 def _claims_memory() -> float:
     store = ClaimStore(_identity(1), 900.0)
-    store.found(1, 0.0)
+    store.start_generation(1, 0.0)
 
     def grant(number: int) -> None:
         store.on_claim(Claim("cell", 1, 0, f"school/{number:036x}", _identity(1), number), 0.0)
