--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -199,7 +199,7 @@
 def step_fails(context: Any, count: int) -> None:
     context.circuit = CircuitBreaker()
     for _ in range(count):
-        context.circuit.failed(now=0.0)
+        context.circuit.record_failure(now=0.0)
 
 
 @then("its circuit refuses requests, and after {seconds:g} s lets just one through")
@@ -207,9 +207,9 @@
     assert seconds == constants.CIRCUIT_OPEN_SECONDS
     assert not context.circuit.allows(now=seconds / 2)
     assert context.circuit.allows(now=seconds)
-    context.circuit.begin()
+    context.circuit.record_sent()
     assert not context.circuit.allows(now=seconds)
-    context.circuit.succeeded()
+    context.circuit.record_success()
     assert context.circuit.allows(now=seconds)
 
 
--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -20,20 +20,20 @@
             return True
         return now >= self._open_until and not self._probing
 
-    def begin(self) -> None:
+    def record_sent(self) -> None:
         """Count a request that is sent."""
         self._probing = self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD
 
-    def abandoned(self) -> None:
+    def record_ended(self) -> None:
         """Count a request that ended for a reason of its own; it says nothing of the back end."""
         self._probing = False
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Close the circuit."""
         self._failures = 0
         self._probing = False
 
-    def failed(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Count a failure; returns whether the circuit opened by it."""
         self._failures += 1
         self._probing = False
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -222,7 +222,7 @@
         except BaseException as error:
             self._on_attempt_failed(attempt, progress, error)
             raise
-        self._selector.circuit(selected.backend.name).succeeded()
+        self._selector.circuit(selected.backend.name).record_success()
         return Answer(response, body, self._now() - began)
 
     def _on_attempt_failed(
@@ -231,13 +231,13 @@
         backend = attempt.selected.backend.name
         circuit = self._selector.circuit(backend)
         if isinstance(error, AttemptFailed) and error.stale_route:
-            circuit.abandoned()
+            circuit.record_ended()
             self._table.drop_replica(attempt.selected.admitted.target, backend)
         elif isinstance(error, AttemptFailed):
-            if circuit.failed(self._now()):
+            if circuit.record_failure(self._now()):
                 log_state("circuit", "open", backend=backend)
         else:
-            circuit.abandoned()
+            circuit.record_ended()
         progress.may_have_run |= attempt.handed_over
         self._selector.release(attempt.selected)
         self._queue.pump()
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -66,7 +66,7 @@
         chosen = choose(self.candidates(admitted.target, now))
         if chosen is None:
             return None
-        self.circuit(chosen.backend.name).begin()
+        self.circuit(chosen.backend.name).record_sent()
         self.running[chosen.backend.name] += 1
         self.running_by_target[(admitted.target, admitted.identified.group)] += 1
         return SelectedRequest(admitted, chosen.backend)
