--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -187,7 +187,7 @@
     context.allowed = 0
     for _ in range(count):
         budget.on_request()
-        context.allowed += budget.take()
+        context.allowed += budget.try_spend()
 
 
 @then("at most {count:d} retries are allowed")
--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -53,7 +53,7 @@
         limit = constants.RETRY_BUDGET_CAPACITY
         self._tokens = min(limit, self._tokens + constants.RETRY_BUDGET_RATIO)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry; False when the budget is used up."""
         if self._tokens < 1.0:
             return False
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -181,7 +181,7 @@
         """
         safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
         last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if safe and not last and self._budget.take():
+        if safe and not last and self._budget.try_spend():
             return
         unstarted = failure.outcome is Outcome.NOT_RUN
         problem = Problem.NO_BACKEND if unstarted else Problem.BACKEND_FAILED
