--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -44,7 +44,7 @@
         membership: Membership,
         transport: PeerTransport,
         table: TableService,
-        seats: int,
+        voter_count: int,
         claims: ClaimStore,
         metrics: Metrics,
     ) -> None:
@@ -62,7 +62,7 @@
         self._membership = membership
         self._transport = transport
         self._generations = GenerationStore(table, own.cell)
-        self._seats = seats
+        self._seats = voter_count
         self._metrics = metrics
         self._infos: dict[VoterId, MemberInfo] = {}
         self._settled: asyncio.Future[None] | None = None
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -33,13 +33,13 @@
         membership: Membership,
         transport: PeerTransport,
         claims: ClaimStore,
-        seats: int,
+        voter_count: int,
     ) -> None:
         self._register = register
         self._membership = membership
         self._transport = transport
         self._claims = claims
-        self._seats = seats
+        self._seats = voter_count
 
     async def repair(self) -> bool:
         """Replace voters that are gone or leaving, and fill free seats; only while leading.
