--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -62,7 +62,7 @@
         self._membership = membership
         self._transport = transport
         self._generations = GenerationStore(table, own.cell)
-        self._seats = voter_count
+        self._voter_count = voter_count
         self._metrics = metrics
         self._infos: dict[VoterId, MemberInfo] = {}
         self._settled: asyncio.Future[None] | None = None
@@ -162,7 +162,11 @@
             return True
         waited = self._membership.now - self._started_at
         alive = len(self._membership.alive())
-        if self._membership.has_seeds and alive < self._seats and waited < BOOTSTRAP_WAIT_SECONDS:
+        if (
+            self._membership.has_seeds
+            and alive < self._voter_count
+            and waited < BOOTSTRAP_WAIT_SECONDS
+        ):
             return False
         return await self._create_generation(1)
 
@@ -178,7 +182,7 @@
     async def _create_generation(self, number: int) -> bool:
         """Found a generation with voters from the live daemons; False when another was first."""
         alive = self._membership.alive()
-        chosen = choose_voters((), alive, self._seats)
+        chosen = choose_voters((), alive, self._voter_count)
         members = tuple(info for info in alive if info.identity in chosen)
         founded = Generation(number, members)
         if not await self._generations.create(founded):
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -39,7 +39,7 @@
         self._membership = membership
         self._transport = transport
         self._claims = claims
-        self._seats = voter_count
+        self._voter_count = voter_count
 
     async def repair(self) -> bool:
         """Replace voters that are gone or leaving, and fill free seats; only while leading.
@@ -50,7 +50,7 @@
         present = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        wanted = choose_voters(present, alive + [m.info for m in suspects], self._seats)
+        wanted = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
         if set(wanted) == set(present) or not keeps_majority(present, alive):
             return False
         for voter in wanted:
