--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -30,7 +30,7 @@
 from loomwind.settings import ControlSettings
 
 CELL = "cell"
-SEATS = 3
+VOTER_COUNT = 3
 RETENTION_SECONDS = 900.0
 LONG_AGO_SECONDS = 1000.0
 POLL_SECONDS = 0.02
@@ -111,7 +111,7 @@
         membership = MovedMembership(member(OWN), ("seed",), ControlSettings(), transport, metrics)
         self.membership = membership
         claims = ClaimStore(OWN, RETENTION_SECONDS)
-        register = RegisterService(membership, transport, self.table, SEATS, claims, metrics)
+        register = RegisterService(membership, transport, self.table, VOTER_COUNT, claims, metrics)
         register.observe_register(value(0, self.voters).stamp, self.voters)
         for each in self.accepted:
             register.on_message(Accept(CELL, each))
