--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -32,13 +32,15 @@
     :raises RequestRefused: it cannot be served in time.
     """
     check_room(view.waiting, identified.max_waiting, identified.group)
-    refusal = judge(identified, view, now)
+    refusal = refusal_for(identified, view, now)
     if refusal is not None:
         raise refusal
     return AdmittedRequest(identified)
 
 
-def judge(identified: IdentifiedRequest, view: AdmissionView, now: float) -> RequestRefused | None:
+def refusal_for(
+    identified: IdentifiedRequest, view: AdmissionView, now: float
+) -> RequestRefused | None:
     """Return the refusal of a request that cannot be served in time, or None."""
     left = identified.parsed.deadline - now
     if view.ready:
--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -92,10 +92,10 @@
                 continue
             entry.turn.set_result(selected)
 
-    def refuse_where(self, judge: Callable[[AdmittedRequest], RequestRefused | None]) -> None:
+    def refuse_where(self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]) -> None:
         """End the wait of each request for which ``judge`` returns a refusal."""
         for entry in list(self._queue):
-            refusal = judge(entry.admitted)
+            refusal = refusal_for(entry.admitted)
             if refusal is not None and not entry.turn.done():
                 identified = entry.admitted.identified
                 self._queue.remove(identified.priority, identified.group, entry)
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -11,7 +11,7 @@
 from loomwind.messages import BackendReport, RoutingUpdate
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
-from loomwind.pipeline.admit import AdmissionView, judge
+from loomwind.pipeline.admit import AdmissionView, refusal_for
 from loomwind.pipeline.demand_reporter import DemandReporter
 from loomwind.pipeline.errors import RequestRefused
 from loomwind.pipeline.forward import Forwarder
@@ -100,7 +100,7 @@
     def _judge(self, request: AdmittedRequest) -> RequestRefused | None:
         # Its place in the queue was judged when it came; only loads and the controller may change.
         view = self._view(request.identified, queue_seconds=0.0)
-        return judge(request.identified, view, self._membership.now)
+        return refusal_for(request.identified, view, self._membership.now)
 
     def on_routing(self, update: RoutingUpdate) -> bool:
         """Take in a routing update; returns whether it was newer."""
