--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -95,9 +95,9 @@
     def review(self) -> None:
         """Serve what can go out, and refuse what cannot be served in time any more."""
         self.queue.pump()
-        self.queue.refuse_where(self._judge)
+        self.queue.refuse_where(self._refusal_for)
 
-    def _judge(self, request: AdmittedRequest) -> RequestRefused | None:
+    def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
         # Its place in the queue was judged when it came; only loads and the controller may change.
         view = self._view(request.identified, queue_seconds=0.0)
         return refusal_for(request.identified, view, self._membership.now)
