--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -92,7 +92,9 @@
                 continue
             entry.turn.set_result(selected)
 
-    def refuse_where(self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]) -> None:
+    def refuse_matching(
+        self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]
+    ) -> None:
         """End the wait of each request for which ``judge`` returns a refusal."""
         for entry in list(self._queue):
             refusal = refusal_for(entry.admitted)
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -95,7 +95,7 @@
     def review(self) -> None:
         """Serve what can go out, and refuse what cannot be served in time any more."""
         self.queue.pump()
-        self.queue.refuse_where(self._refusal_for)
+        self.queue.refuse_matching(self._refusal_for)
 
     def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
         # Its place in the queue was judged when it came; only loads and the controller may change.
