--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from loomwind.pipeline.errors import Problem, RequestRefused
-from loomwind.pipeline.queue import check_room
+from loomwind.pipeline.queue import check_queue_limit
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 
 CONTROLLER_RETRY_SECONDS = 5.0
@@ -31,7 +31,7 @@
 
     :raises RequestRefused: it cannot be served in time.
     """
-    check_room(view.waiting, identified.max_waiting, identified.group)
+    check_queue_limit(view.waiting, identified.max_waiting, identified.group)
     refusal = refusal_for(identified, view, now)
     if refusal is not None:
         raise refusal
--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -104,7 +104,7 @@
                 entry.turn.set_exception(refusal)
 
 
-def check_room(waiting: int, limit: int, group: str) -> None:
+def check_queue_limit(waiting: int, limit: int, group: str) -> None:
     """Check that a group may have one more request waiting.
 
     :raises RequestRefused: it has as many as it may.
