--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -153,7 +153,7 @@
 
     def _release(self, response: ForwardedResponse) -> None:
         self._selector.release(response.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
     async def _obtain(self, admitted: AdmittedRequest) -> Answer:
         """Try until there is an answer, the deadline is near, or trying again is not allowed."""
@@ -240,7 +240,7 @@
             circuit.record_ended()
         progress.may_have_run |= attempt.handed_over
         self._selector.release(attempt.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
     async def _claim(self, admitted: AdmittedRequest) -> ClaimHandle | None:
         """Claim the request's key, if it has one.
--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -60,7 +60,7 @@
         weight = self._weight(identified.group) or identified.share
         self._queue.push(identified.priority, identified.group, weight, entry)
         self._waiting_by_target[admitted.target] += 1
-        self.pump()
+        self.dispatch()
         if not turn.done():
             self.on_demand_changed()
         try:
@@ -77,10 +77,10 @@
         self._queue.remove(identified.priority, identified.group, entry)
         if entry.turn.done() and not entry.turn.cancelled() and not entry.turn.exception():
             self._selector.release(entry.turn.result())
-            self.pump()
+            self.dispatch()
         self.on_demand_changed()
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Give free slots to waiting requests, in fair order."""
         now = self._now()
         while True:
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -94,7 +94,7 @@
 
     def review(self) -> None:
         """Serve what can go out, and refuse what cannot be served in time any more."""
-        self.queue.pump()
+        self.queue.dispatch()
         self.queue.refuse_matching(self._refusal_for)
 
     def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
@@ -125,4 +125,4 @@
     def on_backend_report(self, report: BackendReport) -> None:
         """Take in what another daemon saw of a back end."""
         self.table.mark_leaving(report.backend, report.leaving)
-        self.queue.pump()
+        self.queue.dispatch()
