--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -284,7 +284,7 @@
             self._dispatch.on_routing(answer)
 
     def _on_catalog_change(self) -> None:
-        self.router.review()
+        self.router.recheck_waiting()
         self._wake_controller()
 
     def _wake_controller(self) -> None:
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -90,9 +90,9 @@
         """Review the waiting requests now and then, until cancelled."""
         while True:
             await asyncio.sleep(REVIEW_INTERVAL_SECONDS)
-            self.review()
+            self.recheck_waiting()
 
-    def review(self) -> None:
+    def recheck_waiting(self) -> None:
         """Serve what can go out, and refuse what cannot be served in time any more."""
         self.queue.dispatch()
         self.queue.refuse_matching(self._refusal_for)
@@ -107,7 +107,7 @@
         if not self.table.apply(update):
             return False
         self._metrics.replicas.set(sum(len(engine.replicas) for engine in update.engines))
-        self.review()
+        self.recheck_waiting()
         return True
 
     def on_leaving(self, backend: str) -> None:
