--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -23,7 +23,7 @@
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 from loomwind.settings import LimitSettings
 
-REVIEW_INTERVAL_SECONDS = 0.1
+RECHECK_INTERVAL_SECONDS = 0.1
 CONTROLLER_ABSENCE_SECONDS = 5.0
 
 
@@ -89,7 +89,7 @@
     async def run(self) -> None:
         """Review the waiting requests now and then, until cancelled."""
         while True:
-            await asyncio.sleep(REVIEW_INTERVAL_SECONDS)
+            await asyncio.sleep(RECHECK_INTERVAL_SECONDS)
             self.recheck_waiting()
 
     def recheck_waiting(self) -> None:
