--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -24,7 +24,7 @@
 from loomwind.settings import LimitSettings
 
 RECHECK_INTERVAL_SECONDS = 0.1
-CONTROLLER_ABSENCE_SECONDS = 5.0
+CONTROLLER_GRACE_SECONDS = 5.0
 
 
 class Router:
@@ -84,7 +84,7 @@
         """Whether the cell has a controller, or may soon have one again."""
         up_seconds = self._membership.now - self._started_at
         silence = min(self._membership.leader_silence_seconds(), up_seconds)
-        return silence < CONTROLLER_ABSENCE_SECONDS
+        return silence < CONTROLLER_GRACE_SECONDS
 
     async def run(self) -> None:
         """Review the waiting requests now and then, until cancelled."""
