--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -75,12 +75,12 @@
         return AdmissionView(
             ready=bool(self.table.backends(identified.target)),
             estimate_seconds=self.table.estimate_seconds(identified.target),
-            controlled=self._is_controlled(),
+            controlled=self._has_controller(),
             waiting=self.queue.waiting_in_group(identified.group),
             queue_seconds=queue_seconds,
         )
 
-    def _is_controlled(self) -> bool:
+    def _has_controller(self) -> bool:
         """Whether the cell has a controller, or may soon have one again."""
         up_seconds = self._membership.now - self._started_at
         silence = min(self._membership.leader_silence_seconds(), up_seconds)
