--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -13,9 +13,11 @@
 class WaitingRequest:
     """A request in the queue, and the future that ends its wait."""
 
-    def __init__(self, admitted: AdmittedRequest, turn: asyncio.Future[SelectedRequest]) -> None:
+    def __init__(
+        self, admitted: AdmittedRequest, selection: asyncio.Future[SelectedRequest]
+    ) -> None:
         self.admitted = admitted
-        self.turn = turn
+        self.selection = selection
 
 
 class RequestQueue:
@@ -55,16 +57,16 @@
         :raises RequestRefused: the wait was ended by :meth:`refuse_where`.
         """
         identified = admitted.identified
-        turn: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
-        entry = WaitingRequest(admitted, turn)
+        selection: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
+        entry = WaitingRequest(admitted, selection)
         weight = self._weight(identified.group) or identified.share
         self._queue.push(identified.priority, identified.group, weight, entry)
         self._waiting_by_target[admitted.target] += 1
         self.dispatch()
-        if not turn.done():
+        if not selection.done():
             self.on_demand_changed()
         try:
-            return await turn
+            return await selection
         except asyncio.CancelledError:
             self._withdraw(entry)
             raise
@@ -75,8 +77,12 @@
         """Take a request out whose caller or deadline ended the wait."""
         identified = entry.admitted.identified
         self._queue.remove(identified.priority, identified.group, entry)
-        if entry.turn.done() and not entry.turn.cancelled() and not entry.turn.exception():
-            self._selector.release(entry.turn.result())
+        if (
+            entry.selection.done()
+            and not entry.selection.cancelled()
+            and not entry.selection.exception()
+        ):
+            self._selector.release(entry.selection.result())
             self.dispatch()
         self.on_demand_changed()
 
@@ -88,9 +94,9 @@
             if entry is None:
                 return
             selected = self._selector.select(entry.admitted, now)
-            if selected is None or entry.turn.done():
+            if selected is None or entry.selection.done():
                 continue
-            entry.turn.set_result(selected)
+            entry.selection.set_result(selected)
 
     def refuse_matching(
         self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]
@@ -98,10 +104,10 @@
         """End the wait of each request for which ``judge`` returns a refusal."""
         for entry in list(self._queue):
             refusal = refusal_for(entry.admitted)
-            if refusal is not None and not entry.turn.done():
+            if refusal is not None and not entry.selection.done():
                 identified = entry.admitted.identified
                 self._queue.remove(identified.priority, identified.group, entry)
-                entry.turn.set_exception(refusal)
+                entry.selection.set_exception(refusal)
 
 
 def check_queue_limit(waiting: int, limit: int, group: str) -> None:
