--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -90,7 +90,7 @@
         """Give free slots to waiting requests, in fair order."""
         now = self._now()
         while True:
-            entry = self._queue.pop(lambda e: self._selector.has_free(e.admitted.target, now))
+            entry = self._queue.pop(lambda e: self._selector.has_free_slot(e.admitted.target, now))
             if entry is None:
                 return
             selected = self._selector.select(entry.admitted, now)
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -57,7 +57,7 @@
                 found.append(Candidate(backend, running, slots, near))
         return found
 
-    def has_free(self, target: Target, now: float) -> bool:
+    def has_free_slot(self, target: Target, now: float) -> bool:
         """Return whether a request for a target could go out now."""
         return choose(self.candidates(target, now)) is not None
 
