--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -145,7 +145,7 @@
                 await self._relay.send_held(exchange, response, data, parsed.request_id)
         finally:
             held_seconds = answer.attempt_seconds + self._now() - forwarded_at
-            self._selector.served(admitted.target, held_seconds)
+            self._selector.record_service_time(admitted.target, held_seconds)
             self._release(response)
 
     def _is_ready(self, artifact: Artifact) -> bool:
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -71,7 +71,7 @@
         self.running_by_target[(admitted.target, admitted.identified.group)] += 1
         return SelectedRequest(admitted, chosen.backend)
 
-    def served(self, target: Target, seconds: float) -> None:
+    def record_service_time(self, target: Target, seconds: float) -> None:
         """Take in how long an answered request held its slot."""
         known = self._service_seconds.get(target, seconds)
         self._service_seconds[target] = known + SERVICE_TIME_WEIGHT * (seconds - known)
