--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -9,7 +9,7 @@
 from loomwind.pipeline.types import AdmittedRequest, Backend, SelectedRequest, Target
 
 APPLICATION_SLOTS = 256
-SERVICE_TIME_WEIGHT = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 
 
 class Candidate(Struct, frozen=True):
@@ -74,7 +74,7 @@
     def record_service_time(self, target: Target, seconds: float) -> None:
         """Take in how long an answered request held its slot."""
         known = self._service_seconds.get(target, seconds)
-        self._service_seconds[target] = known + SERVICE_TIME_WEIGHT * (seconds - known)
+        self._service_seconds[target] = known + SERVICE_TIME_SMOOTHING * (seconds - known)
 
     def queue_seconds(self, target: Target, waiting: int, now: float) -> float:
         """Return how long a request waits behind others; 0 when nothing is known."""
