--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -25,7 +25,7 @@
     near: bool
 
 
-def choose(candidates: list[Candidate]) -> Candidate | None:
+def least_loaded(candidates: list[Candidate]) -> Candidate | None:
     """Return the least loaded candidate with a free slot; at equal load a near one."""
     free = [c for c in candidates if c.running < c.slots]
     return min(free, key=lambda c: (c.running / c.slots, not c.near, c.backend.name), default=None)
@@ -59,11 +59,11 @@
 
     def has_free_slot(self, target: Target, now: float) -> bool:
         """Return whether a request for a target could go out now."""
-        return choose(self.candidates(target, now)) is not None
+        return least_loaded(self.candidates(target, now)) is not None
 
     def select(self, admitted: AdmittedRequest, now: float) -> SelectedRequest | None:
         """Take a slot for a request; None when no back end has one free."""
-        chosen = choose(self.candidates(admitted.target, now))
+        chosen = least_loaded(self.candidates(admitted.target, now))
         if chosen is None:
             return None
         self.circuit(chosen.backend.name).record_sent()
