--- a/loomwind/pipeline/forward.py
+++ b/loomwind/pipeline/forward.py
@@ -42,7 +42,7 @@
 
     def __init__(self, selected: SelectedRequest) -> None:
         self.selected = selected
-        self.handed_over = False
+        self.request_sent = False
 
 
 def backend_request(selected: SelectedRequest, resume_from: int | None = None) -> HttpRequest:
@@ -87,7 +87,7 @@
         except ConnectFailed as error:
             raise AttemptFailed(str(error), Outcome.NOT_RUN) from error
         try:
-            attempt.handed_over = True
+            attempt.request_sent = True
             connection.send_request(request)
             head = await connection.read_head()
         except HttpError as error:
@@ -109,7 +109,7 @@
             connection.close()
             raise AttemptFailed("the back end answered another request", Outcome.UNKNOWN)
         if head.header(OUTCOME_HEADER) == NOT_RUN:
-            attempt.handed_over = False
+            attempt.request_sent = False
             connection.close()
             raise AttemptFailed(
                 f"{selected.backend.name} refused it unstarted",
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -57,7 +57,7 @@
     @property
     def outcome(self) -> Outcome:
         """Return what can be said of the request if it ends now."""
-        under_way = self.attempt is not None and self.attempt.handed_over
+        under_way = self.attempt is not None and self.attempt.request_sent
         return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
 
 
@@ -238,7 +238,7 @@
                 log_state("circuit", "open", backend=backend)
         else:
             circuit.record_ended()
-        progress.may_have_run |= attempt.handed_over
+        progress.may_have_run |= attempt.request_sent
         self._selector.release(attempt.selected)
         self._queue.dispatch()
 
