--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -20,7 +20,7 @@
 from loomwind.pipeline.identify import identify
 from loomwind.pipeline.parse import parse
 from loomwind.pipeline.queue import RequestQueue
-from loomwind.pipeline.relay import HeldBody, Relay
+from loomwind.pipeline.relay import BufferedBody, Relay
 from loomwind.pipeline.routing_table import RoutingTable
 from loomwind.pipeline.select import Selector
 from loomwind.pipeline.types import AdmittedRequest, ForwardedResponse, IdentifiedRequest
@@ -38,7 +38,7 @@
     """
 
     response: ForwardedResponse
-    body: HeldBody | None
+    body: BufferedBody | None
     attempt_seconds: float
 
 
--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -26,7 +26,7 @@
 HELD_BODY_BYTES = constants.MEBIBYTE
 
 
-class HeldBody(Struct, frozen=True):
+class BufferedBody(Struct, frozen=True):
     """What was read of a body; the rest is still to come when it is not ``complete``."""
 
     data: bytes
@@ -69,7 +69,7 @@
         self._forwarder = forwarder
         self._relayed = relayed
 
-    async def hold(self, response: ForwardedResponse) -> HeldBody:
+    async def hold(self, response: ForwardedResponse) -> BufferedBody:
         """Read a body that is not a stream, up to a limit.
 
         :raises AttemptFailed: the body was cut short: whether the request ran whole is not known.
@@ -89,7 +89,7 @@
             raise
         if complete:
             self._client.release(connection)
-        return HeldBody(bytes(body), complete)
+        return BufferedBody(bytes(body), complete)
 
     async def send_held(
         self, exchange: Exchange, response: ForwardedResponse, body: bytes, request_id: str
