--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -142,7 +142,7 @@
                 await self._relay.stream(exchange, response, parsed.request_id, prefix)
             else:
                 data = answer.body.data
-                await self._relay.send_held(exchange, response, data, parsed.request_id)
+                await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
             held_seconds = answer.attempt_seconds + self._now() - forwarded_at
             self._selector.record_service_time(admitted.target, held_seconds)
--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -91,7 +91,7 @@
             self._client.release(connection)
         return BufferedBody(bytes(body), complete)
 
-    async def send_held(
+    async def send_buffered(
         self, exchange: Exchange, response: ForwardedResponse, body: bytes, request_id: str
     ) -> None:
         """Send a held answer."""
