--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -218,7 +218,7 @@
                 progress.held = await self._claim(admitted)
             progress.attempt = attempt
             response = await self._forwarder.forward(attempt)
-            body = None if response.streamed else await self._relay.hold(response)
+            body = None if response.streamed else await self._relay.buffer_body(response)
         except BaseException as error:
             self._on_attempt_failed(attempt, progress, error)
             raise
--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -69,7 +69,7 @@
         self._forwarder = forwarder
         self._relayed = relayed
 
-    async def hold(self, response: ForwardedResponse) -> BufferedBody:
+    async def buffer_body(self, response: ForwardedResponse) -> BufferedBody:
         """Read a body that is not a stream, up to a limit.
 
         :raises AttemptFailed: the body was cut short: whether the request ran whole is not known.
