--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -23,7 +23,7 @@
 from loomwind.schema import Outcome
 
 MAX_RESUMES = 2
-HELD_BODY_BYTES = constants.MEBIBYTE
+MAX_BUFFERED_BODY_BYTES = constants.MEBIBYTE
 
 
 class BufferedBody(Struct, frozen=True):
@@ -78,7 +78,7 @@
         connection = response.connection
         complete = False
         try:
-            while len(body) <= HELD_BODY_BYTES and not complete:
+            while len(body) <= MAX_BUFFERED_BODY_BYTES and not complete:
                 piece = await connection.read_body()
                 complete = not piece
                 body += piece
