--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -33,7 +33,7 @@
     complete: bool
 
 
-class AnswerCutShort(AttemptFailed):
+class ResponseTruncated(AttemptFailed):
     """The answer's body ended before its end, after ``sent`` bytes went to the caller."""
 
     def __init__(self, detail: str, sent: int) -> None:
@@ -122,7 +122,7 @@
                 await self._pass_on(exchange, response, request_id, progress)
                 await exchange.finish()
                 return
-            except AnswerCutShort as cut:
+            except ResponseTruncated as cut:
                 resumed = None
                 if resumes < MAX_RESUMES:
                     resumed = await self._resume(response, progress.sent_bytes)
@@ -165,7 +165,7 @@
             if not piece and response.streamed:
                 progress.tail.finish()
         except HttpError as error:
-            raise AnswerCutShort(str(error), progress.sent_bytes) from error
+            raise ResponseTruncated(str(error), progress.sent_bytes) from error
         return piece
 
     @staticmethod
@@ -182,7 +182,9 @@
         except (AttemptFailed, TimeoutError):
             return None
 
-    async def _end_visibly(self, exchange: Exchange, request_id: str, cut: AnswerCutShort) -> None:
+    async def _end_visibly(
+        self, exchange: Exchange, request_id: str, cut: ResponseTruncated
+    ) -> None:
         """Tell a caller that has part of the stream that the rest is missing."""
         if not exchange.started:
             return
@@ -195,7 +197,7 @@
             exchange.abort()
 
     @staticmethod
-    def _refusal(cut: AnswerCutShort) -> RequestRefused:
+    def _refusal(cut: ResponseTruncated) -> RequestRefused:
         return RequestRefused(Problem.ANSWER_CUT_SHORT, str(cut), cut.outcome)
 
 
