--- a/loomwind/pipeline/stall.py
+++ b/loomwind/pipeline/stall.py
@@ -28,7 +28,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def note(self) -> None:
+    def record_activity(self) -> None:
         """Note that something came."""
         self._noted_at = self._loop.time()
 
