--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -48,7 +48,7 @@
         self.sent_bytes = 0
         self.tail = StreamTail()
 
-    def note(self, piece: bytes) -> None:
+    def record_sent(self, piece: bytes) -> None:
         """Count a piece that was sent."""
         self.sent_bytes += len(piece)
         self.tail.feed(piece)
@@ -116,7 +116,7 @@
         if prefix:
             await exchange.start(response.status, _headers(response, request_id))
             await exchange.send(prefix)
-            progress.note(prefix)
+            progress.record_sent(prefix)
         while True:
             try:
                 await self._pass_on(exchange, response, request_id, progress)
@@ -148,10 +148,10 @@
         try:
             with StallWatch(self._stall_seconds, connection.abort_reading) as watch:
                 while piece := await self._next_piece(response, progress):
-                    watch.note()
+                    watch.record_activity()
                     await self._start_once(exchange, response, request_id)
                     await exchange.send(piece)
-                    progress.note(piece)
+                    progress.record_sent(piece)
             await self._start_once(exchange, response, request_id)
         finally:
             self._relayed.inc(progress.sent_bytes - sent_before_bytes)
