--- a/loomwind/pipeline/stall.py
+++ b/loomwind/pipeline/stall.py
@@ -17,7 +17,7 @@
         self._seconds = seconds
         self._on_stall = on_stall
         self._loop = asyncio.get_running_loop()
-        self._noted_at = self._loop.time()
+        self._last_activity_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
 
     def __enter__(self) -> "StallWatch":
@@ -30,10 +30,10 @@
 
     def record_activity(self) -> None:
         """Note that something came."""
-        self._noted_at = self._loop.time()
+        self._last_activity_at = self._loop.time()
 
     def _check(self) -> None:
-        due = self._noted_at + self._seconds
+        due = self._last_activity_at + self._seconds
         if self._loop.time() >= due:
             self._on_stall()
         else:
