--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -119,7 +119,7 @@
             progress.record_sent(prefix)
         while True:
             try:
-                await self._pass_on(exchange, response, request_id, progress)
+                await self._relay_body(exchange, response, request_id, progress)
                 await exchange.finish()
                 return
             except ResponseTruncated as cut:
@@ -132,7 +132,7 @@
                     raise self._refusal(cut) from cut
                 response = resumed
 
-    async def _pass_on(
+    async def _relay_body(
         self,
         exchange: Exchange,
         response: ForwardedResponse,
