--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -147,7 +147,7 @@
         sent_before_bytes = progress.sent_bytes
         try:
             with StallWatch(self._stall_seconds, connection.abort_reading) as watch:
-                while piece := await self._next_piece(response, progress):
+                while piece := await self._read_piece(response, progress):
                     watch.record_activity()
                     await self._start_once(exchange, response, request_id)
                     await exchange.send(piece)
@@ -158,7 +158,7 @@
             self._client.release(connection)
 
     @staticmethod
-    async def _next_piece(response: ForwardedResponse, progress: RelayProgress) -> bytes:
+    async def _read_piece(response: ForwardedResponse, progress: RelayProgress) -> bytes:
         """Return the next piece of a body; empty at its end."""
         try:
             piece = await response.connection.read_body()
