--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -149,10 +149,10 @@
             with StallWatch(self._stall_seconds, connection.abort_reading) as watch:
                 while piece := await self._read_piece(response, progress):
                     watch.record_activity()
-                    await self._start_once(exchange, response, request_id)
+                    await self._ensure_started(exchange, response, request_id)
                     await exchange.send(piece)
                     progress.record_sent(piece)
-            await self._start_once(exchange, response, request_id)
+            await self._ensure_started(exchange, response, request_id)
         finally:
             self._relayed.inc(progress.sent_bytes - sent_before_bytes)
             self._client.release(connection)
@@ -169,7 +169,9 @@
         return piece
 
     @staticmethod
-    async def _start_once(exchange: Exchange, response: ForwardedResponse, request_id: str) -> None:
+    async def _ensure_started(
+        exchange: Exchange, response: ForwardedResponse, request_id: str
+    ) -> None:
         if not exchange.started:
             await exchange.start(response.status, _headers(response, request_id))
 
