--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -128,7 +128,7 @@
                     resumed = await self._resume(response, progress.sent_bytes)
                 resumes += 1
                 if resumed is None:
-                    await self._end_visibly(exchange, request_id, cut)
+                    await self._send_error_event(exchange, request_id, cut)
                     raise self._refusal(cut) from cut
                 response = resumed
 
@@ -184,7 +184,7 @@
         except (AttemptFailed, TimeoutError):
             return None
 
-    async def _end_visibly(
+    async def _send_error_event(
         self, exchange: Exchange, request_id: str, cut: ResponseTruncated
     ) -> None:
         """Tell a caller that has part of the stream that the rest is missing."""
