--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -31,7 +31,7 @@
 RETRY_BARRIER_SECONDS = 30.0
 
 
-class Answer(Struct, frozen=True):
+class BackendResponse(Struct, frozen=True):
     """An answer that can be sent: a held body, or a stream when ``body`` is None.
 
     :param attempt_seconds: how long it has held its slot so far.
@@ -155,7 +155,7 @@
         self._selector.release(response.selected)
         self._queue.dispatch()
 
-    async def _obtain(self, admitted: AdmittedRequest) -> Answer:
+    async def _obtain(self, admitted: AdmittedRequest) -> BackendResponse:
         """Try until there is an answer, the deadline is near, or trying again is not allowed."""
         self._budget.on_request()
         progress = Progress()
@@ -188,7 +188,7 @@
         retry_after = RETRY_SOON_SECONDS if safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
-    async def _try_once(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
+    async def _try_once(self, admitted: AdmittedRequest, progress: Progress) -> BackendResponse:
         """Queue, select, forward, and read the answer up to where it can be sent.
 
         :raises AttemptFailed: the back end gave no answer.
@@ -209,7 +209,7 @@
         estimate = self._table.estimate_seconds(admitted.target)
         return RETRY_SOON_SECONDS if estimate is None else estimate
 
-    async def _attempt(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
+    async def _attempt(self, admitted: AdmittedRequest, progress: Progress) -> BackendResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
         began = self._now()
@@ -223,7 +223,7 @@
             self._on_attempt_failed(attempt, progress, error)
             raise
         self._selector.circuit(selected.backend.name).record_success()
-        return Answer(response, body, self._now() - began)
+        return BackendResponse(response, body, self._now() - began)
 
     def _on_attempt_failed(
         self, attempt: Attempt, progress: Progress, error: BaseException
