--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -42,7 +42,7 @@
     attempt_seconds: float
 
 
-class Progress:
+class RequestProgress:
     """How far a request has come, over all its attempts.
 
     :ivar attempt: the attempt under way.
@@ -158,7 +158,7 @@
     async def _obtain(self, admitted: AdmittedRequest) -> BackendResponse:
         """Try until there is an answer, the deadline is near, or trying again is not allowed."""
         self._budget.on_request()
-        progress = Progress()
+        progress = RequestProgress()
         try:
             for attempt_number in range(constants.MAX_ATTEMPTS):
                 try:
@@ -188,7 +188,9 @@
         retry_after = RETRY_SOON_SECONDS if safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
-    async def _try_once(self, admitted: AdmittedRequest, progress: Progress) -> BackendResponse:
+    async def _try_once(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> BackendResponse:
         """Queue, select, forward, and read the answer up to where it can be sent.
 
         :raises AttemptFailed: the back end gave no answer.
@@ -209,7 +211,9 @@
         estimate = self._table.estimate_seconds(admitted.target)
         return RETRY_SOON_SECONDS if estimate is None else estimate
 
-    async def _attempt(self, admitted: AdmittedRequest, progress: Progress) -> BackendResponse:
+    async def _attempt(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> BackendResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
         began = self._now()
@@ -226,7 +230,7 @@
         return BackendResponse(response, body, self._now() - began)
 
     def _on_attempt_failed(
-        self, attempt: Attempt, progress: Progress, error: BaseException
+        self, attempt: Attempt, progress: RequestProgress, error: BaseException
     ) -> None:
         backend = attempt.selected.backend.name
         circuit = self._selector.circuit(backend)
