--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -133,7 +133,7 @@
         identified = identify(parsed, self._catalog(), self._is_ready)
         admitted = admit(identified, self._admission(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
-        answer = await self._obtain(admitted)
+        answer = await self._get_response(admitted)
         response = answer.response
         forwarded_at = self._now()
         try:
@@ -155,7 +155,7 @@
         self._selector.release(response.selected)
         self._queue.dispatch()
 
-    async def _obtain(self, admitted: AdmittedRequest) -> BackendResponse:
+    async def _get_response(self, admitted: AdmittedRequest) -> BackendResponse:
         """Try until there is an answer, the deadline is near, or trying again is not allowed."""
         self._budget.on_request()
         progress = RequestProgress()
