--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -162,7 +162,7 @@
         try:
             for attempt_number in range(constants.MAX_ATTEMPTS):
                 try:
-                    return await self._try_once(admitted, progress)
+                    return await self._attempt_before_deadline(admitted, progress)
                 except AttemptFailed as failure:
                     self._check_retry(admitted, failure, attempt_number)
                     self._metrics.retries.inc()
@@ -188,7 +188,7 @@
         retry_after = RETRY_SOON_SECONDS if safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
-    async def _try_once(
+    async def _attempt_before_deadline(
         self, admitted: AdmittedRequest, progress: RequestProgress
     ) -> BackendResponse:
         """Queue, select, forward, and read the answer up to where it can be sent.
