--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -183,8 +183,8 @@
         last = attempt_number + 1 >= constants.MAX_ATTEMPTS
         if safe and not last and self._budget.try_spend():
             return
-        unstarted = failure.outcome is Outcome.NOT_RUN
-        problem = Problem.NO_BACKEND if unstarted else Problem.BACKEND_FAILED
+        not_run = failure.outcome is Outcome.NOT_RUN
+        problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
         retry_after = RETRY_SOON_SECONDS if safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
