--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -46,12 +46,12 @@
     """How far a request has come, over all its attempts.
 
     :ivar attempt: the attempt under way.
-    :ivar held: the claim on the request's key; kept from one attempt to the next.
+    :ivar claim: the claim on the request's key; kept from one attempt to the next.
     """
 
     def __init__(self) -> None:
         self.attempt: Attempt | None = None
-        self.held: ClaimHandle | None = None
+        self.claim: ClaimHandle | None = None
         self.may_have_run = False
 
     @property
@@ -144,8 +144,8 @@
                 data = answer.body.data
                 await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
-            held_seconds = answer.attempt_seconds + self._now() - forwarded_at
-            self._selector.record_service_time(admitted.target, held_seconds)
+            slot_seconds = answer.attempt_seconds + self._now() - forwarded_at
+            self._selector.record_service_time(admitted.target, slot_seconds)
             self._release(response)
 
     def _is_ready(self, artifact: Artifact) -> bool:
@@ -168,8 +168,8 @@
                     self._metrics.retries.inc()
             raise AssertionError("the last attempt raises")
         except BaseException:
-            if progress.held is not None and progress.outcome is Outcome.NOT_RUN:
-                self._claims.release(progress.held)
+            if progress.claim is not None and progress.outcome is Outcome.NOT_RUN:
+                self._claims.release(progress.claim)
             raise
 
     def _check_retry(
@@ -218,8 +218,8 @@
         attempt = Attempt(selected)
         began = self._now()
         try:
-            if progress.held is None:
-                progress.held = await self._claim(admitted)
+            if progress.claim is None:
+                progress.claim = await self._claim(admitted)
             progress.attempt = attempt
             response = await self._forwarder.forward(attempt)
             body = None if response.streamed else await self._relay.buffer_body(response)
