--- a/loomwind/pipeline/forward.py
+++ b/loomwind/pipeline/forward.py
@@ -96,9 +96,9 @@
         except BaseException:
             connection.close()
             raise
-        return self._accept(attempt, connection, head)
+        return self._check_head(attempt, connection, head)
 
-    def _accept(
+    def _check_head(
         self, attempt: Attempt, connection: ClientConnection, head: HttpResponse
     ) -> ForwardedResponse:
         """Check that the head answers this request and that the back end took it."""
