--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -7,7 +7,7 @@
 
 from loomwind.control.claims import ClaimStore
 from loomwind.control.register_service import RegisterService
-from loomwind.control.voter_set import choose_voters, keeps_majority
+from loomwind.control.voter_set import choose_voters, has_live_majority
 from loomwind.membership.detector import MemberState
 from loomwind.membership.service import Membership
 from loomwind.messages import (
@@ -51,7 +51,7 @@
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
         wanted = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
-        if set(wanted) == set(present) or not keeps_majority(present, alive):
+        if set(wanted) == set(present) or not has_live_majority(present, alive):
             return False
         for voter in wanted:
             if voter not in present and not await self._admit(voter):
--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -30,7 +30,7 @@
     return tuple(sorted(chosen[: max(seats, 1)]))
 
 
-def keeps_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
+def has_live_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
     """Return whether a majority of the present voters is alive, so that a change can settle."""
     identities = {info.identity for info in alive}
     return 2 * len(identities & set(present)) > len(present)
