--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -94,14 +94,14 @@
         self._base_voters = voters
         self._promises = {}
         self._acknowledged = set()
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def step_down(self) -> None:
         """Give up the role or the attempt."""
         self.phase = Phase.IDLE
         self.pending = None
 
-    def outstanding(self) -> list[Envelope]:
+    def unanswered_messages(self) -> list[Envelope]:
         """Return the messages whose answers are missing, to send or to repeat."""
         if self.phase is Phase.PREPARING:
             prepare = Prepare(self.cell, self.generation, self.ballot)
@@ -123,7 +123,7 @@
                 present, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
             )
         )
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def propose_voters(self, voters: tuple[VoterId, ...]) -> list[Envelope]:
         """Write the next version with another voter set.
@@ -136,7 +136,7 @@
             present, stamp=stamp, voters=voters, joint=present.voters, epoch=epoch
         )
         self._write(changed)
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def _next_version(self) -> tuple[Stamp, RegisterValue]:
         assert self.leading and not self.busy and self.committed is not None
@@ -169,9 +169,9 @@
                 return []
             newest = RegisterValue(Stamp(self.generation), self._base_voters)
         elif not is_quorum(self._promises, newest):
-            return self.outstanding() if self._audience() != before else []
+            return self.unanswered_messages() if self._audience() != before else []
         self._recover(newest)
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def _recover(self, newest: RegisterValue) -> None:
         self.phase = Phase.RECOVERING
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -387,7 +387,7 @@
             if self._membership.now >= deadline:
                 self.step_down()
                 raise RegisterUnavailable("no majority of the voters answered")
-            self._send(self.candidate.outstanding())
+            self._send(self.candidate.unanswered_messages())
         settled.result()
         self._note_committed()
 
