--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -105,7 +105,7 @@
         """Return the messages whose answers are missing, to send or to repeat."""
         if self.phase is Phase.PREPARING:
             prepare = Prepare(self.cell, self.generation, self.ballot)
-            missing = sorted(self._audience() - set(self._promises))
+            missing = sorted(self._recipients() - set(self._promises))
             return [Envelope(voter, prepare) for voter in missing]
         if self.pending is not None:
             accept = Accept(self.cell, self.pending)
@@ -152,7 +152,7 @@
         values = [value for value in self._promises.values() if value is not None]
         return max(values, key=lambda value: value.stamp, default=None)
 
-    def _audience(self) -> set[VoterId]:
+    def _recipients(self) -> set[VoterId]:
         newest = self._newest()
         return {*self._base_voters} if newest is None else {*newest.voters, *newest.joint}
 
@@ -161,7 +161,7 @@
         current = (self.generation, self.ballot)
         if self.phase is not Phase.PREPARING or (message.generation, message.ballot) != current:
             return []
-        before = self._audience()
+        before = self._recipients()
         self._promises[message.voter] = message.accepted
         newest = self._newest()
         if newest is None:
@@ -169,7 +169,7 @@
                 return []
             newest = RegisterValue(Stamp(self.generation), self._base_voters)
         elif not is_quorum(self._promises, newest):
-            return self.unanswered_messages() if self._audience() != before else []
+            return self.unanswered_messages() if self._recipients() != before else []
         self._recover(newest)
         return self.unanswered_messages()
 
