--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -109,8 +109,8 @@
             return [Envelope(voter, prepare) for voter in missing]
         if self.pending is not None:
             accept = Accept(self.cell, self.pending)
-            audience = {*self.pending.voters, *self.pending.joint}
-            return [Envelope(voter, accept) for voter in sorted(audience - self._acknowledged)]
+            recipients = {*self.pending.voters, *self.pending.joint}
+            return [Envelope(voter, accept) for voter in sorted(recipients - self._acknowledged)]
         return []
 
     def propose_placements(
