--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -76,7 +76,7 @@
         return self.phase is Phase.LEADING
 
     @property
-    def busy(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether a write is under way."""
         return self.pending is not None
 
@@ -139,7 +139,7 @@
         return self.unanswered_messages()
 
     def _next_version(self) -> tuple[Stamp, RegisterValue]:
-        assert self.leading and not self.busy and self.committed is not None
+        assert self.leading and not self.is_writing and self.committed is not None
         version = self.committed.stamp.version + 1
         return Stamp(self.generation, self.ballot, version), self.committed
 
