--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -371,9 +371,9 @@
         :raises RegisterUnavailable: they may or may not be settled; this daemon stepped down.
         """
         async with self._write_lock:
-            await self._settle(lambda: self.candidate.propose_placements(intents, fenced_engines))
+            await self._commit(lambda: self.candidate.propose_placements(intents, fenced_engines))
 
-    async def _settle(self, propose: Callable[[], list[Envelope]]) -> None:
+    async def _commit(self, propose: Callable[[], list[Envelope]]) -> None:
         if not self.leading:
             raise RegisterUnavailable("this daemon does not lead")
         self._settled = asyncio.get_running_loop().create_future()
@@ -400,9 +400,9 @@
         :raises RegisterUnavailable: it may or may not be settled; this daemon stepped down.
         """
         async with self._write_lock:
-            await self._settle(lambda: self.candidate.propose_voters(voters))
+            await self._commit(lambda: self.candidate.propose_voters(voters))
             value = self.committed
-            await self._settle(
+            await self._commit(
                 lambda: self.candidate.propose_placements(value.intents, value.fenced_engines)
             )
         log_state("voters", "changed", voters=[voter.name for voter in voters])
