--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -65,7 +65,7 @@
         self._voter_count = voter_count
         self._metrics = metrics
         self._infos: dict[VoterId, MemberInfo] = {}
-        self._settled: asyncio.Future[None] | None = None
+        self._commit_done: asyncio.Future[None] | None = None
         self._write_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
         self._refused_voters: set[VoterId] = set()
@@ -228,11 +228,11 @@
         return await self._create_generation(self.generation + 1)
 
     async def _campaign(self) -> None:
-        self._settled = asyncio.get_running_loop().create_future()
+        self._commit_done = asyncio.get_running_loop().create_future()
         self._send(self.candidate.campaign(self.generation, self.voters))
         try:
             async with asyncio.timeout(constants.CAMPAIGN_TIMEOUT_SECONDS):
-                await self._settled
+                await self._commit_done
         except (TimeoutError, RegisterUnavailable):
             self.candidate.step_down()
             return
@@ -255,9 +255,9 @@
         was_leading = self._in_term or self.candidate.phase is not Phase.IDLE
         self._in_term = False
         self.candidate.step_down()
-        if self._settled is not None and not self._settled.done():
-            self._settled.set_exception(RegisterUnavailable("another daemon leads"))
-            self._settled.exception()
+        if self._commit_done is not None and not self._commit_done.done():
+            self._commit_done.set_exception(RegisterUnavailable("another daemon leads"))
+            self._commit_done.exception()
         if was_leading:
             log_state("controller", "stepped-down", generation=self.generation)
             self.on_step_down()
@@ -303,8 +303,8 @@
         if isinstance(answer, Promise):
             self._send(candidate.on_promise(answer))
         elif isinstance(answer, Accepted):
-            if candidate.on_accepted(answer) and self._settled and not self._settled.done():
-                self._settled.set_result(None)
+            if candidate.on_accepted(answer) and self._commit_done and not self._commit_done.done():
+                self._commit_done.set_result(None)
         elif isinstance(answer, Refused):
             if answer.generation > self.generation:
                 self.generation = 0
@@ -376,8 +376,8 @@
     async def _commit(self, propose: Callable[[], list[Envelope]]) -> None:
         if not self.leading:
             raise RegisterUnavailable("this daemon does not lead")
-        self._settled = asyncio.get_running_loop().create_future()
-        settled = self._settled
+        self._commit_done = asyncio.get_running_loop().create_future()
+        settled = self._commit_done
         self._send(propose())
         deadline = self._membership.now + constants.REGISTER_WRITE_TIMEOUT_SECONDS
         while not settled.done():
