--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -377,18 +377,18 @@
         if not self.leading:
             raise RegisterUnavailable("this daemon does not lead")
         self._commit_done = asyncio.get_running_loop().create_future()
-        settled = self._commit_done
+        commit_done = self._commit_done
         self._send(propose())
         deadline = self._membership.now + constants.REGISTER_WRITE_TIMEOUT_SECONDS
-        while not settled.done():
-            await asyncio.wait([settled], timeout=constants.REGISTER_RETRY_INTERVAL_SECONDS)
-            if settled.done():
+        while not commit_done.done():
+            await asyncio.wait([commit_done], timeout=constants.REGISTER_RETRY_INTERVAL_SECONDS)
+            if commit_done.done():
                 break
             if self._membership.now >= deadline:
                 self.step_down()
                 raise RegisterUnavailable("no majority of the voters answered")
             self._send(self.candidate.unanswered_messages())
-        settled.result()
+        commit_done.result()
         self._note_committed()
 
     def _note_committed(self) -> None:
