--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -237,7 +237,7 @@
             self.candidate.step_down()
             return
         self._metrics.elections.inc()
-        self._note_committed()
+        self._observe_committed()
         self._membership.announce_leading()
         log_state("controller", "leading", generation=self.generation)
         try:
@@ -389,9 +389,9 @@
                 raise RegisterUnavailable("no majority of the voters answered")
             self._send(self.candidate.unanswered_messages())
         commit_done.result()
-        self._note_committed()
+        self._observe_committed()
 
-    def _note_committed(self) -> None:
+    def _observe_committed(self) -> None:
         self.observe_register(self.committed.stamp, self.committed.voters, self.committed.joint)
 
     async def change_voters(self, voters: tuple[VoterId, ...]) -> None:
