--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -288,10 +288,10 @@
             if error.refused:
                 self._refused_voters.add(envelope.voter)
             return
-        self._notice_other_life(envelope.voter, answer)
+        self._check_incarnation(envelope.voter, answer)
         self._on_answer(answer)
 
-    def _notice_other_life(self, asked: VoterId, answer: AnyMessage) -> None:
+    def _check_incarnation(self, asked: VoterId, answer: AnyMessage) -> None:
         """A voter that answers under another incarnation has ended its earlier life."""
         if isinstance(answer, Promise | Accepted | Refused):
             same_name = answer.voter.name == asked.name
