--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -68,7 +68,7 @@
         self._commit_done: asyncio.Future[None] | None = None
         self._write_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._refused_voters: set[VoterId] = set()
+        self._ended_voters: set[VoterId] = set()
         self._started_at = membership.now
         self._campaign_at = 0.0
         self._in_term = False
@@ -214,7 +214,7 @@
 
     def _has_ended(self, voter: VoterId) -> bool:
         member = self._membership.detector.members.get(voter)
-        return voter in self._refused_voters or (member is not None and member.ended)
+        return voter in self._ended_voters or (member is not None and member.ended)
 
     async def _create_next_generation(self) -> bool:
         """Found the next generation, unless one was founded already."""
@@ -286,7 +286,7 @@
             answer = await self._transport.call(info.address, envelope.message)
         except PeerUnreachable as error:
             if error.refused:
-                self._refused_voters.add(envelope.voter)
+                self._ended_voters.add(envelope.voter)
             return
         self._check_incarnation(envelope.voter, answer)
         self._on_answer(answer)
@@ -296,7 +296,7 @@
         if isinstance(answer, Promise | Accepted | Refused):
             same_name = answer.voter.name == asked.name
             if same_name and answer.voter.incarnation != asked.incarnation:
-                self._refused_voters.add(asked)
+                self._ended_voters.add(asked)
 
     def _on_answer(self, answer: AnyMessage) -> None:
         candidate = self.candidate
