--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -143,13 +143,13 @@
         return rank * constants.CAMPAIGN_STAGGER_SECONDS
 
     async def _seek_role(self) -> None:
-        if not await self._know_generation():
+        if not await self._ensure_generation():
             return
         if self._majority_has_ended() and not await self._create_next_generation():
             return
         await self._campaign()
 
-    async def _know_generation(self) -> bool:
+    async def _ensure_generation(self) -> bool:
         """Learn the generation from the table service, or found the first one."""
         if self.generation:
             return True
