--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -115,7 +115,7 @@
                 self._campaign_at = now + self._stagger_seconds()
             if now >= self._campaign_at:
                 self._campaign_at = 0.0
-                await self._seek_role()
+                await self._try_to_lead()
 
     def _reaches_majority(self) -> bool:
         """Whether a majority of the voters is heard: without it a leader can decide nothing.
@@ -142,7 +142,7 @@
         rank = names.index(self._membership.own.identity) if names else 0
         return rank * constants.CAMPAIGN_STAGGER_SECONDS
 
-    async def _seek_role(self) -> None:
+    async def _try_to_lead(self) -> None:
         if not await self._ensure_generation():
             return
         if self._majority_has_ended() and not await self._create_next_generation():
