--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -107,7 +107,7 @@
             await asyncio.sleep(POLL_SECONDS)
             if self.leading and not self._reaches_majority():
                 self.step_down()
-            if self.leading or self.retired or self._leader_is_heard():
+            if self.leading or self.retired or self._has_active_leader():
                 self._campaign_at = 0.0
                 continue
             now = self._membership.now
@@ -127,7 +127,7 @@
         heard |= {member.info.identity for member in suspects}
         return is_majority(heard, self.committed.voters)
 
-    def _leader_is_heard(self) -> bool:
+    def _has_active_leader(self) -> bool:
         membership = self._membership
         silence = membership.leader_silence_seconds()
         return membership.leader is not None and silence < self._suspect_after
@@ -331,7 +331,7 @@
         """
         leader = self._membership.leader
         rival = leader is not None and leader.identity != message.ballot.candidate
-        if rival and not self.retired and (self.leading or self._leader_is_heard()):
+        if rival and not self.retired and (self.leading or self._has_active_leader()):
             return Refused(
                 self.cell, self.voter.identity, self.voter.generation, self.voter.promised
             )
