--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -105,7 +105,7 @@
         """Campaign whenever the cell has no controller, until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
-            if self.leading and not self._reaches_majority():
+            if self.leading and not self._hears_majority():
                 self.step_down()
             if self.leading or self.retired or self._has_active_leader():
                 self._campaign_at = 0.0
@@ -117,7 +117,7 @@
                 self._campaign_at = 0.0
                 await self._try_to_lead()
 
-    def _reaches_majority(self) -> bool:
+    def _hears_majority(self) -> bool:
         """Whether a majority of the voters is heard: without it a leader can decide nothing.
 
         Safety rests on ballots, not on this; it lets a leader that was cut off give up early.
