--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -145,7 +145,7 @@
     async def _try_to_lead(self) -> None:
         if not await self._ensure_generation():
             return
-        if self._majority_has_ended() and not await self._create_next_generation():
+        if self._majority_lost() and not await self._create_next_generation():
             return
         await self._campaign()
 
@@ -191,7 +191,7 @@
         self._adopt(founded)
         return True
 
-    def _majority_has_ended(self) -> bool:
+    def _majority_lost(self) -> bool:
         """Whether too few voters are left for any majority. Silence alone is no proof."""
         up_seconds = self._membership.now - self._started_at
         if self._peer_knows_newer() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
