--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -194,12 +194,12 @@
     def _majority_lost(self) -> bool:
         """Whether too few voters are left for any majority. Silence alone is no proof."""
         up_seconds = self._membership.now - self._started_at
-        if self._peer_knows_newer() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
+        if self._peer_has_newer_voters() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
             return False
         ended = {voter for voter in (*self.voters, *self._joint) if self._has_ended(voter)}
         return not self.voters or has_lost_majority(self.voters, self._joint, ended)
 
-    def _peer_knows_newer(self) -> bool:
+    def _peer_has_newer_voters(self) -> bool:
         """Whether a peer that is not gone knows a newer voter set: then that one has to judge."""
         present = {info.identity for info in self._membership.reachable()}
         return any(
