--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -112,7 +112,7 @@
                 continue
             now = self._membership.now
             if not self._campaign_at:
-                self._campaign_at = now + self._stagger_seconds()
+                self._campaign_at = now + self._campaign_delay_seconds()
             if now >= self._campaign_at:
                 self._campaign_at = 0.0
                 await self._try_to_lead()
@@ -136,7 +136,7 @@
     def _suspect_after(self) -> float:
         return self._membership.detector.suspect_after_seconds
 
-    def _stagger_seconds(self) -> float:
+    def _campaign_delay_seconds(self) -> float:
         """Return a wait that differs between daemons, so that they do not campaign at once."""
         names = [info.identity for info in self._membership.alive()]
         rank = names.index(self._membership.own.identity) if names else 0
