--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -330,8 +330,8 @@
         third, would take the role from one another for ever.
         """
         leader = self._membership.leader
-        rival = leader is not None and leader.identity != message.ballot.candidate
-        if rival and not self.retired and (self.leading or self._has_active_leader()):
+        other_leader_known = leader is not None and leader.identity != message.ballot.candidate
+        if other_leader_known and not self.retired and (self.leading or self._has_active_leader()):
             return Refused(
                 self.cell, self.voter.identity, self.voter.generation, self.voter.promised
             )
