--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -32,7 +32,7 @@
 from loomwind.ports.base import TableService
 from loomwind.ports.errors import PlatformUnavailable
 
-POLL_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 BOOTSTRAP_WAIT_SECONDS = 1.5
 
 
@@ -104,7 +104,7 @@
     async def run(self) -> None:
         """Campaign whenever the cell has no controller, until cancelled."""
         while True:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if self.leading and not self._hears_majority():
                 self.step_down()
             if self.leading or self.retired or self._has_active_leader():
