--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -64,7 +64,7 @@
         self._generations = GenerationStore(table, own.cell)
         self._voter_count = voter_count
         self._metrics = metrics
-        self._infos: dict[VoterId, MemberInfo] = {}
+        self._member_infos: dict[VoterId, MemberInfo] = {}
         self._commit_done: asyncio.Future[None] | None = None
         self._write_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -97,7 +97,7 @@
 
     def info(self, voter: VoterId) -> MemberInfo | None:
         """Return a voter's address and zone, if they are known."""
-        return self._membership.find(voter) or self._infos.get(voter)
+        return self._membership.find(voter) or self._member_infos.get(voter)
 
     # Taking part: elections.
 
@@ -361,7 +361,7 @@
 
     def update_member_infos(self, infos: tuple[MemberInfo, ...]) -> None:
         """Learn the addresses of voters."""
-        self._infos.update({info.identity: info for info in infos})
+        self._member_infos.update({info.identity: info for info in infos})
 
     # Writing.
 
