--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -35,7 +35,7 @@
     attempt: int
 
 
-class Standing(enum.Enum):
+class ClaimResult(enum.Enum):
     """How a claim stands after all voters were asked.
 
     CONTESTED: another daemon has some of the votes, but perhaps no majority.
@@ -76,30 +76,30 @@
                 while True:
                     held = ClaimHandle(key, next(self._attempts))
                     standing = await self._try(held)
-                    if standing is Standing.WON:
+                    if standing is ClaimResult.WON:
                         return held
-                    contested = standing is Standing.CONTESTED
+                    contested = standing is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
         except TimeoutError as error:
             if contested:
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _try(self, held: ClaimHandle) -> Standing:
+    async def _try(self, held: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
             standing = await self._ask(held)
         except BaseException:
             self.release(held)
             raise
-        if standing is not Standing.WON:
+        if standing is not ClaimResult.WON:
             self.release(held)
         return standing
 
-    async def _ask(self, held: ClaimHandle) -> Standing:
+    async def _ask(self, held: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
-            return Standing.UNANSWERED
+            return ClaimResult.UNANSWERED
         claim = Claim(
             self._membership.own.cell,
             update.stamp.generation,
@@ -117,7 +117,7 @@
         return self._standing(held.key, counted, len(update.voters))
 
     @staticmethod
-    def _standing(key: str, answers: list[ClaimAnswer], voters: int) -> Standing:
+    def _standing(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return how a claim stands.
 
         :raises ClaimTaken: another claimant has a majority, or nobody may have the key any more.
@@ -127,11 +127,11 @@
         if ClaimVerdict.BARRIER in verdicts:
             raise ClaimBarrier("earlier claims were lost with a majority of the voters")
         if 2 * verdicts.count(ClaimVerdict.GRANTED) > voters:
-            return Standing.WON
+            return ClaimResult.WON
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
-        return Standing.CONTESTED if holders else Standing.UNANSWERED
+        return ClaimResult.CONTESTED if holders else ClaimResult.UNANSWERED
 
     async def _ask_one(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
         if info.identity == self._membership.own.identity:
