--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -43,7 +43,7 @@
 
     WON = enum.auto()
     CONTESTED = enum.auto()
-    UNANSWERED = enum.auto()
+    NO_MAJORITY = enum.auto()
 
 
 class ClaimService:
@@ -99,7 +99,7 @@
     async def _ask(self, held: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
-            return ClaimResult.UNANSWERED
+            return ClaimResult.NO_MAJORITY
         claim = Claim(
             self._membership.own.cell,
             update.stamp.generation,
@@ -131,7 +131,7 @@
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
-        return ClaimResult.CONTESTED if holders else ClaimResult.UNANSWERED
+        return ClaimResult.CONTESTED if holders else ClaimResult.NO_MAJORITY
 
     async def _ask_one(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
         if info.identity == self._membership.own.identity:
