--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -75,7 +75,7 @@
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
                     held = ClaimHandle(key, next(self._attempts))
-                    standing = await self._try(held)
+                    standing = await self._attempt_claim(held)
                     if standing is ClaimResult.WON:
                         return held
                     contested = standing is ClaimResult.CONTESTED
@@ -85,7 +85,7 @@
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _try(self, held: ClaimHandle) -> ClaimResult:
+    async def _attempt_claim(self, held: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
             standing = await self._ask(held)
