--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -88,7 +88,7 @@
     async def _attempt_claim(self, held: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
-            standing = await self._ask(held)
+            standing = await self._request_grants(held)
         except BaseException:
             self.release(held)
             raise
@@ -96,7 +96,7 @@
             self.release(held)
         return standing
 
-    async def _ask(self, held: ClaimHandle) -> ClaimResult:
+    async def _request_grants(self, held: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
             return ClaimResult.NO_MAJORITY
