--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -108,7 +108,9 @@
             self._membership.own.identity,
             held.attempt,
         )
-        answers = await asyncio.gather(*(self._ask_one(info, claim) for info in update.voters))
+        answers = await asyncio.gather(
+            *(self._request_grant(info, claim) for info in update.voters)
+        )
         counted = [
             answer
             for info, answer in zip(update.voters, answers, strict=True)
@@ -133,7 +135,7 @@
             raise ClaimTaken(f"key {key!r} was used before")
         return ClaimResult.CONTESTED if holders else ClaimResult.NO_MAJORITY
 
-    async def _ask_one(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
+    async def _request_grant(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
         if info.identity == self._membership.own.identity:
             return self._store.on_claim(claim, self._membership.now)
         try:
