--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -116,10 +116,10 @@
             for info, answer in zip(update.voters, answers, strict=True)
             if answer is not None and answer.voter == info.identity
         ]
-        return self._standing(held.key, counted, len(update.voters))
+        return self._evaluate(held.key, counted, len(update.voters))
 
     @staticmethod
-    def _standing(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
+    def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return how a claim stands.
 
         :raises ClaimTaken: another claimant has a majority, or nobody may have the key any more.
