--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -75,10 +75,10 @@
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
                     held = ClaimHandle(key, next(self._attempts))
-                    standing = await self._attempt_claim(held)
-                    if standing is ClaimResult.WON:
+                    result = await self._attempt_claim(held)
+                    if result is ClaimResult.WON:
                         return held
-                    contested = standing is ClaimResult.CONTESTED
+                    contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
         except TimeoutError as error:
             if contested:
@@ -88,13 +88,13 @@
     async def _attempt_claim(self, held: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
-            standing = await self._request_grants(held)
+            result = await self._request_grants(held)
         except BaseException:
             self.release(held)
             raise
-        if standing is not ClaimResult.WON:
+        if result is not ClaimResult.WON:
             self.release(held)
-        return standing
+        return result
 
     async def _request_grants(self, held: ClaimHandle) -> ClaimResult:
         update = self._routing()
