--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -74,10 +74,10 @@
         try:
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
-                    held = ClaimHandle(key, next(self._attempts))
-                    result = await self._attempt_claim(held)
+                    handle = ClaimHandle(key, next(self._attempts))
+                    result = await self._attempt_claim(handle)
                     if result is ClaimResult.WON:
-                        return held
+                        return handle
                     contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
         except TimeoutError as error:
@@ -85,18 +85,18 @@
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _attempt_claim(self, held: ClaimHandle) -> ClaimResult:
+    async def _attempt_claim(self, handle: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
-            result = await self._request_grants(held)
+            result = await self._request_grants(handle)
         except BaseException:
-            self.release(held)
+            self.release(handle)
             raise
         if result is not ClaimResult.WON:
-            self.release(held)
+            self.release(handle)
         return result
 
-    async def _request_grants(self, held: ClaimHandle) -> ClaimResult:
+    async def _request_grants(self, handle: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
             return ClaimResult.NO_MAJORITY
@@ -104,9 +104,9 @@
             self._membership.own.cell,
             update.stamp.generation,
             update.epoch,
-            held.key,
+            handle.key,
             self._membership.own.identity,
-            held.attempt,
+            handle.attempt,
         )
         answers = await asyncio.gather(
             *(self._request_grant(info, claim) for info in update.voters)
@@ -116,7 +116,7 @@
             for info, answer in zip(update.voters, answers, strict=True)
             if answer is not None and answer.voter == info.identity
         ]
-        return self._evaluate(held.key, counted, len(update.voters))
+        return self._evaluate(handle.key, counted, len(update.voters))
 
     @staticmethod
     def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
@@ -144,10 +144,10 @@
             return None
         return answer if isinstance(answer, ClaimAnswer) else None
 
-    def release(self, held: ClaimHandle) -> None:
+    def release(self, handle: ClaimHandle) -> None:
         """Give a key back whose request did not run and will not."""
         own = self._membership.own
-        message = ClaimRelease(own.cell, held.key, own.identity, held.attempt)
+        message = ClaimRelease(own.cell, handle.key, own.identity, handle.attempt)
         update = self._routing()
         for info in update.voters if update else ():
             if info.identity == own.identity:
