--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -20,7 +20,7 @@
 )
 
 
-class HeldClaim(Struct, frozen=True):
+class GrantedClaim(Struct, frozen=True):
     """A granted claim and when it was granted."""
 
     claimant: VoterId
@@ -31,7 +31,7 @@
 NOBODY = VoterId("", "")
 
 
-def _merge(held: HeldClaim | None, fetched: HeldClaim) -> HeldClaim:
+def _merge(held: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
     """Return the claim to hold after one more was fetched.
 
     A key that two daemons claimed is granted to nobody any more: one of them may have a majority
@@ -41,7 +41,7 @@
         return fetched
     same = (held.claimant, held.attempt) == (fetched.claimant, fetched.attempt)
     granted_at = max(held.granted_at, fetched.granted_at)
-    return HeldClaim(fetched.claimant if same else NOBODY, fetched.attempt, granted_at)
+    return GrantedClaim(fetched.claimant if same else NOBODY, fetched.attempt, granted_at)
 
 
 class ClaimStore:
@@ -53,7 +53,7 @@
     def __init__(self, identity: VoterId, retention_seconds: float) -> None:
         self._identity = identity
         self._retention_seconds = retention_seconds
-        self._held: dict[str, HeldClaim] = {}
+        self._held: dict[str, GrantedClaim] = {}
         self._generation = 0
         self._sealed_epoch = 0
         self._ready = False
@@ -92,7 +92,7 @@
             return ClaimVerdict.BARRIER
         held = self._held.get(claim.key)
         if held is None:
-            self._held[claim.key] = HeldClaim(claim.claimant, claim.attempt, now)
+            self._held[claim.key] = GrantedClaim(claim.claimant, claim.attempt, now)
             return ClaimVerdict.GRANTED
         same = (held.claimant, held.attempt) == (claim.claimant, claim.attempt)
         return ClaimVerdict.GRANTED if same else ClaimVerdict.TAKEN
@@ -130,7 +130,7 @@
         for transfer in transfers:
             for record in transfer.records:
                 granted_at = now - record.age_seconds
-                fetched = HeldClaim(record.claimant, record.attempt, granted_at)
+                fetched = GrantedClaim(record.claimant, record.attempt, granted_at)
                 merged[record.key] = _merge(merged.get(record.key), fetched)
         self._held = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
         self._generation = generation
