--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -28,7 +28,7 @@
     granted_at: float
 
 
-NOBODY = VoterId("", "")
+NO_CLAIMANT = VoterId("", "")
 
 
 def _merge(held: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
@@ -41,7 +41,7 @@
         return fetched
     same = (held.claimant, held.attempt) == (fetched.claimant, fetched.attempt)
     granted_at = max(held.granted_at, fetched.granted_at)
-    return GrantedClaim(fetched.claimant if same else NOBODY, fetched.attempt, granted_at)
+    return GrantedClaim(fetched.claimant if same else NO_CLAIMANT, fetched.attempt, granted_at)
 
 
 class ClaimStore:
