--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -31,7 +31,7 @@
 NO_CLAIMANT = VoterId("", "")
 
 
-def _merge(held: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
+def _merge_claim(held: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
     """Return the claim to hold after one more was fetched.
 
     A key that two daemons claimed is granted to nobody any more: one of them may have a majority
@@ -131,7 +131,7 @@
             for record in transfer.records:
                 granted_at = now - record.age_seconds
                 fetched = GrantedClaim(record.claimant, record.attempt, granted_at)
-                merged[record.key] = _merge(merged.get(record.key), fetched)
+                merged[record.key] = _merge_claim(merged.get(record.key), fetched)
         self._held = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
         self._generation = generation
         self._sealed_epoch = epoch
