--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -53,14 +53,14 @@
     def __init__(self, identity: VoterId, retention_seconds: float) -> None:
         self._identity = identity
         self._retention_seconds = retention_seconds
-        self._held: dict[str, GrantedClaim] = {}
+        self._claims: dict[str, GrantedClaim] = {}
         self._generation = 0
         self._sealed_epoch = 0
         self._ready = False
         self._barrier_until = 0.0
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._claims)
 
     def start_generation(self, generation: int, now: float) -> None:
         """Become ready as one of the first voters of a generation.
@@ -80,7 +80,7 @@
         """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
         self._forget_old(now)
         verdict = self._verdict(claim, now)
-        held = self._held.get(claim.key)
+        held = self._claims.get(claim.key)
         return ClaimAnswer(self._identity, verdict, held.claimant if held else None)
 
     def _verdict(self, claim: Claim, now: float) -> ClaimVerdict:
@@ -90,26 +90,26 @@
             return ClaimVerdict.SEALED
         if now < self._barrier_until:
             return ClaimVerdict.BARRIER
-        held = self._held.get(claim.key)
+        held = self._claims.get(claim.key)
         if held is None:
-            self._held[claim.key] = GrantedClaim(claim.claimant, claim.attempt, now)
+            self._claims[claim.key] = GrantedClaim(claim.claimant, claim.attempt, now)
             return ClaimVerdict.GRANTED
         same = (held.claimant, held.attempt) == (claim.claimant, claim.attempt)
         return ClaimVerdict.GRANTED if same else ClaimVerdict.TAKEN
 
     def on_release(self, release: ClaimRelease) -> None:
         """Forget a claim whose claimant says that the request did not run."""
-        held = self._held.get(release.key)
+        held = self._claims.get(release.key)
         if held and (held.claimant, held.attempt) == (release.claimant, release.attempt):
-            del self._held[release.key]
+            del self._claims[release.key]
 
     def _forget_old(self, now: float) -> None:
         """Forget claims past the retention time; the dictionary is in the order of granting."""
-        while self._held:
-            key, oldest = next(iter(self._held.items()))
+        while self._claims:
+            key, oldest = next(iter(self._claims.items()))
             if now - oldest.granted_at < self._retention_seconds:
                 return
-            del self._held[key]
+            del self._claims[key]
 
     def on_transfer_request(self, request: ClaimTransferRequest, now: float) -> ClaimTransfer:
         """Hand out all claims, and grant none in an earlier epoch from now on."""
@@ -118,7 +118,7 @@
             self._sealed_epoch = max(self._sealed_epoch, request.epoch)
         records = tuple(
             ClaimRecord(key, held.claimant, held.attempt, now - held.granted_at)
-            for key, held in self._held.items()
+            for key, held in self._claims.items()
         )
         return ClaimTransfer(self._identity, self._ready, records)
 
@@ -126,13 +126,13 @@
         self, generation: int, epoch: int, transfers: list[ClaimTransfer], now: float
     ) -> None:
         """Become ready with the claims of a majority of the earlier voter set."""
-        merged = dict(self._held)
+        merged = dict(self._claims)
         for transfer in transfers:
             for record in transfer.records:
                 granted_at = now - record.age_seconds
                 fetched = GrantedClaim(record.claimant, record.attempt, granted_at)
                 merged[record.key] = _merge_claim(merged.get(record.key), fetched)
-        self._held = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
+        self._claims = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
         self._generation = generation
         self._sealed_epoch = epoch
         self._ready = True
