--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -78,7 +78,7 @@
 
     def on_claim(self, claim: Claim, now: float) -> ClaimAnswer:
         """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
-        self._forget_old(now)
+        self._expire_claims(now)
         verdict = self._verdict(claim, now)
         held = self._claims.get(claim.key)
         return ClaimAnswer(self._identity, verdict, held.claimant if held else None)
@@ -103,7 +103,7 @@
         if held and (held.claimant, held.attempt) == (release.claimant, release.attempt):
             del self._claims[release.key]
 
-    def _forget_old(self, now: float) -> None:
+    def _expire_claims(self, now: float) -> None:
         """Forget claims past the retention time; the dictionary is in the order of granting."""
         while self._claims:
             key, oldest = next(iter(self._claims.items()))
@@ -113,7 +113,7 @@
 
     def on_transfer_request(self, request: ClaimTransferRequest, now: float) -> ClaimTransfer:
         """Hand out all claims, and grant none in an earlier epoch from now on."""
-        self._forget_old(now)
+        self._expire_claims(now)
         if request.generation == self._generation:
             self._sealed_epoch = max(self._sealed_epoch, request.epoch)
         records = tuple(
