--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -79,11 +79,11 @@
     def on_claim(self, claim: Claim, now: float) -> ClaimAnswer:
         """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
         self._expire_claims(now)
-        verdict = self._verdict(claim, now)
+        verdict = self._decide(claim, now)
         held = self._claims.get(claim.key)
         return ClaimAnswer(self._identity, verdict, held.claimant if held else None)
 
-    def _verdict(self, claim: Claim, now: float) -> ClaimVerdict:
+    def _decide(self, claim: Claim, now: float) -> ClaimVerdict:
         if not self._ready:
             return ClaimVerdict.NOT_READY
         if (claim.generation, claim.epoch) < (self._generation, self._sealed_epoch):
