--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -31,16 +31,16 @@
 NO_CLAIMANT = VoterId("", "")
 
 
-def _merge_claim(held: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
+def _merge_claim(granted: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
     """Return the claim to hold after one more was fetched.
 
     A key that two daemons claimed is granted to nobody any more: one of them may have a majority
     of the earlier voters. The specification's ``claim-conflict`` shows what happens otherwise.
     """
-    if held is None:
+    if granted is None:
         return fetched
-    same = (held.claimant, held.attempt) == (fetched.claimant, fetched.attempt)
-    granted_at = max(held.granted_at, fetched.granted_at)
+    same = (granted.claimant, granted.attempt) == (fetched.claimant, fetched.attempt)
+    granted_at = max(granted.granted_at, fetched.granted_at)
     return GrantedClaim(fetched.claimant if same else NO_CLAIMANT, fetched.attempt, granted_at)
 
 
@@ -80,8 +80,8 @@
         """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
         self._expire_claims(now)
         verdict = self._decide(claim, now)
-        held = self._claims.get(claim.key)
-        return ClaimAnswer(self._identity, verdict, held.claimant if held else None)
+        granted = self._claims.get(claim.key)
+        return ClaimAnswer(self._identity, verdict, granted.claimant if granted else None)
 
     def _decide(self, claim: Claim, now: float) -> ClaimVerdict:
         if not self._ready:
@@ -90,17 +90,17 @@
             return ClaimVerdict.SEALED
         if now < self._barrier_until:
             return ClaimVerdict.BARRIER
-        held = self._claims.get(claim.key)
-        if held is None:
+        granted = self._claims.get(claim.key)
+        if granted is None:
             self._claims[claim.key] = GrantedClaim(claim.claimant, claim.attempt, now)
             return ClaimVerdict.GRANTED
-        same = (held.claimant, held.attempt) == (claim.claimant, claim.attempt)
+        same = (granted.claimant, granted.attempt) == (claim.claimant, claim.attempt)
         return ClaimVerdict.GRANTED if same else ClaimVerdict.TAKEN
 
     def on_release(self, release: ClaimRelease) -> None:
         """Forget a claim whose claimant says that the request did not run."""
-        held = self._claims.get(release.key)
-        if held and (held.claimant, held.attempt) == (release.claimant, release.attempt):
+        granted = self._claims.get(release.key)
+        if granted and (granted.claimant, granted.attempt) == (release.claimant, release.attempt):
             del self._claims[release.key]
 
     def _expire_claims(self, now: float) -> None:
@@ -117,8 +117,8 @@
         if request.generation == self._generation:
             self._sealed_epoch = max(self._sealed_epoch, request.epoch)
         records = tuple(
-            ClaimRecord(key, held.claimant, held.attempt, now - held.granted_at)
-            for key, held in self._claims.items()
+            ClaimRecord(key, granted.claimant, granted.attempt, now - granted.granted_at)
+            for key, granted in self._claims.items()
         )
         return ClaimTransfer(self._identity, self._ready, records)
 
