--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -19,15 +19,15 @@
     """
     by_identity = {info.identity: info for info in alive}
     chosen = [voter for voter in present if voter in by_identity][:count]
-    seats = min(count, len(alive))
-    seats = max(seats - (seats % 2 == 0), 1)
+    size = min(count, len(alive))
+    size = max(size - (size % 2 == 0), 1)
     spare = sorted(info for info in alive if info.identity not in chosen)
-    while len(chosen) < seats and spare:
+    while len(chosen) < size and spare:
         zones = [by_identity[voter].zone for voter in chosen]
         best = min(spare, key=lambda info: (zones.count(info.zone), info.identity))
         spare.remove(best)
         chosen.append(best.identity)
-    return tuple(sorted(chosen[: max(seats, 1)]))
+    return tuple(sorted(chosen[: max(size, 1)]))
 
 
 def has_live_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
