--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -21,11 +21,11 @@
     chosen = [voter for voter in present if voter in by_identity][:count]
     size = min(count, len(alive))
     size = max(size - (size % 2 == 0), 1)
-    spare = sorted(info for info in alive if info.identity not in chosen)
-    while len(chosen) < size and spare:
+    remaining = sorted(info for info in alive if info.identity not in chosen)
+    while len(chosen) < size and remaining:
         zones = [by_identity[voter].zone for voter in chosen]
-        best = min(spare, key=lambda info: (zones.count(info.zone), info.identity))
-        spare.remove(best)
+        best = min(remaining, key=lambda info: (zones.count(info.zone), info.identity))
+        remaining.remove(best)
         chosen.append(best.identity)
     return tuple(sorted(chosen[: max(size, 1)]))
 
