--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -6,7 +6,7 @@
 
 
 def choose_voters(
-    present: tuple[VoterId, ...], alive: list[MemberInfo], count: int
+    current: tuple[VoterId, ...], alive: list[MemberInfo], count: int
 ) -> tuple[VoterId, ...]:
     """Return the voter set that the cell should have.
 
@@ -18,7 +18,7 @@
     :param count: seats wanted.
     """
     by_identity = {info.identity: info for info in alive}
-    chosen = [voter for voter in present if voter in by_identity][:count]
+    chosen = [voter for voter in current if voter in by_identity][:count]
     size = min(count, len(alive))
     size = max(size - (size % 2 == 0), 1)
     remaining = sorted(info for info in alive if info.identity not in chosen)
@@ -30,10 +30,10 @@
     return tuple(sorted(chosen[: max(size, 1)]))
 
 
-def has_live_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
+def has_live_majority(current: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
     """Return whether a majority of the present voters is alive, so that a change can settle."""
     identities = {info.identity for info in alive}
-    return 2 * len(identities & set(present)) > len(present)
+    return 2 * len(identities & set(current)) > len(current)
 
 
 def has_lost_majority(
