--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -50,13 +50,13 @@
         present = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        wanted = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
-        if set(wanted) == set(present) or not has_live_majority(present, alive):
+        target = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
+        if set(target) == set(present) or not has_live_majority(present, alive):
             return False
-        for voter in wanted:
+        for voter in target:
             if voter not in present and not await self._admit(voter):
                 return False
-        await self._register.change_voters(wanted)
+        await self._register.change_voters(target)
         return True
 
     async def _admit(self, voter: VoterId) -> bool:
