--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -42,18 +42,20 @@
         queue.items.append(item)
 
     def pop(self, eligible: Callable[[Item], bool]) -> Item | None:
-        able = {name for name in self._order if any(map(eligible, self.groups[name].items))}
-        while able:
+        eligible_groups = {
+            name for name in self._order if any(map(eligible, self.groups[name].items))
+        }
+        while eligible_groups:
             name = self._order[0]
             queue = self.groups[name]
-            if name in able and queue.deficit >= constants.FAIR_QUEUE_QUANTUM:
+            if name in eligible_groups and queue.deficit >= constants.FAIR_QUEUE_QUANTUM:
                 item = queue.pop_eligible(eligible)
                 queue.deficit -= constants.FAIR_QUEUE_QUANTUM
                 self._drop_if_empty(name)
                 return item
             self._order.rotate(-1)
-            if name in able:
-                heaviest = max(self.groups[other].weight for other in able)
+            if name in eligible_groups:
+                heaviest = max(self.groups[other].weight for other in eligible_groups)
                 queue.deficit += queue.weight / heaviest
         return None
 
