--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -96,8 +96,8 @@
 
     def remove(self, priority: int, group: str, item: Item) -> bool:
         """Remove a waiting item; returns whether it was there."""
-        known = self._classes.get(priority)
-        return known is not None and known.remove(group, item)
+        priority_class = self._classes.get(priority)
+        return priority_class is not None and priority_class.remove(group, item)
 
     def count(self, group: str) -> int:
         """Return how many items of a group wait, over all classes."""
@@ -105,6 +105,6 @@
         return sum(len(queue.items) for queue in queues)
 
     def __iter__(self) -> Iterator[Item]:
-        for known in self._classes.values():
-            for queue in known.groups.values():
+        for priority_class in self._classes.values():
+            for queue in priority_class.groups.values():
                 yield from queue.items
