--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -7,7 +7,7 @@
 from loomwind.schema import Artifact
 
 
-def _follows(update: RoutingUpdate, current: RoutingUpdate) -> bool:
+def _applies_to(update: RoutingUpdate, current: RoutingUpdate) -> bool:
     """Return whether an update changes just the one that is held."""
     before, after = current.stamp, update.stamp
     same_term = (before.generation, before.ballot) == (after.generation, after.ballot)
@@ -52,7 +52,7 @@
             if term <= known:
                 return False
         if update.base:
-            if current is None or not _follows(update, current):
+            if current is None or not _applies_to(update, current):
                 return False
             update = _merge(current, update)
         self.update = update
