--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -14,7 +14,7 @@
     return same_term and update.base == current.sequence
 
 
-def _merge(current: RoutingUpdate, update: RoutingUpdate) -> RoutingUpdate:
+def _apply_changes(current: RoutingUpdate, update: RoutingUpdate) -> RoutingUpdate:
     """Return the whole update that a change of engines leads to."""
     engines = {route.engine: route for route in current.engines}
     engines |= {route.engine: route for route in update.engines}
@@ -54,7 +54,7 @@
         if update.base:
             if current is None or not _applies_to(update, current):
                 return False
-            update = _merge(current, update)
+            update = _apply_changes(current, update)
         self.update = update
         self._estimates = {e.artifact: e.seconds for e in update.estimates}
         self._engines = {}
