--- a/loomwind/pipeline/demand_reporter.py
+++ b/loomwind/pipeline/demand_reporter.py
@@ -27,7 +27,7 @@
         self._queue = queue
         self._selector = selector
         self._changed = asyncio.Event()
-        self._last: tuple[DemandEntry, ...] = ()
+        self._last_entries: tuple[DemandEntry, ...] = ()
 
     def notify(self) -> None:
         """Say that the demand changed."""
@@ -50,9 +50,9 @@
         if contact is None:
             return
         entries = self._entries()
-        if not entries and not self._last:
+        if not entries and not self._last_entries:
             return
-        self._last = entries
+        self._last_entries = entries
         own = self._membership.own
         message = DemandReport(own.cell, own.identity, entries)
         self._transport.send(contact.address, message)
