--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -28,7 +28,7 @@
 
         :param weight: the places that this router was lent for a group, if any.
         """
-        self._weight = weight
+        self._lent_slots = weight
         self.on_demand_changed: Callable[[], None] = lambda: None
         self.arrivals: Counter[tuple[Target, str]] = Counter()
         self._selector = selector
@@ -59,7 +59,7 @@
         identified = admitted.identified
         selection: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
         entry = WaitingRequest(admitted, selection)
-        weight = self._weight(identified.group) or identified.share
+        weight = self._lent_slots(identified.group) or identified.share
         self._queue.push(identified.priority, identified.group, weight, entry)
         self._waiting_by_target[admitted.target] += 1
         self.dispatch()
