--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -69,9 +69,11 @@
         target = identified.target
         waiting = self.queue.waiting_for(target)
         ahead = self.selector.queue_seconds(target, waiting, self._membership.now)
-        return self._view(identified, ahead)
+        return self._admission_view_with(identified, ahead)
 
-    def _view(self, identified: IdentifiedRequest, queue_seconds: float) -> AdmissionView:
+    def _admission_view_with(
+        self, identified: IdentifiedRequest, queue_seconds: float
+    ) -> AdmissionView:
         return AdmissionView(
             ready=bool(self.table.backends(identified.target)),
             estimate_seconds=self.table.estimate_seconds(identified.target),
@@ -99,7 +101,7 @@
 
     def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
         # Its place in the queue was judged when it came; only loads and the controller may change.
-        view = self._view(request.identified, queue_seconds=0.0)
+        view = self._admission_view_with(request.identified, queue_seconds=0.0)
         return refusal_for(request.identified, view, self._membership.now)
 
     def on_routing(self, update: RoutingUpdate) -> bool:
