--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -154,11 +154,11 @@
         if self.generation:
             return True
         try:
-            known = await self._generations.read()
+            stored = await self._generations.read()
         except PlatformUnavailable:
             return False
-        if known is not None:
-            self._adopt(known)
+        if stored is not None:
+            self._adopt(stored)
             return True
         waited = self._membership.now - self._started_at
         alive = len(self._membership.alive())
@@ -170,14 +170,14 @@
             return False
         return await self._create_generation(1)
 
-    def _adopt(self, known: Generation) -> None:
-        if known.number <= self.generation:
+    def _adopt(self, stored: Generation) -> None:
+        if stored.number <= self.generation:
             return
-        self.generation = known.number
-        self.voters = tuple(sorted(info.identity for info in known.voters))
+        self.generation = stored.number
+        self.voters = tuple(sorted(info.identity for info in stored.voters))
         self._joint = ()
-        self.update_member_infos(known.voters)
-        log_state("generation", "known", generation=known.number)
+        self.update_member_infos(stored.voters)
+        log_state("generation", "known", generation=stored.number)
 
     async def _create_generation(self, number: int) -> bool:
         """Found a generation with voters from the live daemons; False when another was first."""
@@ -219,11 +219,11 @@
     async def _create_next_generation(self) -> bool:
         """Found the next generation, unless one was founded already."""
         try:
-            known = await self._generations.read()
+            stored = await self._generations.read()
         except PlatformUnavailable:
             return False
-        if known is not None and known.number > self.generation:
-            self._adopt(known)
+        if stored is not None and stored.number > self.generation:
+            self._adopt(stored)
             return False
         return await self._create_generation(self.generation + 1)
 
