--- a/loomwind/control/ledger.py
+++ b/loomwind/control/engine_tracker.py
@@ -21,7 +21,7 @@
 from loomwind.schema import Artifact
 
 
-class EngineKnowledge(enum.Enum):
+class EngineStatus(enum.Enum):
     """How far an engine is known to this controller.
 
     LIFELESS: its host keeps refusing connections, so the process that held memory has ended.
@@ -29,14 +29,14 @@
 
     UNKNOWN = "unknown"
     FENCED = "fenced"
-    LIFELESS = "lifeless"
+    PROCESS_ENDED = "lifeless"
     GONE = "gone"
 
 
-ENDED = (EngineKnowledge.LIFELESS, EngineKnowledge.GONE)
+ENDED_STATUSES = (EngineStatus.PROCESS_ENDED, EngineStatus.GONE)
 
 
-class OpenOrder(Struct, frozen=True):
+class PendingOrder(Struct, frozen=True):
     """An order that was given and not answered. ``lost`` once its answer cannot come any more."""
 
     order: Order
@@ -53,31 +53,31 @@
     engine: str
     address: str
     zone: str
-    knowledge: EngineKnowledge = EngineKnowledge.UNKNOWN
+    status: EngineStatus = EngineStatus.UNKNOWN
     listed_leaving: bool = False
-    told_leaving: bool = False
+    reported_leaving: bool = False
     failed: bool = False
     inventory: Inventory | None = None
-    orders: tuple[OpenOrder, ...] = ()
+    orders: tuple[PendingOrder, ...] = ()
 
     def state_of(self, artifact: Artifact) -> ReplicaState | None:
         """Return what the last inventory says of an artifact."""
         items = self.inventory.items if self.inventory else ()
         return next((item.state for item in items if item.artifact == artifact), None)
 
-    def open_order(self, artifact: Artifact) -> OpenOrder | None:
+    def pending_order(self, artifact: Artifact) -> PendingOrder | None:
         """Return the open order for an artifact, or None."""
         return next((o for o in self.orders if o.order.artifact == artifact), None)
 
     @property
     def leaving(self) -> bool:
         """Whether any source says that the engine is leaving."""
-        return self.listed_leaving or self.told_leaving
+        return self.listed_leaving or self.reported_leaving
 
     @property
     def usable(self) -> bool:
         """Whether new work may be placed here."""
-        fenced = self.knowledge is EngineKnowledge.FENCED
+        fenced = self.status is EngineStatus.FENCED
         return fenced and not self.leaving and not self.failed
 
     def tier(self, artifact: Artifact) -> CheckpointTier:
@@ -87,16 +87,16 @@
         return found[0] if found else CheckpointTier.REMOTE
 
 
-class Ledger:
+class EngineTracker:
     """All engines of the cell under one ballot."""
 
     def __init__(self) -> None:
         self.records: dict[str, EngineRecord] = {}
 
-    def learn(self, engine: str, address: str, zone: str, leaving: bool) -> None:
+    def add_or_update(self, engine: str, address: str, zone: str, leaving: bool) -> None:
         """Take in an engine from the machine list; one that came back is unknown again."""
         record = self.records.get(engine)
-        if record is None or record.knowledge is EngineKnowledge.GONE:
+        if record is None or record.status is EngineStatus.GONE:
             self.records[engine] = EngineRecord(engine, address, zone, listed_leaving=leaving)
         else:
             self._update(engine, address=address, zone=zone, listed_leaving=leaving)
@@ -112,23 +112,23 @@
     def mark_leaving(self, engine: str) -> None:
         """Note that an engine is leaving: nothing new goes there."""
         if engine in self.records:
-            self._update(engine, told_leaving=True)
+            self._update(engine, reported_leaving=True)
 
     def mark_unknown(self, engine: str) -> None:
         """Note that an engine must be fenced and read again."""
         record = self.records.get(engine)
-        if record is not None and record.knowledge is EngineKnowledge.FENCED:
-            self._update(engine, knowledge=EngineKnowledge.UNKNOWN)
+        if record is not None and record.status is EngineStatus.FENCED:
+            self._update(engine, status=EngineStatus.UNKNOWN)
 
-    def mark_lifeless(self, engine: str) -> None:
+    def mark_process_ended(self, engine: str) -> None:
         """Note that the engine's process has ended; it may come back as another life."""
         if engine in self.records:
-            self._update(engine, knowledge=EngineKnowledge.LIFELESS, inventory=None, orders=())
+            self._update(engine, status=EngineStatus.PROCESS_ENDED, inventory=None, orders=())
 
     def mark_gone(self, engine: str) -> None:
         """Note that the machine list says that an engine no longer exists."""
         if engine in self.records:
-            self._update(engine, knowledge=EngineKnowledge.GONE, inventory=None, orders=())
+            self._update(engine, status=EngineStatus.GONE, inventory=None, orders=())
 
     def on_inventory(self, engine: str, inventory: Inventory) -> None:
         """Take in an inventory that was read under a fence of this controller.
@@ -142,22 +142,22 @@
         settled = [o for o in record.orders if not _is_settled_by(o, inventory)]
         self._update(
             engine,
-            knowledge=EngineKnowledge.FENCED,
+            status=EngineStatus.FENCED,
             inventory=inventory,
             failed=False,
-            told_leaving=inventory.leaving,
+            reported_leaving=inventory.leaving,
             orders=tuple(settled),
         )
 
     def on_order_sent(self, engine: str, order: Order) -> None:
         """Note an order before its first byte goes out."""
         record = self.records[engine]
-        self._update(engine, orders=(*record.orders, OpenOrder(order)))
+        self._update(engine, orders=(*record.orders, PendingOrder(order)))
 
     def on_order_answered(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         """Close an order by its answer, and take in the inventory that came with it."""
         record = self.records.get(engine)
-        if record is None or record.knowledge in ENDED:
+        if record is None or record.status in ENDED_STATUSES:
             return
         self._update(engine, orders=tuple(o for o in record.orders if o.order != order))
         if answer.result is OrderResult.WRONG_INSTANCE:
@@ -168,7 +168,7 @@
     def on_order_lost(self, engine: str, order: Order) -> None:
         """Keep an order as unknown: the engine must be fenced and read again."""
         record = self.records.get(engine)
-        if record is None or record.knowledge in ENDED:
+        if record is None or record.status in ENDED_STATUSES:
             return
         orders = tuple(
             structs.replace(o, lost=True) if o.order == order else o for o in record.orders
@@ -176,7 +176,7 @@
         self._update(engine, orders=orders)
         self.mark_unknown(engine)
 
-    def removable(self, intents: tuple[Intent, ...]) -> set[Intent]:
+    def removable_intents(self, intents: tuple[Intent, ...]) -> set[Intent]:
         """Return the intents whose artifact is surely not on its engine, nor will be."""
         return {intent for intent in intents if self._is_removable(intent)}
 
@@ -184,14 +184,14 @@
         record = self.records.get(intent.engine)
         if record is None:
             return False
-        if record.knowledge in ENDED:
+        if record.status in ENDED_STATUSES:
             return True
-        if record.knowledge is not EngineKnowledge.FENCED or record.inventory is None:
+        if record.status is not EngineStatus.FENCED or record.inventory is None:
             return False
         if record.inventory.instance != intent.instance:
             return True
         absent = record.state_of(intent.artifact) is None
-        return absent and record.open_order(intent.artifact) is None
+        return absent and record.pending_order(intent.artifact) is None
 
 
 def _is_overtaken(inventory: Inventory, known: Inventory | None) -> bool:
@@ -199,7 +199,7 @@
     return same_life and known is not None and inventory.fence < known.fence
 
 
-def _is_settled_by(order: OpenOrder, inventory: Inventory) -> bool:
+def _is_settled_by(order: PendingOrder, inventory: Inventory) -> bool:
     """Return whether an inventory tells the fate of an order whose answer is lost."""
     if inventory.instance != order.order.instance:
         return True
