--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -7,7 +7,7 @@
 
 from loomwind import constants
 from loomwind.catalog.model import Catalog
-from loomwind.control.claim_service import ClaimService, ClaimHandle
+from loomwind.control.claim_service import ClaimHandle, ClaimService
 from loomwind.control.errors import ClaimBarrier, ClaimTaken, ClaimUnavailable
 from loomwind.http.errors import ConnectionBroken
 from loomwind.http.server import Exchange
