--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -16,7 +16,9 @@
     active: int
 
 
-def divide(total: int, weights: dict[str, float], wanted: dict[str, int]) -> dict[str, float]:
+def max_min_fair(
+    total: int, weights: dict[str, float], requested: dict[str, int]
+) -> dict[str, float]:
     """Divide places by weight, none getting more than it wants (max-min fair).
 
     :param total: places to divide.
@@ -24,22 +26,22 @@
     :param wanted: how many places each asks for.
     :returns: places of each taker, as fractions.
     """
-    given = dict.fromkeys(weights, 0.0)
-    open_takers = {taker for taker in weights if wanted.get(taker, 0) > 0}
-    left = float(total)
-    while open_takers and left > 1e-9:
-        weight_sum = sum(weights[taker] for taker in open_takers)
-        offer = {taker: left * weights[taker] / weight_sum for taker in open_takers}
-        full = {t for t in open_takers if given[t] + offer[t] >= wanted[t]}
-        if not full:
-            for taker in open_takers:
-                given[taker] += offer[taker]
+    allocated = dict.fromkeys(weights, 0.0)
+    unsatisfied = {claimant for claimant in weights if requested.get(claimant, 0) > 0}
+    remaining = float(total)
+    while unsatisfied and remaining > 1e-9:
+        weight_sum = sum(weights[claimant] for claimant in unsatisfied)
+        offer = {claimant: remaining * weights[claimant] / weight_sum for claimant in unsatisfied}
+        satisfied = {t for t in unsatisfied if allocated[t] + offer[t] >= requested[t]}
+        if not satisfied:
+            for claimant in unsatisfied:
+                allocated[claimant] += offer[claimant]
             break
-        for taker in full:
-            left -= wanted[taker] - given[taker]
-            given[taker] = float(wanted[taker])
-        open_takers -= full
-    return given
+        for claimant in satisfied:
+            remaining -= requested[claimant] - allocated[claimant]
+            allocated[claimant] = float(requested[claimant])
+        unsatisfied -= satisfied
+    return allocated
 
 
 class SlotAllocation(Struct, frozen=True):
@@ -50,7 +52,7 @@
     """
 
     slots: int
-    places: dict[str, float] = {}
+    group_slots: dict[str, float] = {}
 
 
 def allocate_slots(
@@ -66,29 +68,35 @@
     """
     if not routers:
         return {}
-    asked: dict[str, int] = {}
+    requested: dict[str, int] = {}
     for demand in demands:
-        asked[demand.group] = asked.get(demand.group, 0) + demand.active
-    weights = {group: shares.get(group, 1.0) for group in asked}
-    by_group = divide(concurrency, weights, asked)
-    places: dict[str, dict[str, float]] = {router: {} for router in routers}
+        requested[demand.group] = requested.get(demand.group, 0) + demand.active
+    weights = {group: shares.get(group, 1.0) for group in requested}
+    group_totals = max_min_fair(concurrency, weights, requested)
+    group_slots: dict[str, dict[str, float]] = {router: {} for router in routers}
     for demand in demands:
-        if demand.router in places and asked[demand.group]:
-            part = by_group[demand.group] * demand.active / asked[demand.group]
-            held = places[demand.router]
-            held[demand.group] = held.get(demand.group, 0.0) + part
-    exact = {router: sum(held.values()) for router, held in places.items()}
-    spare = max(0.0, concurrency - sum(exact.values()))
-    slots = _round({r: value + spare / len(routers) for r, value in exact.items()}, concurrency)
-    return {router: SlotAllocation(slots[router], places[router]) for router in routers}
-
-
-def _round(exact: dict[str, float], total: int) -> dict[str, int]:
+        if demand.router in group_slots and requested[demand.group]:
+            share = group_totals[demand.group] * demand.active / requested[demand.group]
+            router_slots = group_slots[demand.router]
+            router_slots[demand.group] = router_slots.get(demand.group, 0.0) + share
+    fractional = {
+        router: sum(router_slots.values()) for router, router_slots in group_slots.items()
+    }
+    spare = max(0.0, concurrency - sum(fractional.values()))
+    slots = _round(
+        {r: value + spare / len(routers) for r, value in fractional.items()}, concurrency
+    )
+    return {router: SlotAllocation(slots[router], group_slots[router]) for router in routers}
+
+
+def _round(fractional: dict[str, float], total: int) -> dict[str, int]:
     """Round places down, then give the rest to the largest remainders; at least one to each."""
-    places = {router: max(1, int(value)) for router, value in exact.items()}
-    order = sorted(exact, key=lambda router: (int(exact[router]) - exact[router], router))
+    rounded = {router: max(1, int(value)) for router, value in fractional.items()}
+    order = sorted(
+        fractional, key=lambda router: (int(fractional[router]) - fractional[router], router)
+    )
     for router in order:
-        if sum(places.values()) >= total:
+        if sum(rounded.values()) >= total:
             break
-        places[router] += 1
-    return places
+        rounded[router] += 1
+    return rounded
