--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -28,14 +28,14 @@
 CALL_TIMEOUT_SECONDS = 0.5
 
 
-class HeldKey(Struct, frozen=True):
+class ClaimHandle(Struct, frozen=True):
     """A claim that a majority granted to this daemon."""
 
     key: str
     attempt: int
 
 
-class Standing(enum.Enum):
+class ClaimResult(enum.Enum):
     """How a claim stands after all voters were asked.
 
     CONTESTED: another daemon has some of the votes, but perhaps no majority.
@@ -43,7 +43,7 @@
 
     WON = enum.auto()
     CONTESTED = enum.auto()
-    UNANSWERED = enum.auto()
+    NO_MAJORITY = enum.auto()
 
 
 class ClaimService:
@@ -63,7 +63,7 @@
         self._attempts = itertools.count(1)
         self._random = random.Random(membership.own.identity.incarnation)
 
-    async def claim(self, key: str, timeout: float) -> HeldKey:
+    async def claim(self, key: str, timeout: float) -> ClaimHandle:
         """Claim a key.
 
         :raises ClaimTaken: another request has it, or may have it.
@@ -74,50 +74,52 @@
         try:
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
-                    held = HeldKey(key, next(self._attempts))
-                    standing = await self._try(held)
-                    if standing is Standing.WON:
-                        return held
-                    contested = standing is Standing.CONTESTED
+                    handle = ClaimHandle(key, next(self._attempts))
+                    result = await self._attempt_claim(handle)
+                    if result is ClaimResult.WON:
+                        return handle
+                    contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
         except TimeoutError as error:
             if contested:
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _try(self, held: HeldKey) -> Standing:
+    async def _attempt_claim(self, handle: ClaimHandle) -> ClaimResult:
         """Ask all voters once, and give back what was granted unless it is a majority."""
         try:
-            standing = await self._ask(held)
+            result = await self._request_grants(handle)
         except BaseException:
-            self.release(held)
+            self.release(handle)
             raise
-        if standing is not Standing.WON:
-            self.release(held)
-        return standing
+        if result is not ClaimResult.WON:
+            self.release(handle)
+        return result
 
-    async def _ask(self, held: HeldKey) -> Standing:
+    async def _request_grants(self, handle: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
-            return Standing.UNANSWERED
+            return ClaimResult.NO_MAJORITY
         claim = Claim(
             self._membership.own.cell,
             update.stamp.generation,
             update.epoch,
-            held.key,
+            handle.key,
             self._membership.own.identity,
-            held.attempt,
+            handle.attempt,
+        )
+        answers = await asyncio.gather(
+            *(self._request_grant(info, claim) for info in update.voters)
         )
-        answers = await asyncio.gather(*(self._ask_one(info, claim) for info in update.voters))
         counted = [
             answer
             for info, answer in zip(update.voters, answers, strict=True)
             if answer is not None and answer.voter == info.identity
         ]
-        return self._standing(held.key, counted, len(update.voters))
+        return self._evaluate(handle.key, counted, len(update.voters))
 
     @staticmethod
-    def _standing(key: str, answers: list[ClaimAnswer], voters: int) -> Standing:
+    def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return how a claim stands.
 
         :raises ClaimTaken: another claimant has a majority, or nobody may have the key any more.
@@ -127,13 +129,13 @@
         if ClaimVerdict.BARRIER in verdicts:
             raise ClaimBarrier("earlier claims were lost with a majority of the voters")
         if 2 * verdicts.count(ClaimVerdict.GRANTED) > voters:
-            return Standing.WON
+            return ClaimResult.WON
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
-        return Standing.CONTESTED if holders else Standing.UNANSWERED
+        return ClaimResult.CONTESTED if holders else ClaimResult.NO_MAJORITY
 
-    async def _ask_one(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
+    async def _request_grant(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
         if info.identity == self._membership.own.identity:
             return self._store.on_claim(claim, self._membership.now)
         try:
@@ -142,10 +144,10 @@
             return None
         return answer if isinstance(answer, ClaimAnswer) else None
 
-    def release(self, held: HeldKey) -> None:
+    def release(self, handle: ClaimHandle) -> None:
         """Give a key back whose request did not run and will not."""
         own = self._membership.own
-        message = ClaimRelease(own.cell, held.key, own.identity, held.attempt)
+        message = ClaimRelease(own.cell, handle.key, own.identity, handle.attempt)
         update = self._routing()
         for info in update.voters if update else ():
             if info.identity == own.identity:
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -32,7 +32,7 @@
 from loomwind.ports.base import TableService
 from loomwind.ports.errors import PlatformUnavailable
 
-POLL_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 BOOTSTRAP_WAIT_SECONDS = 1.5
 
 
@@ -44,7 +44,7 @@
         membership: Membership,
         transport: PeerTransport,
         table: TableService,
-        seats: int,
+        voter_count: int,
         claims: ClaimStore,
         metrics: Metrics,
     ) -> None:
@@ -55,20 +55,20 @@
         self.generation = 0
         self.voters: tuple[VoterId, ...] = ()
         self._joint: tuple[VoterId, ...] = ()
-        self.seen = Stamp()
+        self.newest_stamp = Stamp()
         self._peer_stamps: dict[VoterId, Stamp] = {}
         self.on_lead: Callable[[], None] = lambda: None
         self.on_step_down: Callable[[], None] = lambda: None
         self._membership = membership
         self._transport = transport
         self._generations = GenerationStore(table, own.cell)
-        self._seats = seats
+        self._voter_count = voter_count
         self._metrics = metrics
-        self._infos: dict[VoterId, MemberInfo] = {}
-        self._settled: asyncio.Future[None] | None = None
+        self._member_infos: dict[VoterId, MemberInfo] = {}
+        self._commit_done: asyncio.Future[None] | None = None
         self._write_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._refused_voters: set[VoterId] = set()
+        self._ended_voters: set[VoterId] = set()
         self._started_at = membership.now
         self._campaign_at = 0.0
         self._in_term = False
@@ -97,27 +97,27 @@
 
     def info(self, voter: VoterId) -> MemberInfo | None:
         """Return a voter's address and zone, if they are known."""
-        return self._membership.find(voter) or self._infos.get(voter)
+        return self._membership.find(voter) or self._member_infos.get(voter)
 
     # Taking part: elections.
 
     async def run(self) -> None:
         """Campaign whenever the cell has no controller, until cancelled."""
         while True:
-            await asyncio.sleep(POLL_SECONDS)
-            if self.leading and not self._reaches_majority():
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            if self.leading and not self._hears_majority():
                 self.step_down()
-            if self.leading or self.retired or self._leader_is_heard():
+            if self.leading or self.retired or self._has_active_leader():
                 self._campaign_at = 0.0
                 continue
             now = self._membership.now
             if not self._campaign_at:
-                self._campaign_at = now + self._stagger_seconds()
+                self._campaign_at = now + self._campaign_delay_seconds()
             if now >= self._campaign_at:
                 self._campaign_at = 0.0
-                await self._seek_role()
+                await self._try_to_lead()
 
-    def _reaches_majority(self) -> bool:
+    def _hears_majority(self) -> bool:
         """Whether a majority of the voters is heard: without it a leader can decide nothing.
 
         Safety rests on ballots, not on this; it lets a leader that was cut off give up early.
@@ -127,7 +127,7 @@
         heard |= {member.info.identity for member in suspects}
         return is_majority(heard, self.committed.voters)
 
-    def _leader_is_heard(self) -> bool:
+    def _has_active_leader(self) -> bool:
         membership = self._membership
         silence = membership.leader_silence_seconds()
         return membership.leader is not None and silence < self._suspect_after
@@ -136,71 +136,77 @@
     def _suspect_after(self) -> float:
         return self._membership.detector.suspect_after_seconds
 
-    def _stagger_seconds(self) -> float:
+    def _campaign_delay_seconds(self) -> float:
         """Return a wait that differs between daemons, so that they do not campaign at once."""
         names = [info.identity for info in self._membership.alive()]
         rank = names.index(self._membership.own.identity) if names else 0
         return rank * constants.CAMPAIGN_STAGGER_SECONDS
 
-    async def _seek_role(self) -> None:
-        if not await self._know_generation():
+    async def _try_to_lead(self) -> None:
+        if not await self._ensure_generation():
             return
-        if self._majority_has_ended() and not await self._found_generation():
+        if self._majority_lost() and not await self._create_next_generation():
             return
         await self._campaign()
 
-    async def _know_generation(self) -> bool:
+    async def _ensure_generation(self) -> bool:
         """Learn the generation from the table service, or found the first one."""
         if self.generation:
             return True
         try:
-            known = await self._generations.read()
+            stored = await self._generations.read()
         except PlatformUnavailable:
             return False
-        if known is not None:
-            self._adopt(known)
+        if stored is not None:
+            self._adopt(stored)
             return True
         waited = self._membership.now - self._started_at
         alive = len(self._membership.alive())
-        if self._membership.has_seeds and alive < self._seats and waited < BOOTSTRAP_WAIT_SECONDS:
+        if (
+            self._membership.has_seeds
+            and alive < self._voter_count
+            and waited < BOOTSTRAP_WAIT_SECONDS
+        ):
             return False
-        return await self._found(1)
+        return await self._create_generation(1)
 
-    def _adopt(self, known: Generation) -> None:
-        if known.number <= self.generation:
+    def _adopt(self, stored: Generation) -> None:
+        if stored.number <= self.generation:
             return
-        self.generation = known.number
-        self.voters = tuple(sorted(info.identity for info in known.voters))
+        self.generation = stored.number
+        self.voters = tuple(sorted(info.identity for info in stored.voters))
         self._joint = ()
-        self.note_infos(known.voters)
-        log_state("generation", "known", generation=known.number)
+        self.update_member_infos(stored.voters)
+        log_state("generation", "known", generation=stored.number)
 
-    async def _found(self, number: int) -> bool:
+    async def _create_generation(self, number: int) -> bool:
         """Found a generation with voters from the live daemons; False when another was first."""
         alive = self._membership.alive()
-        chosen = choose_voters((), alive, self._seats)
+        chosen = choose_voters((), alive, self._voter_count)
         members = tuple(info for info in alive if info.identity in chosen)
         founded = Generation(number, members)
-        if not await self._generations.found(founded):
+        if not await self._generations.create(founded):
             return False
         log_state("generation", "founded", generation=number)
         self._adopt(founded)
         return True
 
-    def _majority_has_ended(self) -> bool:
+    def _majority_lost(self) -> bool:
         """Whether too few voters are left for any majority. Silence alone is no proof."""
         up_seconds = self._membership.now - self._started_at
-        if self._peer_knows_newer() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
+        if self._peer_has_newer_voters() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
             return False
         ended = {voter for voter in (*self.voters, *self._joint) if self._has_ended(voter)}
         return not self.voters or has_lost_majority(self.voters, self._joint, ended)
 
-    def _peer_knows_newer(self) -> bool:
+    def _peer_has_newer_voters(self) -> bool:
         """Whether a peer that is not gone knows a newer voter set: then that one has to judge."""
         present = {info.identity for info in self._membership.reachable()}
-        return any(self._peer_stamps.get(peer, self.seen) > self.seen for peer in present)
+        return any(
+            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in present
+        )
 
-    def note_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
+    def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
         """Take in the newest register stamp that a peer knows."""
         self._peer_stamps[peer] = stamp
         members = self._membership.detector.members
@@ -208,30 +214,30 @@
 
     def _has_ended(self, voter: VoterId) -> bool:
         member = self._membership.detector.members.get(voter)
-        return voter in self._refused_voters or (member is not None and member.ended)
+        return voter in self._ended_voters or (member is not None and member.ended)
 
-    async def _found_generation(self) -> bool:
+    async def _create_next_generation(self) -> bool:
         """Found the next generation, unless one was founded already."""
         try:
-            known = await self._generations.read()
+            stored = await self._generations.read()
         except PlatformUnavailable:
             return False
-        if known is not None and known.number > self.generation:
-            self._adopt(known)
+        if stored is not None and stored.number > self.generation:
+            self._adopt(stored)
             return False
-        return await self._found(self.generation + 1)
+        return await self._create_generation(self.generation + 1)
 
     async def _campaign(self) -> None:
-        self._settled = asyncio.get_running_loop().create_future()
+        self._commit_done = asyncio.get_running_loop().create_future()
         self._send(self.candidate.campaign(self.generation, self.voters))
         try:
             async with asyncio.timeout(constants.CAMPAIGN_TIMEOUT_SECONDS):
-                await self._settled
+                await self._commit_done
         except (TimeoutError, RegisterUnavailable):
             self.candidate.step_down()
             return
         self._metrics.elections.inc()
-        self._note_committed()
+        self._observe_committed()
         self._membership.announce_leading()
         log_state("controller", "leading", generation=self.generation)
         try:
@@ -249,9 +255,9 @@
         was_leading = self._in_term or self.candidate.phase is not Phase.IDLE
         self._in_term = False
         self.candidate.step_down()
-        if self._settled is not None and not self._settled.done():
-            self._settled.set_exception(RegisterUnavailable("another daemon leads"))
-            self._settled.exception()
+        if self._commit_done is not None and not self._commit_done.done():
+            self._commit_done.set_exception(RegisterUnavailable("another daemon leads"))
+            self._commit_done.exception()
         if was_leading:
             log_state("controller", "stepped-down", generation=self.generation)
             self.on_step_down()
@@ -280,25 +286,25 @@
             answer = await self._transport.call(info.address, envelope.message)
         except PeerUnreachable as error:
             if error.refused:
-                self._refused_voters.add(envelope.voter)
+                self._ended_voters.add(envelope.voter)
             return
-        self._notice_other_life(envelope.voter, answer)
+        self._check_incarnation(envelope.voter, answer)
         self._on_answer(answer)
 
-    def _notice_other_life(self, asked: VoterId, answer: AnyMessage) -> None:
+    def _check_incarnation(self, asked: VoterId, answer: AnyMessage) -> None:
         """A voter that answers under another incarnation has ended its earlier life."""
         if isinstance(answer, Promise | Accepted | Refused):
             same_name = answer.voter.name == asked.name
             if same_name and answer.voter.incarnation != asked.incarnation:
-                self._refused_voters.add(asked)
+                self._ended_voters.add(asked)
 
     def _on_answer(self, answer: AnyMessage) -> None:
         candidate = self.candidate
         if isinstance(answer, Promise):
             self._send(candidate.on_promise(answer))
         elif isinstance(answer, Accepted):
-            if candidate.on_accepted(answer) and self._settled and not self._settled.done():
-                self._settled.set_result(None)
+            if candidate.on_accepted(answer) and self._commit_done and not self._commit_done.done():
+                self._commit_done.set_result(None)
         elif isinstance(answer, Refused):
             if answer.generation > self.generation:
                 self.generation = 0
@@ -312,9 +318,9 @@
         answer = self.voter.on_accept(message)
         value = message.value
         if isinstance(answer, Accepted):
-            self.note_register(value.stamp, value.voters, value.joint)
+            self.observe_register(value.stamp, value.voters, value.joint)
             if value.epoch == 0 and self.voter.identity in value.voters:
-                self.claims.found(value.stamp.generation, self._membership.now)
+                self.claims.start_generation(value.stamp.generation, self._membership.now)
         return answer
 
     def _on_prepare(self, message: Prepare) -> AnyMessage:
@@ -324,23 +330,23 @@
         third, would take the role from one another for ever.
         """
         leader = self._membership.leader
-        rival = leader is not None and leader.identity != message.ballot.candidate
-        if rival and not self.retired and (self.leading or self._leader_is_heard()):
+        other_leader_known = leader is not None and leader.identity != message.ballot.candidate
+        if other_leader_known and not self.retired and (self.leading or self._has_active_leader()):
             return Refused(
                 self.cell, self.voter.identity, self.voter.generation, self.voter.promised
             )
         return self.voter.on_prepare(message)
 
-    def note_register(
+    def observe_register(
         self, stamp: Stamp, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
     ) -> None:
         """Learn a newer register stamp and its voter set from a peer.
 
         :param joint: the earlier voter set while the change is not settled.
         """
-        if stamp <= self.seen:
+        if stamp <= self.newest_stamp:
             return
-        self.seen = stamp
+        self.newest_stamp = stamp
         if stamp.generation >= self.generation:
             self.generation = stamp.generation
             self.voters = voters
@@ -353,9 +359,9 @@
         if self.leading and (stamp.generation, stamp.ballot) > term:
             self.step_down()
 
-    def note_infos(self, infos: tuple[MemberInfo, ...]) -> None:
+    def update_member_infos(self, infos: tuple[MemberInfo, ...]) -> None:
         """Learn the addresses of voters."""
-        self._infos.update({info.identity: info for info in infos})
+        self._member_infos.update({info.identity: info for info in infos})
 
     # Writing.
 
@@ -365,28 +371,28 @@
         :raises RegisterUnavailable: they may or may not be settled; this daemon stepped down.
         """
         async with self._write_lock:
-            await self._settle(lambda: self.candidate.propose_placements(intents, fenced_engines))
+            await self._commit(lambda: self.candidate.propose_placements(intents, fenced_engines))
 
-    async def _settle(self, propose: Callable[[], list[Envelope]]) -> None:
+    async def _commit(self, propose: Callable[[], list[Envelope]]) -> None:
         if not self.leading:
             raise RegisterUnavailable("this daemon does not lead")
-        self._settled = asyncio.get_running_loop().create_future()
-        settled = self._settled
+        self._commit_done = asyncio.get_running_loop().create_future()
+        commit_done = self._commit_done
         self._send(propose())
         deadline = self._membership.now + constants.REGISTER_WRITE_TIMEOUT_SECONDS
-        while not settled.done():
-            await asyncio.wait([settled], timeout=constants.REGISTER_RETRY_INTERVAL_SECONDS)
-            if settled.done():
+        while not commit_done.done():
+            await asyncio.wait([commit_done], timeout=constants.REGISTER_RETRY_INTERVAL_SECONDS)
+            if commit_done.done():
                 break
             if self._membership.now >= deadline:
                 self.step_down()
                 raise RegisterUnavailable("no majority of the voters answered")
-            self._send(self.candidate.outstanding())
-        settled.result()
-        self._note_committed()
+            self._send(self.candidate.unanswered_messages())
+        commit_done.result()
+        self._observe_committed()
 
-    def _note_committed(self) -> None:
-        self.note_register(self.committed.stamp, self.committed.voters, self.committed.joint)
+    def _observe_committed(self) -> None:
+        self.observe_register(self.committed.stamp, self.committed.voters, self.committed.joint)
 
     async def change_voters(self, voters: tuple[VoterId, ...]) -> None:
         """Put another voter set on a majority of the old one and of itself.
@@ -394,9 +400,9 @@
         :raises RegisterUnavailable: it may or may not be settled; this daemon stepped down.
         """
         async with self._write_lock:
-            await self._settle(lambda: self.candidate.propose_voters(voters))
+            await self._commit(lambda: self.candidate.propose_voters(voters))
             value = self.committed
-            await self._settle(
+            await self._commit(
                 lambda: self.candidate.propose_placements(value.intents, value.fenced_engines)
             )
         log_state("voters", "changed", voters=[voter.name for voter in voters])
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -7,7 +7,7 @@
 
 from loomwind.control.claims import ClaimStore
 from loomwind.control.register_service import RegisterService
-from loomwind.control.voter_set import choose_voters, keeps_majority
+from loomwind.control.voter_set import choose_voters, has_live_majority
 from loomwind.membership.detector import MemberState
 from loomwind.membership.service import Membership
 from loomwind.messages import (
@@ -33,13 +33,13 @@
         membership: Membership,
         transport: PeerTransport,
         claims: ClaimStore,
-        seats: int,
+        voter_count: int,
     ) -> None:
         self._register = register
         self._membership = membership
         self._transport = transport
         self._claims = claims
-        self._seats = seats
+        self._voter_count = voter_count
 
     async def repair(self) -> bool:
         """Replace voters that are gone or leaving, and fill free seats; only while leading.
@@ -50,13 +50,13 @@
         present = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        wanted = choose_voters(present, alive + [m.info for m in suspects], self._seats)
-        if set(wanted) == set(present) or not keeps_majority(present, alive):
+        target = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
+        if set(target) == set(present) or not has_live_majority(present, alive):
             return False
-        for voter in wanted:
+        for voter in target:
             if voter not in present and not await self._admit(voter):
                 return False
-        await self._register.change_voters(wanted)
+        await self._register.change_voters(target)
         return True
 
     async def _admit(self, voter: VoterId) -> bool:
@@ -88,7 +88,7 @@
         if 2 * len(ready) <= message.voter_count:
             return VoterAdmitted(ready=False)
         now = self._membership.now
-        self._claims.admit(message.generation, message.epoch, ready, now)
+        self._claims.import_claims(message.generation, message.epoch, ready, now)
         return VoterAdmitted(ready=True)
 
     async def _fetch_claims(
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -11,7 +11,7 @@
 from loomwind.messages import BackendReport, RoutingUpdate
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
-from loomwind.pipeline.admit import AdmissionView, judge
+from loomwind.pipeline.admit import AdmissionView, refusal_for
 from loomwind.pipeline.demand_reporter import DemandReporter
 from loomwind.pipeline.errors import RequestRefused
 from loomwind.pipeline.forward import Forwarder
@@ -23,8 +23,8 @@
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 from loomwind.settings import LimitSettings
 
-REVIEW_INTERVAL_SECONDS = 0.1
-CONTROLLER_ABSENCE_SECONDS = 5.0
+RECHECK_INTERVAL_SECONDS = 0.1
+CONTROLLER_GRACE_SECONDS = 5.0
 
 
 class Router:
@@ -44,7 +44,7 @@
         self.selector = Selector(self.table, membership.own.zone)
         self.queue = RequestQueue(self.selector, self.table.weight)
         self.reporter = DemandReporter(membership, transport, self.queue, self.selector)
-        self.queue.on_demand = self.reporter.notify
+        self.queue.on_demand_changed = self.reporter.notify
         self._membership = membership
         self._transport = transport
         self._metrics = metrics
@@ -69,45 +69,47 @@
         target = identified.target
         waiting = self.queue.waiting_for(target)
         ahead = self.selector.queue_seconds(target, waiting, self._membership.now)
-        return self._view(identified, ahead)
+        return self._admission_view_with(identified, ahead)
 
-    def _view(self, identified: IdentifiedRequest, queue_seconds: float) -> AdmissionView:
+    def _admission_view_with(
+        self, identified: IdentifiedRequest, queue_seconds: float
+    ) -> AdmissionView:
         return AdmissionView(
             ready=bool(self.table.backends(identified.target)),
             estimate_seconds=self.table.estimate_seconds(identified.target),
-            controlled=self._is_controlled(),
-            waiting=self.queue.waiting_of(identified.group),
+            controlled=self._has_controller(),
+            waiting=self.queue.waiting_in_group(identified.group),
             queue_seconds=queue_seconds,
         )
 
-    def _is_controlled(self) -> bool:
+    def _has_controller(self) -> bool:
         """Whether the cell has a controller, or may soon have one again."""
         up_seconds = self._membership.now - self._started_at
         silence = min(self._membership.leader_silence_seconds(), up_seconds)
-        return silence < CONTROLLER_ABSENCE_SECONDS
+        return silence < CONTROLLER_GRACE_SECONDS
 
     async def run(self) -> None:
         """Review the waiting requests now and then, until cancelled."""
         while True:
-            await asyncio.sleep(REVIEW_INTERVAL_SECONDS)
-            self.review()
+            await asyncio.sleep(RECHECK_INTERVAL_SECONDS)
+            self.recheck_waiting()
 
-    def review(self) -> None:
+    def recheck_waiting(self) -> None:
         """Serve what can go out, and refuse what cannot be served in time any more."""
-        self.queue.pump()
-        self.queue.refuse_where(self._judge)
+        self.queue.dispatch()
+        self.queue.refuse_matching(self._refusal_for)
 
-    def _judge(self, request: AdmittedRequest) -> RequestRefused | None:
+    def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
         # Its place in the queue was judged when it came; only loads and the controller may change.
-        view = self._view(request.identified, queue_seconds=0.0)
-        return judge(request.identified, view, self._membership.now)
+        view = self._admission_view_with(request.identified, queue_seconds=0.0)
+        return refusal_for(request.identified, view, self._membership.now)
 
     def on_routing(self, update: RoutingUpdate) -> bool:
         """Take in a routing update; returns whether it was newer."""
         if not self.table.apply(update):
             return False
         self._metrics.replicas.set(sum(len(engine.replicas) for engine in update.engines))
-        self.review()
+        self.recheck_waiting()
         return True
 
     def on_leaving(self, backend: str) -> None:
@@ -125,4 +127,4 @@
     def on_backend_report(self, report: BackendReport) -> None:
         """Take in what another daemon saw of a back end."""
         self.table.mark_leaving(report.backend, report.leaving)
-        self.queue.pump()
+        self.queue.dispatch()
--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -7,14 +7,14 @@
 from loomwind.schema import Artifact
 
 
-def _follows(update: RoutingUpdate, current: RoutingUpdate) -> bool:
+def _applies_to(update: RoutingUpdate, current: RoutingUpdate) -> bool:
     """Return whether an update changes just the one that is held."""
     before, after = current.stamp, update.stamp
     same_term = (before.generation, before.ballot) == (after.generation, after.ballot)
     return same_term and update.base == current.sequence
 
 
-def _merge(current: RoutingUpdate, update: RoutingUpdate) -> RoutingUpdate:
+def _apply_changes(current: RoutingUpdate, update: RoutingUpdate) -> RoutingUpdate:
     """Return the whole update that a change of engines leads to."""
     engines = {route.engine: route for route in current.engines}
     engines |= {route.engine: route for route in update.engines}
@@ -52,9 +52,9 @@
             if term <= known:
                 return False
         if update.base:
-            if current is None or not _follows(update, current):
+            if current is None or not _applies_to(update, current):
                 return False
-            update = _merge(current, update)
+            update = _apply_changes(current, update)
         self.update = update
         self._estimates = {e.artifact: e.seconds for e in update.estimates}
         self._engines = {}
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -9,7 +9,7 @@
 from loomwind.pipeline.types import AdmittedRequest, Backend, SelectedRequest, Target
 
 APPLICATION_SLOTS = 256
-SERVICE_TIME_WEIGHT = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 
 
 class Candidate(Struct, frozen=True):
@@ -25,7 +25,7 @@
     near: bool
 
 
-def choose(candidates: list[Candidate]) -> Candidate | None:
+def least_loaded(candidates: list[Candidate]) -> Candidate | None:
     """Return the least loaded candidate with a free slot; at equal load a near one."""
     free = [c for c in candidates if c.running < c.slots]
     return min(free, key=lambda c: (c.running / c.slots, not c.near, c.backend.name), default=None)
@@ -57,24 +57,24 @@
                 found.append(Candidate(backend, running, slots, near))
         return found
 
-    def has_free(self, target: Target, now: float) -> bool:
+    def has_free_slot(self, target: Target, now: float) -> bool:
         """Return whether a request for a target could go out now."""
-        return choose(self.candidates(target, now)) is not None
+        return least_loaded(self.candidates(target, now)) is not None
 
     def select(self, admitted: AdmittedRequest, now: float) -> SelectedRequest | None:
         """Take a slot for a request; None when no back end has one free."""
-        chosen = choose(self.candidates(admitted.target, now))
+        chosen = least_loaded(self.candidates(admitted.target, now))
         if chosen is None:
             return None
-        self.circuit(chosen.backend.name).begin()
+        self.circuit(chosen.backend.name).record_sent()
         self.running[chosen.backend.name] += 1
         self.running_by_target[(admitted.target, admitted.identified.group)] += 1
         return SelectedRequest(admitted, chosen.backend)
 
-    def served(self, target: Target, seconds: float) -> None:
+    def record_service_time(self, target: Target, seconds: float) -> None:
         """Take in how long an answered request held its slot."""
         known = self._service_seconds.get(target, seconds)
-        self._service_seconds[target] = known + SERVICE_TIME_WEIGHT * (seconds - known)
+        self._service_seconds[target] = known + SERVICE_TIME_SMOOTHING * (seconds - known)
 
     def queue_seconds(self, target: Target, waiting: int, now: float) -> float:
         """Return how long a request waits behind others; 0 when nothing is known."""
