--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -30,7 +30,7 @@
 from loomwind.settings import ControlSettings
 
 CELL = "cell"
-SEATS = 3
+VOTER_COUNT = 3
 RETENTION_SECONDS = 900.0
 LONG_AGO_SECONDS = 1000.0
 POLL_SECONDS = 0.02
@@ -111,14 +111,14 @@
         membership = MovedMembership(member(OWN), ("seed",), ControlSettings(), transport, metrics)
         self.membership = membership
         claims = ClaimStore(OWN, RETENTION_SECONDS)
-        register = RegisterService(membership, transport, self.table, SEATS, claims, metrics)
-        register.note_register(value(0, self.voters).stamp, self.voters)
+        register = RegisterService(membership, transport, self.table, VOTER_COUNT, claims, metrics)
+        register.observe_register(value(0, self.voters).stamp, self.voters)
         for each in self.accepted:
             register.on_message(Accept(CELL, each))
         self.says_that_it_votes = bool(metrics.voter._value.get())
         for identity, stamp in self.peer_stamps.items():
             membership.detector.heard(member(identity), membership.now)
-            register.note_peer_stamp(identity, stamp)
+            register.record_peer_stamp(identity, stamp)
         for identity in self.ended:
             membership.detector.heard(member(identity), membership.now)
             membership.detector.refused(identity)
@@ -156,7 +156,7 @@
         """Return the generation that the table has in the end."""
         register = self.make()
         generations = GenerationStore(self.table, CELL)
-        await generations.found(Generation(1, tuple(member(v) for v in self.voters)))
+        await generations.create(Generation(1, tuple(member(v) for v in self.voters)))
         running = asyncio.create_task(register.run())
         known: Generation | None = None
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -76,7 +76,7 @@
         return self.phase is Phase.LEADING
 
     @property
-    def busy(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether a write is under way."""
         return self.pending is not None
 
@@ -94,23 +94,23 @@
         self._base_voters = voters
         self._promises = {}
         self._acknowledged = set()
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def step_down(self) -> None:
         """Give up the role or the attempt."""
         self.phase = Phase.IDLE
         self.pending = None
 
-    def outstanding(self) -> list[Envelope]:
+    def unanswered_messages(self) -> list[Envelope]:
         """Return the messages whose answers are missing, to send or to repeat."""
         if self.phase is Phase.PREPARING:
             prepare = Prepare(self.cell, self.generation, self.ballot)
-            missing = sorted(self._audience() - set(self._promises))
+            missing = sorted(self._recipients() - set(self._promises))
             return [Envelope(voter, prepare) for voter in missing]
         if self.pending is not None:
             accept = Accept(self.cell, self.pending)
-            audience = {*self.pending.voters, *self.pending.joint}
-            return [Envelope(voter, accept) for voter in sorted(audience - self._acknowledged)]
+            recipients = {*self.pending.voters, *self.pending.joint}
+            return [Envelope(voter, accept) for voter in sorted(recipients - self._acknowledged)]
         return []
 
     def propose_placements(
@@ -123,7 +123,7 @@
                 present, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
             )
         )
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def propose_voters(self, voters: tuple[VoterId, ...]) -> list[Envelope]:
         """Write the next version with another voter set.
@@ -136,10 +136,10 @@
             present, stamp=stamp, voters=voters, joint=present.voters, epoch=epoch
         )
         self._write(changed)
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def _next_version(self) -> tuple[Stamp, RegisterValue]:
-        assert self.leading and not self.busy and self.committed is not None
+        assert self.leading and not self.is_writing and self.committed is not None
         version = self.committed.stamp.version + 1
         return Stamp(self.generation, self.ballot, version), self.committed
 
@@ -152,7 +152,7 @@
         values = [value for value in self._promises.values() if value is not None]
         return max(values, key=lambda value: value.stamp, default=None)
 
-    def _audience(self) -> set[VoterId]:
+    def _recipients(self) -> set[VoterId]:
         newest = self._newest()
         return {*self._base_voters} if newest is None else {*newest.voters, *newest.joint}
 
@@ -161,7 +161,7 @@
         current = (self.generation, self.ballot)
         if self.phase is not Phase.PREPARING or (message.generation, message.ballot) != current:
             return []
-        before = self._audience()
+        before = self._recipients()
         self._promises[message.voter] = message.accepted
         newest = self._newest()
         if newest is None:
@@ -169,9 +169,9 @@
                 return []
             newest = RegisterValue(Stamp(self.generation), self._base_voters)
         elif not is_quorum(self._promises, newest):
-            return self.outstanding() if self._audience() != before else []
+            return self.unanswered_messages() if self._recipients() != before else []
         self._recover(newest)
-        return self.outstanding()
+        return self.unanswered_messages()
 
     def _recover(self, newest: RegisterValue) -> None:
         self.phase = Phase.RECOVERING
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -258,7 +258,7 @@
             catalog_version=self.catalog.catalog.version,
             routing=self.router.table.stamp,
             routing_sequence=self.router.table.sequence,
-            register=self.register.seen,
+            register=self.register.newest_stamp,
             hears_leader=self.membership.hears_leader(),
         )
 
@@ -266,7 +266,7 @@
         self.catalog.on_digest(member, digest.catalog_version)
         if member.cell != self.membership.own.cell:
             return
-        self.register.note_peer_stamp(member.identity, digest.register)
+        self.register.record_peer_stamp(member.identity, digest.register)
         if self._should_fetch_routing(digest):
             self._spawn(self._fetch_routing(member))
         if self._controller is not None:
@@ -288,7 +288,7 @@
             self._dispatch.on_routing(response)
 
     def _on_catalog_change(self) -> None:
-        self.router.review()
+        self.router.recheck_waiting()
         self._wake_controller()
 
     def _wake_controller(self) -> None:
--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -42,18 +42,20 @@
         queue.items.append(item)
 
     def pop(self, eligible: Callable[[Item], bool]) -> Item | None:
-        able = {name for name in self._order if any(map(eligible, self.groups[name].items))}
-        while able:
+        eligible_groups = {
+            name for name in self._order if any(map(eligible, self.groups[name].items))
+        }
+        while eligible_groups:
             name = self._order[0]
             queue = self.groups[name]
-            if name in able and queue.deficit >= constants.FAIR_QUEUE_QUANTUM:
+            if name in eligible_groups and queue.deficit >= constants.FAIR_QUEUE_QUANTUM:
                 item = queue.pop_eligible(eligible)
                 queue.deficit -= constants.FAIR_QUEUE_QUANTUM
                 self._drop_if_empty(name)
                 return item
             self._order.rotate(-1)
-            if name in able:
-                heaviest = max(self.groups[other].weight for other in able)
+            if name in eligible_groups:
+                heaviest = max(self.groups[other].weight for other in eligible_groups)
                 queue.deficit += queue.weight / heaviest
         return None
 
@@ -94,8 +96,8 @@
 
     def remove(self, priority: int, group: str, item: Item) -> bool:
         """Remove a waiting item; returns whether it was there."""
-        known = self._classes.get(priority)
-        return known is not None and known.remove(group, item)
+        priority_class = self._classes.get(priority)
+        return priority_class is not None and priority_class.remove(group, item)
 
     def count(self, group: str) -> int:
         """Return how many items of a group wait, over all classes."""
@@ -103,6 +105,6 @@
         return sum(len(queue.items) for queue in queues)
 
     def __iter__(self) -> Iterator[Item]:
-        for known in self._classes.values():
-            for queue in known.groups.values():
+        for priority_class in self._classes.values():
+            for queue in priority_class.groups.values():
                 yield from queue.items
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -7,7 +7,7 @@
 
 from loomwind import constants
 from loomwind.catalog.model import Catalog
-from loomwind.control.claim_service import ClaimService, HeldKey
+from loomwind.control.claim_service import ClaimHandle, ClaimService
 from loomwind.control.errors import ClaimBarrier, ClaimTaken, ClaimUnavailable
 from loomwind.http.errors import ConnectionBroken
 from loomwind.http.server import Exchange
@@ -20,7 +20,7 @@
 from loomwind.pipeline.identify import identify
 from loomwind.pipeline.parse import parse
 from loomwind.pipeline.queue import RequestQueue
-from loomwind.pipeline.relay import HeldBody, Relay
+from loomwind.pipeline.relay import BufferedBody, Relay
 from loomwind.pipeline.routing_table import RoutingTable
 from loomwind.pipeline.select import Selector
 from loomwind.pipeline.types import AdmittedRequest, ForwardedResponse, IdentifiedRequest
@@ -31,33 +31,33 @@
 RETRY_BARRIER_SECONDS = 30.0
 
 
-class Answer(Struct, frozen=True):
+class BackendResponse(Struct, frozen=True):
     """An answer that can be sent: a held body, or a stream when ``body`` is None.
 
     :param attempt_seconds: how long it has held its slot so far.
     """
 
     response: ForwardedResponse
-    body: HeldBody | None
+    body: BufferedBody | None
     attempt_seconds: float
 
 
-class Progress:
+class RequestProgress:
     """How far a request has come, over all its attempts.
 
     :ivar attempt: the attempt under way.
-    :ivar held: the claim on the request's key; kept from one attempt to the next.
+    :ivar claim: the claim on the request's key; kept from one attempt to the next.
     """
 
     def __init__(self) -> None:
         self.attempt: Attempt | None = None
-        self.held: HeldKey | None = None
+        self.claim: ClaimHandle | None = None
         self.may_have_run = False
 
     @property
     def outcome(self) -> Outcome:
         """Return what can be said of the request if it ends now."""
-        under_way = self.attempt is not None and self.attempt.handed_over
+        under_way = self.attempt is not None and self.attempt.request_sent
         return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
 
 
@@ -133,7 +133,7 @@
         identified = identify(parsed, self._catalog(), self._is_ready)
         admitted = admit(identified, self._admission(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
-        answer = await self._obtain(admitted)
+        answer = await self._get_response(admitted)
         response = answer.response
         forwarded_at = self._now()
         try:
@@ -142,10 +142,10 @@
                 await self._relay.stream(exchange, response, parsed.request_id, prefix)
             else:
                 data = answer.body.data
-                await self._relay.send_held(exchange, response, data, parsed.request_id)
+                await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
-            held_seconds = answer.attempt_seconds + self._now() - forwarded_at
-            self._selector.served(admitted.target, held_seconds)
+            slot_seconds = answer.attempt_seconds + self._now() - forwarded_at
+            self._selector.record_service_time(admitted.target, slot_seconds)
             self._release(response)
 
     def _is_ready(self, artifact: Artifact) -> bool:
@@ -153,23 +153,23 @@
 
     def _release(self, response: ForwardedResponse) -> None:
         self._selector.release(response.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
-    async def _obtain(self, admitted: AdmittedRequest) -> Answer:
+    async def _get_response(self, admitted: AdmittedRequest) -> BackendResponse:
         """Try until there is an answer, the deadline is near, or trying again is not allowed."""
         self._budget.on_request()
-        progress = Progress()
+        progress = RequestProgress()
         try:
             for attempt_number in range(constants.MAX_ATTEMPTS):
                 try:
-                    return await self._try_once(admitted, progress)
+                    return await self._attempt_before_deadline(admitted, progress)
                 except AttemptFailed as failure:
                     self._check_retry(admitted, failure, attempt_number)
                     self._metrics.retries.inc()
             raise AssertionError("the last attempt raises")
         except BaseException:
-            if progress.held is not None and progress.outcome is Outcome.NOT_RUN:
-                self._claims.release(progress.held)
+            if progress.claim is not None and progress.outcome is Outcome.NOT_RUN:
+                self._claims.release(progress.claim)
             raise
 
     def _check_retry(
@@ -181,14 +181,16 @@
         """
         safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
         last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if safe and not last and self._budget.take():
+        if safe and not last and self._budget.try_spend():
             return
-        unstarted = failure.outcome is Outcome.NOT_RUN
-        problem = Problem.NO_BACKEND if unstarted else Problem.BACKEND_FAILED
+        not_run = failure.outcome is Outcome.NOT_RUN
+        problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
         retry_after = RETRY_SOON_SECONDS if safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
-    async def _try_once(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
+    async def _attempt_before_deadline(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> BackendResponse:
         """Queue, select, forward, and read the answer up to where it can be sent.
 
         :raises AttemptFailed: the back end gave no answer.
@@ -209,40 +211,42 @@
         estimate = self._table.estimate_seconds(admitted.target)
         return RETRY_SOON_SECONDS if estimate is None else estimate
 
-    async def _attempt(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
+    async def _attempt(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> BackendResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
         began = self._now()
         try:
-            if progress.held is None:
-                progress.held = await self._claim(admitted)
+            if progress.claim is None:
+                progress.claim = await self._claim(admitted)
             progress.attempt = attempt
             response = await self._forwarder.forward(attempt)
-            body = None if response.streamed else await self._relay.hold(response)
+            body = None if response.streamed else await self._relay.buffer_body(response)
         except BaseException as error:
             self._on_attempt_failed(attempt, progress, error)
             raise
-        self._selector.circuit(selected.backend.name).succeeded()
-        return Answer(response, body, self._now() - began)
+        self._selector.circuit(selected.backend.name).record_success()
+        return BackendResponse(response, body, self._now() - began)
 
     def _on_attempt_failed(
-        self, attempt: Attempt, progress: Progress, error: BaseException
+        self, attempt: Attempt, progress: RequestProgress, error: BaseException
     ) -> None:
         backend = attempt.selected.backend.name
         circuit = self._selector.circuit(backend)
         if isinstance(error, AttemptFailed) and error.stale_route:
-            circuit.abandoned()
+            circuit.record_ended()
             self._table.drop_replica(attempt.selected.admitted.target, backend)
         elif isinstance(error, AttemptFailed):
-            if circuit.failed(self._now()):
+            if circuit.record_failure(self._now()):
                 log_state("circuit", "open", backend=backend)
         else:
-            circuit.abandoned()
-        progress.may_have_run |= attempt.handed_over
+            circuit.record_ended()
+        progress.may_have_run |= attempt.request_sent
         self._selector.release(attempt.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
-    async def _claim(self, admitted: AdmittedRequest) -> HeldKey | None:
+    async def _claim(self, admitted: AdmittedRequest) -> ClaimHandle | None:
         """Claim the request's key, if it has one.
 
         :raises RequestRefused: the key was not granted.
