--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about finding a cause in logs."""
+"""Steps for explaining requests from logs."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 from loomwind.explain import REQUEST_TYPE, LogLine
 
 
-@given("models that load in {seconds:f} s")
+@given("models with a load time of {seconds:f} s")
 def step_load_time(context: Any, seconds: float) -> None:
     site = pool(context)
     for model in site.models:
@@ -24,7 +24,7 @@
         site.add_model_server(name, "m1")
 
 
-@when("a request on {name} for {target} goes to another daemon with {seconds:f} s to its deadline")
+@when("a request on {name} for {target} is sent to another daemon with a deadline in {seconds:f} s")
 def step_other_daemon(context: Any, name: str, target: str, seconds: float) -> None:
     site = pool(context)
     daemon = next(d for d in site.daemons.values() if d is not context.old_leader)
@@ -33,24 +33,25 @@
     site.callers.begin([request])
 
 
-@then("explain names the cause {cause}")
+@then("explain reports the cause {cause}")
 def step_explain(context: Any, cause: str) -> None:
     replies = replies_of(context)
     request_id = replies[-1].request_id if replies else context.last_request_id
-    wait_until(lambda: explained(context, request_id) == cause, f"explain says {cause}", 5.0)
+    wait_until(lambda: find_cause(context, request_id) == cause, f"explain says {cause}", 5.0)
 
 
-def explained(context: Any, request_id: str) -> str:
+def find_cause(context: Any, request_id: str) -> str:
     """Return the name of the cause that the command finds in the logs of all daemons."""
     logs = [str(path) for path in sorted(pool(context).folder.glob("*.[0-9]*.log"))]
     command = [sys.executable, "-m", "loomwind", "explain", request_id, *logs, "--json"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert done.returncode == 0, done.stderr
-    named = str(json.loads(done.stdout)["cause"])
-    return CAUSES.get(named, named)
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert result.returncode == 0, result.stderr
+    cause = str(json.loads(result.stdout)["cause"])
+    return CAUSE_NAMES.get(cause, cause)
 
 
-CAUSES = {
+# From the printed value of each cause to its name.
+CAUSE_NAMES = {
     "no route in the configuration in force": "no_route",
     "the daemon knew no configuration": "no_configuration",
     "a server took the request and did not answer": "server_silent",
@@ -69,12 +70,12 @@
 }
 
 
-@given("the lines of a request that was told to come back, and of one that was late at its server")
+@given("log lines of a request that was told to retry, and of one that was late at its server")
 def step_loss_lines(context: Any) -> None:
-    told = {"decision": "come-back", "request_id": "a", "target": "m1"}
+    retry = {"decision": "come-back", "request_id": "a", "target": "m1"}
     ended = {"decision": "given-up", "request_id": "a", "route": "r-1", "waiting": True}
     late = {"decision": "late", "request_id": "b", "target": "m1", "waited_for_model": 0.0}
-    context.lines = [LogLine(1.0, "d", REQUEST_TYPE, fields) for fields in (told, ended, late)]
+    context.lines = [LogLine(1.0, "d", REQUEST_TYPE, fields) for fields in (retry, ended, late)]
 
 
 @then('the reasons are "{first}" on {route} and "{second}" on no known route')
@@ -83,7 +84,7 @@
     assert reasons(context.lines) == expected, reasons(context.lines)
 
 
-@given("these refusals for want of a model")
+@given("these refusals of requests whose model was not loaded")
 def step_refusals(context: Any) -> None:
     context.lines = [
         LogLine(
@@ -102,11 +103,18 @@
 
 
 @then(
-    "{promised:d} callers were promised and {broken:d} of them refused again, "
-    "{hopeless:d} had no hope and {returned:d} came back, {unknown:d} is unknown"
+    "{told_to_retry:d} callers were told to retry and {refused_again:d} of them was refused again, "
+    "{told_not_to:d} was told not to and {retried:d} retried, {unknown:d} is unknown"
 )
 def step_account(
-    context: Any, promised: int, broken: int, hopeless: int, returned: int, unknown: int
+    context: Any,
+    told_to_retry: int,
+    refused_again: int,
+    told_not_to: int,
+    retried: int,
+    unknown: int,
 ) -> None:
     account = promise_account(context.lines)
-    assert account == PromiseAccount(promised, broken, hopeless, returned, unknown), account
+    assert account == PromiseAccount(told_to_retry, refused_again, told_not_to, retried, unknown), (
+        account
+    )
