--- a/features/pool_metrics.feature
+++ b/features/pool_metrics.feature
@@ -1,6 +1,6 @@
-Feature: Counters and latency histograms tell what a pool daemon does
+Feature: A pool daemon exports counters and latency histograms
 
-  Scenario: requests are counted by kind and end, with their times
+  Scenario: requests are counted and timed by kind and result
     Given a plain server shop
     And a model server one that holds m1
     And 1 pool daemons
@@ -12,7 +12,7 @@
     And metric loomwind_model_wait_seconds_count is 1
     And metric loomwind_waiting_for_model is 0
 
-  Scenario: a request that fails, and what was spent on it
+  Scenario: retries and failed attempts of a request are counted
     Given a plain server shop
     And a plain server shop2
     And 1 pool daemons
@@ -22,7 +22,7 @@
     Then metric loomwind_repeats_total with verdict=allowed is 1
     And metric loomwind_sends_total with end=failed is 1
 
-  Scenario: streams are counted by what marked their end
+  Scenario: streams are counted by the framing that ended them
     Given a model server one that holds m1
     And 1 pool daemons
     When a model request on draft for m1 is sent
@@ -39,11 +39,11 @@
     Then metric loomwind_store_calls_total with result=unavailable is at least 1
     And metric loomwind_lease_fence is at least 1
 
-  Scenario: the calls of a daemon are told over all its lives
-    Given log lines of a daemon that made 2 calls, then 5, and 3 in its next life
-    Then the table of calls has 8 calls of it
+  Scenario: the store calls of a daemon are summed over its restarts
+    Given log lines of a daemon with 2 store calls, then 5, and 3 after a restart
+    Then the table of store calls has 8 calls of the daemon
 
-  Scenario: servers beyond the first ones share one label
-    Given labels for 3 servers
+  Scenario: servers beyond the maximum number of labels share one label
+    Given a limit of 3 server labels
     When 10 servers are counted
     Then the labels are the first 3 and other
--- a/features/steps/pool_metrics_steps.py
+++ b/features/steps/pool_metrics_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the metrics page of a pool daemon."""
+"""Steps for the metrics of a pool daemon."""
 
 import re
 from typing import Any
@@ -14,8 +14,8 @@
 SAMPLE = re.compile(r"^(\w+)(?:\{(.*)\})? (\S+)$")
 
 
-def value_of(page: str, name: str, labels: str) -> float:
-    """Return the sum of a metric's samples that have all the labels ``name=value, name=value``."""
+def sum_metric(page: str, name: str, labels: str) -> float:
+    """Return the sum of a metric's samples that match all labels, ``name=value, name=value``."""
     wanted = [item.replace("=", '="') + '"' for item in labels.split(", ") if item]
     total = 0.0
     for line in page.splitlines():
@@ -25,14 +25,14 @@
     return total
 
 
-def wait_for_metric(context: Any, name: str, labels: str, least: float, exact: bool) -> None:
-    """Wait until the first daemon's metric has a value."""
+def wait_for_metric(context: Any, name: str, labels: str, expected: float, exact: bool) -> None:
+    """Wait until a metric of the first daemon reaches a value, or equals it when ``exact``."""
 
     def reached() -> bool:
-        value = value_of(first_daemon(context).metrics(), name, labels)
-        return value == least if exact else value >= least
+        value = sum_metric(first_daemon(context).metrics(), name, labels)
+        return value == expected if exact else value >= expected
 
-    wait_until(reached, f"{name} {labels} reaches {least}")
+    wait_until(reached, f"{name} {labels} reaches {expected}")
 
 
 @then("metric {name:w} is {value:d}")
@@ -55,7 +55,7 @@
     wait_for_metric(context, name, labels, value, exact=False)
 
 
-@given("labels for {count:d} servers")
+@given("a limit of {count:d} server labels")
 def step_labels(context: Any, count: int) -> None:
     context.labels = ServerLabels(count)
 
@@ -71,22 +71,23 @@
 
 
 @given(
-    "log lines of a daemon that made {first:d} calls, then {then:d}, and {later:d} in its next life"
+    "log lines of a daemon with {first:d} store calls, then {second:d}, "
+    "and {after_restart:d} after a restart"
 )
-def step_call_lines(context: Any, first: int, then: int, later: int) -> None:
-    counts = [("a", first), ("a", then), ("b", later)]
+def step_call_lines(context: Any, first: int, second: int, after_restart: int) -> None:
+    counts = [("a", first), ("a", second), ("b", after_restart)]
     context.call_lines = [
         LogLine(
             float(number),
             "daemon-1",
             STORE_TYPE,
-            {"state": CALLS_STATE, "life": life, "calls": {"read servers answered": count}},
+            {"state": CALLS_STATE, "life": incarnation, "calls": {"read servers answered": count}},
         )
-        for number, (life, count) in enumerate(counts)
+        for number, (incarnation, count) in enumerate(counts)
     ]
 
 
-@then("the table of calls has {count:d} calls of it")
+@then("the table of store calls has {count:d} calls of the daemon")
 def step_call_table(context: Any, count: int) -> None:
     calls = calls_by_daemon(context.call_lines)
     assert calls["daemon-1"].total() == count, calls
