--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,7 +1,7 @@
-Feature: Settings are checked, and the command line says clearly what is wrong
+Feature: The command line validates settings and reports errors with distinct exit statuses
 
   Scenario: all faults of a file are listed at once
-    When check-config reads
+    When check-config is run on
       """
       name = "Bad Name"
       zonne = "a"
@@ -12,8 +12,8 @@
       [control]
       voters = 9
       """
-    Then it exits with status 2 and names
-      | fault                   |
+    Then it exits with status 2 and prints
+      | text                    |
       | name                    |
       | zonne: unknown key      |
       | limits.max_body_bytes   |
@@ -22,8 +22,8 @@
       | control.voters          |
       | daemons, at least 1     |
 
-  Scenario: faults that take two keys to see
-    When check-config reads
+  Scenario: inconsistencies between two keys are reported
+    When check-config is run on
       """
       name = "daemon-1"
       [control]
@@ -34,35 +34,35 @@
       current = "v2"
       versions = [{ name = "v1", memory_mib = 10 }]
       """
-    Then it exits with status 2 and names
-      | fault                                                |
+    Then it exits with status 2 and prints
+      | text                                                 |
       | control: heartbeat_seconds < suspect_after_seconds   |
       | models[0].group: group nobody is not among groups    |
       | models[0].current: v2 is not among its versions      |
 
-  Scenario: a file that is no TOML, and a file that is not there
-    When check-config reads
+  Scenario: a file that is not valid TOML, and a missing file
+    When check-config is run on
       """
       name =
       """
-    Then it exits with status 2 and names
-      | fault      |
+    Then it exits with status 2 and prints
+      | text       |
       | Invalid    |
-    When check-config reads a file that does not exist
-    Then it exits with status 2 and names
-      | fault      |
+    When check-config is run on a file that does not exist
+    Then it exits with status 2 and prints
+      | text       |
       | No such    |
 
-  Scenario: the example is without faults
+  Scenario: the example file has no faults
     When the command line runs check-config examples/small.toml
-    Then it exits with status 0 and names
-      | fault     |
+    Then it exits with status 0 and prints
+      | text      |
       | no faults |
 
-  Scenario: every setting is explained, with its value, source, unit and range
+  Scenario: check-config --explain lists each setting with its value, source, unit and range
     When the command line runs check-config examples/small.toml --explain
-    Then it exits with status 0 and names
-      | fault                         |
+    Then it exits with status 0 and prints
+      | text                          |
       | bounds.lease_ms               |
       | default  milliseconds         |
       | limits.max_body_bytes         |
@@ -70,42 +70,42 @@
       | file                          |
       | (secret)                      |
 
-  Scenario: the operator's command line
+  Scenario: operator commands report success and each kind of error
     Given model tutor of 4000 MiB that loads in 0.1 s, at most 1 replicas
     And a site of 1 daemons and 1 engines
     When the operator's command line runs group put night-school --share=3
-    Then it exits with status 0 and names
-      | fault   |
+    Then it exits with status 0 and prints
+      | text    |
       | version |
     When the operator's command line runs group list
-    Then it exits with status 0 and names
-      | fault        |
+    Then it exits with status 0 and prints
+      | text         |
       | night-school |
       | 3.0          |
     When the operator's command line runs group put night-school --share=4 --base_version=1
-    Then it exits with status 3 and names
-      | fault          |
+    Then it exits with status 3 and prints
+      | text           |
       | ChangeConflict |
     When the operator's command line runs group get nobody
-    Then it exits with status 4 and names
-      | fault          |
+    Then it exits with status 4 and prints
+      | text           |
       | ObjectNotFound |
     When the operator's command line runs group put night-school --share=0
-    Then it exits with status 2 and names
-      | fault           |
+    Then it exits with status 2 and prints
+      | text            |
       | InvalidArgument |
     When the operator's command line runs group list --token=wrong-token
-    Then it exits with status 6 and names
-      | fault            |
+    Then it exits with status 6 and prints
+      | text             |
       | NotAuthenticated |
     When the operator's command line runs version add tutor v3 4000
     And the operator's command line runs version use tutor v3
     And the operator's command line runs model list --json
-    Then it exits with status 0 and names
-      | fault           |
+    Then it exits with status 0 and prints
+      | text            |
       | "current": "v3" |
     When the operator's command line runs status --json
-    Then it exits with status 0 and names
-      | fault              |
+    Then it exits with status 0 and prints
+      | text               |
       | "catalog_version"  |
       | "controller": true |
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the command line and look at its output and exit status."""
+"""Steps that run the command line and check its output and exit status."""
 
 import os
 import subprocess
@@ -13,20 +13,20 @@
 
 
 def run(context: Any, *arguments: str) -> None:
-    """Run the command line and keep what came out."""
+    """Run the command line; stores its exit status and output in the context."""
     environment = {**os.environ, "LOOMWIND_OPERATOR_TOKEN": OPERATOR_TOKEN}
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "loomwind", *arguments],
         capture_output=True,
         text=True,
         env=environment,
         check=False,
     )
-    context.status = done.returncode
-    context.output = done.stdout + done.stderr
+    context.status = result.returncode
+    context.output = result.stdout + result.stderr
 
 
-@when("check-config reads")
+@when("check-config is run on")
 def step_check(context: Any) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings.toml"
@@ -34,7 +34,7 @@
         run(context, "check-config", str(path))
 
 
-@when("check-config reads a file that does not exist")
+@when("check-config is run on a file that does not exist")
 def step_missing(context: Any) -> None:
     run(context, "check-config", "no-such-file.toml")
 
@@ -51,8 +51,8 @@
     run(context, *arguments.split(), address)
 
 
-@then("it exits with status {status:d} and names")
+@then("it exits with status {status:d} and prints")
 def step_status(context: Any, status: int) -> None:
     assert context.status == status, (context.status, context.output)
     for row in context.table:
-        assert row["fault"] in context.output, (row["fault"], context.output)
+        assert row["text"] in context.output, (row["text"], context.output)
