--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -1,8 +1,9 @@
-"""A candidate for the controller's role: a state machine without I/O or clock.
+"""The proposer side of the register protocol: a state machine without I/O or clock.
 
-It takes a ballot, reads a majority, writes the newest value back under its own ballot, and then
-leads: each change of the register is one more version on a majority. See docs/DESIGN.md, "The
-register", for the rules and why each is needed; ``specification`` has the same rules as a model.
+A candidate prepares a ballot, reads the accepted values of a majority, writes the newest value back
+under its own ballot and then leads. The leader changes the register by getting a new version
+accepted by a majority. See docs/DESIGN.md, "The register", for the rules and why each is needed;
+``specification`` models the same rules.
 """
 
 import enum
@@ -25,7 +26,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a candidate stands."""
+    """The phase of a candidate in the protocol."""
 
     IDLE = "idle"
     PREPARING = "preparing"
@@ -34,19 +35,19 @@
 
 
 class Envelope(Struct, frozen=True):
-    """A message to a voter."""
+    """A message and the voter that it is addressed to."""
 
     voter: VoterId
     message: Prepare | Accept
 
 
 def is_majority(acknowledged: Iterable[VoterId], voters: tuple[VoterId, ...]) -> bool:
-    """Return whether the acknowledging voters are a majority of a voter set."""
+    """Return whether the acknowledging voters form a majority of a voter set."""
     return 2 * len(set(acknowledged) & set(voters)) > len(voters)
 
 
 def is_quorum(acknowledged: Iterable[VoterId], value: RegisterValue) -> bool:
-    """Return whether a value is settled: a majority of its voters, and of the joint set if any."""
+    """Return whether a value is committed: by a majority of its voters and of any joint set."""
     known = set(acknowledged)
     return is_majority(known, value.voters) and (not value.joint or is_majority(known, value.joint))
 
@@ -54,7 +55,8 @@
 class Candidate:
     """One daemon's attempts to lead its cell.
 
-    ``committed`` is the last value that is known to be on a quorum under the own ballot.
+    ``committed`` is the last value that a quorum is known to have accepted under the current
+    ballot of this candidate.
     """
 
     def __init__(self, cell: str, identity: VoterId) -> None:
@@ -72,18 +74,18 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this candidate may propose changes."""
+        """Whether this candidate leads, and so may propose changes."""
         return self.phase is Phase.LEADING
 
     @property
     def is_writing(self) -> bool:
-        """Whether a write is under way."""
+        """Whether a write is in progress."""
         return self.pending is not None
 
     def campaign(self, generation: int, voters: tuple[VoterId, ...]) -> list[Envelope]:
-        """Take a new ballot and ask for promises.
+        """Start a new ballot and return the requests for promises.
 
-        :param voters: the newest voter set that is known.
+        :param voters: the newest known voter set.
         """
         self.phase = Phase.PREPARING
         self.generation = generation
@@ -97,12 +99,12 @@
         return self.unanswered_messages()
 
     def step_down(self) -> None:
-        """Give up the role or the attempt."""
+        """Give up leadership, or the attempt to gain it."""
         self.phase = Phase.IDLE
         self.pending = None
 
     def unanswered_messages(self) -> list[Envelope]:
-        """Return the messages whose answers are missing, to send or to repeat."""
+        """Return the messages that are not answered yet, to send or to retry."""
         if self.phase is Phase.PREPARING:
             prepare = Prepare(self.cell, self.generation, self.ballot)
             missing = sorted(self._recipients() - set(self._promises))
@@ -116,7 +118,7 @@
     def propose_placements(
         self, intents: tuple[Intent, ...], fenced_engines: tuple[str, ...]
     ) -> list[Envelope]:
-        """Write the next version with other placements."""
+        """Start writing the next version, with new placements."""
         stamp, present = self._next_version()
         self._write(
             structs.replace(
@@ -126,9 +128,9 @@
         return self.unanswered_messages()
 
     def propose_voters(self, voters: tuple[VoterId, ...]) -> list[Envelope]:
-        """Write the next version with another voter set.
+        """Start writing the next version, with a new voter set.
 
-        It counts only once it is on a majority of the old set and of the new one.
+        It is committed once a majority of the old set and a majority of the new set accepted it.
         """
         stamp, present = self._next_version()
         epoch = present.epoch + 1
@@ -148,7 +150,7 @@
         self._acknowledged = set()
 
     def _newest(self) -> RegisterValue | None:
-        """Return the newest accepted value among the promises: by ballot, then by version."""
+        """Return the accepted value with the highest ballot, then version, among the promises."""
         values = [value for value in self._promises.values() if value is not None]
         return max(values, key=lambda value: value.stamp, default=None)
 
@@ -157,7 +159,7 @@
         return {*self._base_voters} if newest is None else {*newest.voters, *newest.joint}
 
     def on_promise(self, message: Promise) -> list[Envelope]:
-        """Count a promise; with enough of them, write the newest value back."""
+        """Record a promise. Once a quorum has promised, write the newest value back."""
         current = (self.generation, self.ballot)
         if self.phase is not Phase.PREPARING or (message.generation, message.ballot) != current:
             return []
@@ -179,9 +181,9 @@
         self._write(structs.replace(newest, stamp=stamp))
 
     def on_accepted(self, message: Accepted) -> bool:
-        """Count an acknowledgement.
+        """Record an acknowledgement.
 
-        :returns: whether the pending value is settled by it.
+        :returns: whether it commits the pending value.
         """
         if self.pending is None or message.stamp != self.pending.stamp:
             return False
@@ -194,7 +196,7 @@
         return True
 
     def on_refused(self, message: Refused) -> bool:
-        """Step down when a voter has promised a higher ballot or is in a newer generation.
+        """Step down if the voter promised a higher ballot or is in a newer generation.
 
         :returns: whether this candidate stepped down.
         """
