--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -1,4 +1,4 @@
-"""The daemon's side of claims: asks the voters before a request that runs at most once goes out."""
+"""The client side of claims: asks the voters before a request that must run at most once is sent."""
 
 import asyncio
 import enum
@@ -29,16 +29,18 @@
 
 
 class ClaimHandle(Struct, frozen=True):
-    """A claim that a majority granted to this daemon."""
+    """Identifies a claim of this daemon, to release it later."""
 
     key: str
     attempt: int
 
 
 class ClaimResult(enum.Enum):
-    """How a claim stands after all voters were asked.
+    """The result of asking all voters for a claim.
 
-    CONTESTED: another daemon has some of the votes, but perhaps no majority.
+    WON: a majority granted it.
+    CONTESTED: some voters granted the key to another claimant, which may not have a majority.
+    NO_MAJORITY: too few voters granted it, and none granted the key to another claimant.
     """
 
     WON = enum.auto()
@@ -47,7 +49,7 @@
 
 
 class ClaimService:
-    """Claims keys with a majority of the cell's voters."""
+    """Claims keys by getting grants from a majority of the cell's voters."""
 
     def __init__(
         self,
@@ -66,9 +68,9 @@
     async def claim(self, key: str, timeout: float) -> ClaimHandle:
         """Claim a key.
 
-        :raises ClaimTaken: another request has it, or may have it.
-        :raises ClaimBarrier: earlier claims were lost a short while ago.
-        :raises ClaimUnavailable: no majority answered within ``timeout`` seconds.
+        :raises ClaimTaken: another request holds the claim, or may hold it.
+        :raises ClaimBarrier: earlier claims were lost, and may not have expired.
+        :raises ClaimUnavailable: no majority granted the claim within ``timeout`` seconds.
         """
         contested = False
         try:
@@ -86,7 +88,7 @@
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
     async def _attempt_claim(self, handle: ClaimHandle) -> ClaimResult:
-        """Ask all voters once, and give back what was granted unless it is a majority."""
+        """Ask all voters once, and release the grants if they are not a majority."""
         try:
             result = await self._request_grants(handle)
         except BaseException:
@@ -120,10 +122,10 @@
 
     @staticmethod
     def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
-        """Return how a claim stands.
+        """Return the result of the voters' answers.
 
-        :raises ClaimTaken: another claimant has a majority, or nobody may have the key any more.
-        :raises ClaimBarrier: the voters lost earlier claims.
+        :raises ClaimTaken: a majority granted the key to another claimant, or blocked it.
+        :raises ClaimBarrier: a voter reports that earlier claims were lost.
         """
         verdicts = [answer.verdict for answer in answers]
         if ClaimVerdict.BARRIER in verdicts:
@@ -145,7 +147,7 @@
         return answer if isinstance(answer, ClaimAnswer) else None
 
     def release(self, handle: ClaimHandle) -> None:
-        """Give a key back whose request did not run and will not."""
+        """Release the claim of a request that did not run and will not."""
         own = self._membership.own
         message = ClaimRelease(own.cell, handle.key, own.identity, handle.attempt)
         update = self._routing()
