--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -1,9 +1,9 @@
-"""Claims: the record, held by voters, of which daemon may run a request that runs at most once.
+"""Claims: the voters' record of which daemon may run a request that must run at most once.
 
-A claim counts once a majority of a voter set has granted it. When the voter set changes, the new
-voter first fetches the claims of a majority of the old set, and those that hand them out grant no
-more in the old epoch, so that no claim can be granted twice across the change. The voter side here
-is a state machine without I/O; times are passed in, in seconds.
+A claim is valid once a majority of a voter set has granted it. When the voter set changes, the new
+voter first fetches the claims of a majority of the old set. The voters that send them grant no more
+claims in the old epoch, so that no claim is granted twice across the change. This module is the
+voter side: a state machine without I/O, to which times are passed in seconds.
 """
 
 from msgspec import Struct
@@ -21,7 +21,7 @@
 
 
 class GrantedClaim(Struct, frozen=True):
-    """A granted claim and when it was granted."""
+    """A claim that this voter granted or fetched from another voter."""
 
     claimant: VoterId
     attempt: int
@@ -32,10 +32,10 @@
 
 
 def _merge_claim(granted: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
-    """Return the claim to hold after one more was fetched.
+    """Return the claim to keep after another one to the same key was fetched.
 
-    A key that two daemons claimed is granted to nobody any more: one of them may have a majority
-    of the earlier voters. The specification's ``claim-conflict`` shows what happens otherwise.
+    If two claimants were granted a key, it stays blocked for all: either may have a majority of
+    the earlier voters. The specification's ``claim-conflict`` mutation shows the failure otherwise.
     """
     if granted is None:
         return fetched
@@ -47,7 +47,7 @@
 class ClaimStore:
     """The claims of one voter.
 
-    A claim older than the retention time is forgotten; the documents state that time to callers.
+    Claims expire after the retention time, which is documented for callers.
     """
 
     def __init__(self, identity: VoterId, retention_seconds: float) -> None:
@@ -65,8 +65,8 @@
     def start_generation(self, generation: int, now: float) -> None:
         """Become ready as one of the first voters of a generation.
 
-        The claims of an earlier generation are lost. Until they would have been forgotten, no
-        keyed request can be told from one that ran already.
+        The claims of an earlier generation are lost. Until they would have expired, the voter
+        grants no claims: it cannot know whether a request with the same key ran already.
         """
         if generation <= self._generation:
             return
@@ -77,7 +77,7 @@
             self._barrier_until = now + self._retention_seconds
 
     def on_claim(self, claim: Claim, now: float) -> ClaimAnswer:
-        """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
+        """Answer a claim. A repeated claim of the same attempt is granted again."""
         self._expire_claims(now)
         verdict = self._decide(claim, now)
         granted = self._claims.get(claim.key)
@@ -98,13 +98,13 @@
         return ClaimVerdict.GRANTED if same else ClaimVerdict.TAKEN
 
     def on_release(self, release: ClaimRelease) -> None:
-        """Forget a claim whose claimant says that the request did not run."""
+        """Remove a claim whose claimant reports that the request did not run."""
         granted = self._claims.get(release.key)
         if granted and (granted.claimant, granted.attempt) == (release.claimant, release.attempt):
             del self._claims[release.key]
 
     def _expire_claims(self, now: float) -> None:
-        """Forget claims past the retention time; the dictionary is in the order of granting."""
+        """Remove claims past the retention time; the dictionary is ordered by grant time."""
         while self._claims:
             key, oldest = next(iter(self._claims.items()))
             if now - oldest.granted_at < self._retention_seconds:
@@ -112,7 +112,7 @@
             del self._claims[key]
 
     def on_transfer_request(self, request: ClaimTransferRequest, now: float) -> ClaimTransfer:
-        """Hand out all claims, and grant none in an earlier epoch from now on."""
+        """Return all claims, and grant none in an earlier epoch from now on."""
         self._expire_claims(now)
         if request.generation == self._generation:
             self._sealed_epoch = max(self._sealed_epoch, request.epoch)
@@ -125,7 +125,7 @@
     def import_claims(
         self, generation: int, epoch: int, transfers: list[ClaimTransfer], now: float
     ) -> None:
-        """Become ready with the claims of a majority of the earlier voter set."""
+        """Take in the claims of a majority of the earlier voter set, and become ready."""
         merged = dict(self._claims)
         for transfer in transfers:
             for record in transfer.records:
