--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -1,4 +1,4 @@
-"""The client side of claims: asks the voters before a request that must run at most once is sent."""
+"""The client side of claims: asks the voters before sending a request that must run at most once."""
 
 import asyncio
 import enum
