--- a/loomwind/control/generation.py
+++ b/loomwind/control/generation.py
@@ -1,7 +1,7 @@
-"""Generations of a cell's register, as named by a row of the table service.
+"""Generations of a cell's register, stored in a row of the table service.
 
-A generation begins with the voters that its row names. The row is created and replaced by
-compare-and-set, so that two daemons cannot found the same generation with different voters.
+A generation starts with the voters listed in its row. The row is written by compare-and-set, so
+that two daemons cannot create the same generation with different voters.
 """
 
 import msgspec
@@ -13,21 +13,21 @@
 
 
 class Generation(Struct, frozen=True):
-    """A generation and its newest voters that are known to the table service."""
+    """A generation, and the newest of its voter sets that the table service has stored."""
 
     number: int
     voters: tuple[MemberInfo, ...]
 
 
 class GenerationStore:
-    """The row of one cell."""
+    """Reads and writes the generation row of one cell."""
 
     def __init__(self, table: TableService, cell: str) -> None:
         self._table = table
         self._key = f"generation/{cell}"
 
     async def read(self) -> Generation | None:
-        """Return the generation; None when the cell never had one.
+        """Return the stored generation, or None if the cell never had one.
 
         :raises PlatformUnavailable: the table service does not answer.
         """
@@ -35,10 +35,10 @@
         return msgspec.msgpack.decode(row.value, type=Generation) if row.version else None
 
     async def create(self, generation: Generation) -> bool:
-        """Write a generation that follows the stored one.
+        """Write a generation if it is later than the stored one.
 
-        :returns: False when another daemon was first or the answer is lost: what counts then is
-            what the row says.
+        :returns: False if another daemon wrote first or the table service did not answer. The
+            write may have succeeded then: read the row to learn the generation in force.
         """
         try:
             row = await self._table.read(self._key)
@@ -51,7 +51,7 @@
         return True
 
     async def publish(self, generation: Generation) -> None:
-        """Name newer voters of the same generation, for daemons that start when no peer answers."""
+        """Update the voters of the stored generation, for daemons that start when no peer answers."""
         try:
             row = await self._table.read(self._key)
             stored = msgspec.msgpack.decode(row.value, type=Generation)
