--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -1,4 +1,4 @@
-"""Drives the voter and the candidate of one daemon: sends their messages and keeps the timers."""
+"""Runs the voter and the candidate of one daemon: sends their messages and keeps their timers."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class RegisterService:
-    """The register of the cell as one daemon takes part in it."""
+    """One daemon's part in the register protocol of its cell."""
 
     def __init__(
         self,
@@ -81,28 +81,28 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this daemon holds the controller's role."""
+        """Whether this daemon is the controller of the cell."""
         return self.candidate.leading
 
     @property
     def committed(self) -> RegisterValue:
-        """Return the settled value; only while leading."""
+        """Return the committed value; only while leading."""
         assert self.candidate.committed is not None
         return self.candidate.committed
 
     def voter_infos(self) -> tuple[MemberInfo, ...]:
-        """Return the voters with their addresses, as far as they are known."""
+        """Return the voters whose addresses are known."""
         infos = [self.info(voter) for voter in self.voters]
         return tuple(info for info in infos if info is not None)
 
     def info(self, voter: VoterId) -> MemberInfo | None:
-        """Return a voter's address and zone, if they are known."""
+        """Return a voter's address and zone, or None if unknown."""
         return self._membership.find(voter) or self._member_infos.get(voter)
 
-    # Taking part: elections.
+    # Elections.
 
     async def run(self) -> None:
-        """Campaign whenever the cell has no controller, until cancelled."""
+        """Start an election whenever the cell has no controller, until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if self.leading and not self._hears_majority():
@@ -118,9 +118,10 @@
                 await self._try_to_lead()
 
     def _hears_majority(self) -> bool:
-        """Whether a majority of the voters is heard: without it a leader can decide nothing.
+        """Return whether heartbeats arrive from a majority of the voters.
 
-        Safety rests on ballots, not on this; it lets a leader that was cut off give up early.
+        Without a majority a leader cannot commit anything, so an isolated leader steps down early.
+        Safety does not depend on this, but on ballots.
         """
         heard = {info.identity for info in self._membership.alive()}
         suspects = self._membership.detector.in_state(MemberState.SUSPECT, MemberState.LEAVING)
@@ -137,7 +138,7 @@
         return self._membership.detector.suspect_after_seconds
 
     def _campaign_delay_seconds(self) -> float:
-        """Return a wait that differs between daemons, so that they do not campaign at once."""
+        """Return a delay that differs between daemons, so that they do not campaign at the same time."""
         names = [info.identity for info in self._membership.alive()]
         rank = names.index(self._membership.own.identity) if names else 0
         return rank * constants.CAMPAIGN_STAGGER_SECONDS
@@ -150,7 +151,7 @@
         await self._campaign()
 
     async def _ensure_generation(self) -> bool:
-        """Learn the generation from the table service, or found the first one."""
+        """Learn the generation from the table service or create the first; return whether known."""
         if self.generation:
             return True
         try:
@@ -180,7 +181,7 @@
         log_state("generation", "known", generation=stored.number)
 
     async def _create_generation(self, number: int) -> bool:
-        """Found a generation with voters from the live daemons; False when another was first."""
+        """Create a generation with live daemons as voters; return False if that failed."""
         alive = self._membership.alive()
         chosen = choose_voters((), alive, self._voter_count)
         members = tuple(info for info in alive if info.identity in chosen)
@@ -192,7 +193,10 @@
         return True
 
     def _majority_lost(self) -> bool:
-        """Whether too few voters are left for any majority. Silence alone is no proof."""
+        """Return whether too many voters have ended for any majority.
+
+        Missing heartbeats alone do not prove that a process has ended.
+        """
         up_seconds = self._membership.now - self._started_at
         if self._peer_has_newer_voters() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
             return False
@@ -200,14 +204,14 @@
         return not self.voters or has_lost_majority(self.voters, self._joint, ended)
 
     def _peer_has_newer_voters(self) -> bool:
-        """Whether a peer that is not gone knows a newer voter set: then that one has to judge."""
+        """Return whether a reachable peer has a newer voter set, and so must make the decision."""
         present = {info.identity for info in self._membership.reachable()}
         return any(
             self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in present
         )
 
     def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
-        """Take in the newest register stamp that a peer knows."""
+        """Record the newest register stamp that a peer reported."""
         self._peer_stamps[peer] = stamp
         members = self._membership.detector.members
         self._peer_stamps = {k: v for k, v in self._peer_stamps.items() if k in members}
@@ -217,7 +221,7 @@
         return voter in self._ended_voters or (member is not None and member.ended)
 
     async def _create_next_generation(self) -> bool:
-        """Found the next generation, unless one was founded already."""
+        """Create the next generation, unless another daemon already did."""
         try:
             stored = await self._generations.read()
         except PlatformUnavailable:
@@ -241,7 +245,8 @@
         self._membership.announce_leading()
         log_state("controller", "leading", generation=self.generation)
         try:
-            # A new epoch lifts what an unfinished change of voters has sealed.
+            # An unfinished voter change may have stopped voters from granting claims in the present
+            # epoch; a new epoch lets them grant claims again.
             await self.change_voters(self.committed.voters)
         except RegisterUnavailable:
             return
@@ -250,8 +255,8 @@
         await self.publish_voters()
 
     def step_down(self) -> None:
-        """Give up the role, if held."""
-        # A voter's refusal has made the candidate idle before this is called.
+        """Stop leading or campaigning."""
+        # After a refusal by a voter the candidate is idle already, so check the term as well.
         was_leading = self._in_term or self.candidate.phase is not Phase.IDLE
         self._in_term = False
         self.candidate.step_down()
@@ -263,11 +268,11 @@
             self.on_step_down()
 
     def retire(self) -> None:
-        """Hand the role over and never seek it again: this daemon is leaving."""
+        """Step down and start no more elections, since this daemon is shutting down."""
         self.retired = True
         self.step_down()
 
-    # Sending and answers.
+    # Messages.
 
     def _send(self, envelopes: list[Envelope]) -> None:
         for envelope in envelopes:
@@ -292,7 +297,7 @@
         self._on_answer(answer)
 
     def _check_incarnation(self, asked: VoterId, answer: AnyMessage) -> None:
-        """A voter that answers under another incarnation has ended its earlier life."""
+        """Record that a voter has ended if it answers with another incarnation."""
         if isinstance(answer, Promise | Accepted | Refused):
             same_name = answer.voter.name == asked.name
             if same_name and answer.voter.incarnation != asked.incarnation:
@@ -312,7 +317,7 @@
                 self.step_down()
 
     def on_message(self, message: Prepare | Accept) -> AnyMessage:
-        """Answer another daemon's candidate as a voter."""
+        """Handle a candidate's message as a voter, and return the answer."""
         if isinstance(message, Prepare):
             return self._on_prepare(message)
         answer = self.voter.on_accept(message)
@@ -324,10 +329,11 @@
         return answer
 
     def _on_prepare(self, message: Prepare) -> AnyMessage:
-        """Promise, unless a leader is heard: a daemon that is cut off from it alone must not win.
+        """Answer a prepare request; refuse it while another daemon is an active leader.
 
-        Safety does not need this; without it two daemons that cannot reach each other, but reach a
-        third, would take the role from one another for ever.
+        A candidate that lost contact only with the leader must not win. Safety does not depend on
+        this, but two daemons that reach a third and not each other would otherwise depose each
+        other endlessly.
         """
         leader = self._membership.leader
         other_leader_known = leader is not None and leader.identity != message.ballot.candidate
@@ -340,9 +346,9 @@
     def observe_register(
         self, stamp: Stamp, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
     ) -> None:
-        """Learn a newer register stamp and its voter set from a peer.
+        """Record a register stamp and its voter set if they are newer than the known ones.
 
-        :param joint: the earlier voter set while the change is not settled.
+        :param joint: the previous voter set until the change is committed.
         """
         if stamp <= self.newest_stamp:
             return
@@ -353,22 +359,24 @@
             self._joint = joint
             own = self._membership.own.identity
             self._metrics.generation.set(stamp.generation)
-            # Operators replace the next voter once this one votes: not before that is settled.
+            # Operators replace the next voter once this metric is set, so the change must be
+            # committed first.
             self._metrics.voter.set(own in voters and (not joint or own in joint))
         term = (self.candidate.generation, self.candidate.ballot)
         if self.leading and (stamp.generation, stamp.ballot) > term:
             self.step_down()
 
     def update_member_infos(self, infos: tuple[MemberInfo, ...]) -> None:
-        """Learn the addresses of voters."""
+        """Record the addresses and zones of voters."""
         self._member_infos.update({info.identity: info for info in infos})
 
-    # Writing.
+    # Writes.
 
     async def write(self, intents: tuple[Intent, ...], fenced_engines: tuple[str, ...]) -> None:
-        """Put other placements on a majority.
+        """Write new placements and wait until they are committed.
 
-        :raises RegisterUnavailable: they may or may not be settled; this daemon stepped down.
+        :raises RegisterUnavailable: this daemon does not lead, or stepped down; the placements may
+            or may not be committed.
         """
         async with self._write_lock:
             await self._commit(lambda: self.candidate.propose_placements(intents, fenced_engines))
@@ -395,9 +403,10 @@
         self.observe_register(self.committed.stamp, self.committed.voters, self.committed.joint)
 
     async def change_voters(self, voters: tuple[VoterId, ...]) -> None:
-        """Put another voter set on a majority of the old one and of itself.
+        """Change the voter set, which takes a majority of the old set and one of the new set.
 
-        :raises RegisterUnavailable: it may or may not be settled; this daemon stepped down.
+        :raises RegisterUnavailable: this daemon does not lead, or stepped down; the change may or
+            may not be committed.
         """
         async with self._write_lock:
             await self._commit(lambda: self.candidate.propose_voters(voters))
@@ -408,5 +417,5 @@
         log_state("voters", "changed", voters=[voter.name for voter in voters])
 
     async def publish_voters(self) -> None:
-        """Name the voters in the table service, for daemons that start when no peer answers."""
+        """Store the voters in the table service, for daemons that start when no peer answers."""
         await self._generations.publish(Generation(self.generation, self.voter_infos()))
