--- a/loomwind/control/voter.py
+++ b/loomwind/control/voter.py
@@ -1,7 +1,7 @@
-"""A voter of the cell's register: a state machine without I/O or clock.
+"""The acceptor side of the register protocol: a state machine without I/O or clock.
 
-It holds its state in memory only. A restart is another voter: its identity has a new incarnation,
-and a candidate counts promises and acknowledgements by identity.
+A voter keeps its state in memory only. After a restart it is a different voter: its identity has a
+new incarnation, and candidates count promises and acknowledgements by identity.
 """
 
 from loomwind.messages import (
@@ -17,7 +17,7 @@
 
 
 class Voter:
-    """One life of a voter."""
+    """The voter of one daemon process."""
 
     def __init__(self, cell: str, identity: VoterId) -> None:
         self.cell = cell
@@ -27,7 +27,7 @@
         self.accepted: RegisterValue | None = None
 
     def on_prepare(self, message: Prepare) -> Promise | Refused:
-        """Promise to accept no lower ballot, unless a higher one was promised."""
+        """Promise to accept no lower ballot, or refuse if a higher one was promised."""
         self._enter_generation(message.generation)
         if message.generation < self.generation or message.ballot < self.promised:
             return self._refusal()
@@ -35,7 +35,7 @@
         return Promise(self.cell, self.identity, self.generation, message.ballot, self.accepted)
 
     def on_accept(self, message: Accept) -> Accepted | Refused:
-        """Hold a value, unless a higher ballot was promised."""
+        """Accept a value, or refuse if a higher ballot was promised."""
         stamp = message.value.stamp
         self._enter_generation(stamp.generation)
         if stamp.generation < self.generation or stamp.ballot < self.promised:
@@ -46,7 +46,7 @@
         return Accepted(self.cell, self.identity, stamp)
 
     def _enter_generation(self, generation: int) -> None:
-        """Start anew when a generation begins: the earlier one is fenced off at the engines."""
+        """Reset the state for a new generation: the engines fence off the earlier one."""
         if generation > self.generation:
             self.generation = generation
             self.promised = Ballot()
