--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -1,4 +1,4 @@
-"""Keeps the voter set whole: replaces voters that are gone or leaving, and admits new ones.
+"""Keeps the voter set complete: replaces voters that failed or are leaving.
 
 A new voter first fetches the claims of a majority of the present voters; see ``claims``.
 """
@@ -25,7 +25,7 @@
 
 
 class VoterChanges:
-    """Changes of the voter set, on the controller's side and on the new voter's."""
+    """Changes the voter set: the controller's side and the new voter's side."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         self._voter_count = voter_count
 
     async def repair(self) -> bool:
-        """Replace voters that are gone or leaving, and fill free seats; only while leading.
+        """Replace voters that failed or are leaving, and add missing ones; only while leading.
 
         :returns: whether the voter set changed.
-        :raises RegisterUnavailable: the change did not settle.
+        :raises RegisterUnavailable: the change may or may not be committed.
         """
         present = self._register.committed.voters
         alive = self._membership.alive()
@@ -79,7 +79,7 @@
         return isinstance(answer, VoterAdmitted) and answer.ready
 
     async def on_admit(self, message: AdmitVoter) -> VoterAdmitted:
-        """Fetch the claims of a majority of the present voters, so as to become one."""
+        """Prepare to become a voter by fetching the claims of a majority of the present voters."""
         request = ClaimTransferRequest(message.cell, message.generation, message.epoch)
         transfers = await asyncio.gather(
             *(self._fetch_claims(info, request) for info in message.present)
