--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -1,4 +1,4 @@
-"""Which daemons should vote. Pure functions."""
+"""Chooses the voters of a cell. Pure functions."""
 
 from collections.abc import Collection
 
@@ -10,12 +10,12 @@
 ) -> tuple[VoterId, ...]:
     """Return the voter set that the cell should have.
 
-    Present voters that are alive stay; free seats go to the zones with the fewest voters. The
-    count is kept odd, since an even one tolerates no more failures than the odd one below it.
+    Current voters that are alive are kept; others are added from the zones with the fewest voters.
+    The size is odd, since an even number of voters tolerates no more failures than one fewer.
 
-    :param present: the voter set now; empty to choose a first one.
+    :param current: the current voter set; empty to choose the first one.
     :param alive: daemons of the cell that are alive and not leaving.
-    :param count: seats wanted.
+    :param count: the wanted number of voters.
     """
     by_identity = {info.identity: info for info in alive}
     chosen = [voter for voter in current if voter in by_identity][:count]
@@ -31,7 +31,7 @@
 
 
 def has_live_majority(current: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
-    """Return whether a majority of the present voters is alive, so that a change can settle."""
+    """Return whether a majority of the current voters is alive, so that a change can commit."""
     identities = {info.identity for info in alive}
     return 2 * len(identities & set(current)) > len(current)
 
@@ -39,9 +39,9 @@
 def has_lost_majority(
     voters: tuple[VoterId, ...], joint: tuple[VoterId, ...], ended: Collection[VoterId]
 ) -> bool:
-    """Whether no value of a voter set can ever be settled again, since too many have ended.
+    """Return whether too many voters have ended for any value to be committed again.
 
-    :param joint: the earlier voter set while a change is not settled: it has to agree as well.
+    :param joint: the previous voter set until a change is committed; it needs a majority as well.
     """
     return any(
         2 * sum(v not in ended for v in each) <= len(each) for each in (voters, joint) if each
