--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -138,7 +138,7 @@
         return self._membership.detector.suspect_after_seconds
 
     def _campaign_delay_seconds(self) -> float:
-        """Return a delay that differs between daemons, so that they do not campaign at the same time."""
+        """Return a delay that differs between daemons, to avoid simultaneous campaigns."""
         names = [info.identity for info in self._membership.alive()]
         rank = names.index(self._membership.own.identity) if names else 0
         return rank * constants.CAMPAIGN_STAGGER_SECONDS
@@ -329,7 +329,7 @@
         return answer
 
     def _on_prepare(self, message: Prepare) -> AnyMessage:
-        """Answer a prepare request; refuse it while another daemon is an active leader.
+        """Answer a prepare request; refuse it while another leader is active.
 
         A candidate that lost contact only with the leader must not win. Safety does not depend on
         this, but two daemons that reach a third and not each other would otherwise depose each
