--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -1,4 +1,4 @@
-"""The client side of claims: asks the voters before sending a request that must run at most once."""
+"""The client side of claims: asks the voters before a request that may run only once is sent."""
 
 import asyncio
 import enum
--- a/loomwind/control/generation.py
+++ b/loomwind/control/generation.py
@@ -51,7 +51,7 @@
         return True
 
     async def publish(self, generation: Generation) -> None:
-        """Update the voters of the stored generation, for daemons that start when no peer answers."""
+        """Update the voters of the stored generation, for daemons that start without a peer."""
         try:
             row = await self._table.read(self._key)
             stored = msgspec.msgpack.decode(row.value, type=Generation)
