--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -1,4 +1,4 @@
-"""Steps about changes of the voter set: one daemon's register in this process, its peers made."""
+"""Steps about changes of the voter set: one daemon's register with simulated peers."""
 
 import asyncio
 from typing import Any
@@ -43,10 +43,10 @@
 
 
 class SilentTransport(PeerTransport):
-    """A transport through which nobody is reached."""
+    """A transport on which no peer can be reached."""
 
     def __init__(self) -> None:
-        """Make no listener."""
+        """Skip the base class, which creates a listener."""
 
     async def call(
         self,
@@ -54,8 +54,8 @@
         message: AnyMessage,
         timeout: float = constants.PEER_REQUEST_TIMEOUT_SECONDS,
     ) -> AnyMessage:
-        """Reach nobody."""
-        raise PeerUnreachable("made peers do not answer")
+        """Fail to reach the peer."""
+        raise PeerUnreachable("simulated peers do not answer")
 
     def send(self, address: str, message: AnyMessage) -> None:
         """Drop the message."""
@@ -65,37 +65,37 @@
     """A table service that never answers."""
 
     async def read(self, key: str) -> Row:
-        """Wait for ever."""
+        """Wait forever."""
         await asyncio.Event().wait()
-        raise AssertionError("waited for ever")
+        raise AssertionError("an event that is never set was set")
 
 
 class MovedMembership(Membership):
-    """A membership whose time can be moved on."""
+    """A membership whose clock can be advanced."""
 
     moved_seconds = 0.0
 
     @property
     def now(self) -> float:
-        """Return the time, moved on."""
+        """Return the advanced time."""
         return asyncio.get_running_loop().time() + self.moved_seconds
 
 
 def member(identity: VoterId) -> MemberInfo:
-    """Return a made member."""
+    """Return a member of the test's cell."""
     return MemberInfo(identity, CELL, "zone-a", "127.0.0.1:1")
 
 
 def value(
     version: int, voters: tuple[VoterId, ...], joint: tuple[VoterId, ...] = ()
 ) -> RegisterValue:
-    """Return a value that daemon-3 has written."""
+    """Return a register value as written by daemon-3."""
     stamp = Stamp(1, Ballot(1, LEADER), version)
     return RegisterValue(stamp, tuple(sorted(voters)), tuple(sorted(joint)), epoch=version)
 
 
 class VoterCase:
-    """One daemon's register, with the values that it accepts and the members that have ended."""
+    """The inputs of one daemon's register: accepted values, peers' stamps and ended members."""
 
     def __init__(self, voters: tuple[VoterId, ...]) -> None:
         self.voters = voters
@@ -105,7 +105,7 @@
         self.peer_stamps: dict[VoterId, Stamp] = {}
 
     def make(self) -> RegisterService:
-        """Make the register with all that has happened. Needs a running loop."""
+        """Create the register and apply the inputs. Needs a running event loop."""
         transport = SilentTransport()
         metrics = Metrics()
         membership = MovedMembership(member(OWN), ("seed",), ControlSettings(), transport, metrics)
@@ -127,7 +127,7 @@
         return register
 
     async def lead(self) -> None:
-        """Wait until the daemon begins its term as leader."""
+        """Run the register until the daemon begins its term as leader."""
         register = self.make()
         begun = asyncio.Event()
         register.on_lead = begun.set
@@ -137,7 +137,7 @@
         running.cancel()
 
     async def end_by_refusal(self) -> bool:
-        """Lead, write to a voter that has promised a higher ballot, and return how that ended."""
+        """Lead, have a write refused, and return whether the term ended by it."""
         register = self.make()
         begun, ended = asyncio.Event(), asyncio.Event()
         register.on_lead, register.on_step_down = begun.set, ended.set
@@ -153,7 +153,7 @@
         return False
 
     async def next_generation(self) -> int:
-        """Return the generation that the table has in the end."""
+        """Run the register until the table has a later generation, and return its number."""
         register = self.make()
         generations = GenerationStore(self.table, CELL)
         await generations.create(Generation(1, tuple(member(v) for v in self.voters)))
@@ -176,7 +176,7 @@
     context.case = VoterCase((OWN, OTHER_EARLIER, LEADER))
 
 
-@given("a daemon that is to vote with daemon-2 and daemon-3")
+@given("a daemon whose earlier process votes with daemon-2 and daemon-3")
 def step_to_vote(context: Any) -> None:
     context.case = VoterCase((OWN_EARLIER, OTHER, LEADER))
 
@@ -207,7 +207,7 @@
     context.case = VoterCase((LEADER,))
 
 
-@given("daemon-3 has said that it knows a newer value")
+@given("daemon-3 has reported a newer value")
 def step_knows_newer(context: Any) -> None:
     context.case.peer_stamps[LEADER] = value(2, (LEADER,)).stamp
 
@@ -217,7 +217,7 @@
     context.case.ended = (LEADER,)
 
 
-@when("it seeks the role")
+@when("it campaigns")
 def step_seeks(context: Any) -> None:
     context.leading = context.case.lead
 
@@ -227,40 +227,40 @@
     asyncio.run(context.leading())
 
 
-@given("it has accepted that a new life of daemon-2 votes in place of the earlier one")
+@given("it has accepted a voter change from the earlier process of daemon-2 to its new one")
 def step_accepts_other(context: Any) -> None:
     change = value(1, (OWN, OTHER, LEADER), joint=(OWN, OTHER_EARLIER, LEADER))
     context.case.accepted.append(change)
 
 
-@when("it has accepted that it votes in place of its earlier life")
+@when("it has accepted a voter change from its earlier process to itself")
 def step_accepts_own(context: Any) -> None:
     change = value(1, (OWN, OTHER, LEADER), joint=(OWN_EARLIER, OTHER, LEADER))
     context.case.accepted.append(change)
 
 
-@when("it has accepted that the change is settled")
+@when("it has accepted the value that follows the committed change")
 def step_accepts_settled(context: Any) -> None:
     context.case.accepted.append(value(2, (OWN, OTHER, LEADER)))
 
 
-@when("the earlier life of daemon-2 and daemon-3 have ended")
+@when("the earlier process of daemon-2 and daemon-3 have ended")
 def step_ended(context: Any) -> None:
     context.case.ended = (OTHER_EARLIER, LEADER)
 
 
-@then("it founds the next generation")
+@then("it creates the next generation")
 def step_founds(context: Any) -> None:
     assert asyncio.run(context.case.next_generation()) == 2
 
 
-@then("it does not say that it votes")
+@then("its metric does not report it as a voter")
 def step_says_not(context: Any) -> None:
     asyncio.run(_made(context.case))
     assert not context.case.says_that_it_votes
 
 
-@then("it says that it votes")
+@then("its metric reports it as a voter")
 def step_says(context: Any) -> None:
     asyncio.run(_made(context.case))
     assert context.case.says_that_it_votes
