--- a/features/voter_changes.feature
+++ b/features/voter_changes.feature
@@ -1,30 +1,30 @@
-Feature: Voters that end while their set changes, or while others know less of it
+Feature: Voters that fail during a voter change, or while other daemons have older state
 
-  Scenario: the earlier majority ends while a change of voters is not settled
+  Scenario: a majority of the previous voters ends before a voter change is committed
     Given a daemon that votes with daemon-2 and daemon-3
-    And it has accepted that a new life of daemon-2 votes in place of the earlier one
-    When the earlier life of daemon-2 and daemon-3 have ended
-    Then it founds the next generation
+    And it has accepted a voter change from the earlier process of daemon-2 to its new one
+    When the earlier process of daemon-2 and daemon-3 have ended
+    Then it creates the next generation
 
-  Scenario: a new voter does not say that it votes before the change is settled
-    Given a daemon that is to vote with daemon-2 and daemon-3
-    When it has accepted that it votes in place of its earlier life
-    Then it does not say that it votes
-    When it has accepted that the change is settled
-    Then it says that it votes
+  Scenario: a new voter does not report that it votes before the change is committed
+    Given a daemon whose earlier process votes with daemon-2 and daemon-3
+    When it has accepted a voter change from its earlier process to itself
+    Then its metric does not report it as a voter
+    When it has accepted the value that follows the committed change
+    Then its metric reports it as a voter
 
   Scenario: a leader begins its term while the table service does not answer
     Given a daemon that votes alone, and a table service that never answers
-    When it seeks the role
+    When it campaigns
     Then it begins its term
 
-  Scenario: the only voter ends, and it knew a newer value than the others
+  Scenario: the only voter ends after it reported a newer value than the others have
     Given a daemon that knows daemon-3 as the only voter
-    And daemon-3 has said that it knows a newer value
+    And daemon-3 has reported a newer value
     When daemon-3 has ended
-    Then it founds the next generation
+    Then it creates the next generation
 
-  Scenario: a leader that a voter refuses ends its term
+  Scenario: a leader ends its term when a voter refuses its write
     Given a daemon that votes alone and leads
     When its voter has promised a higher ballot, and it writes
     Then its term has ended
