--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -70,7 +70,7 @@
         raise AssertionError("an event that is never set was set")
 
 
-class MovedMembership(Membership):
+class AdvancedMembership(Membership):
     """A membership whose clock can be advanced."""
 
     moved_seconds = 0.0
@@ -108,7 +108,9 @@
         """Create the register and apply the inputs. Needs a running event loop."""
         transport = SilentTransport()
         metrics = Metrics()
-        membership = MovedMembership(member(OWN), ("seed",), ControlSettings(), transport, metrics)
+        membership = AdvancedMembership(
+            member(OWN), ("seed",), ControlSettings(), transport, metrics
+        )
         self.membership = membership
         claims = ClaimStore(OWN, RETENTION_SECONDS)
         register = RegisterService(membership, transport, self.table, VOTER_COUNT, claims, metrics)
