--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -73,12 +73,12 @@
 class AdvancedMembership(Membership):
     """A membership whose clock can be advanced."""
 
-    moved_seconds = 0.0
+    advanced_seconds = 0.0
 
     @property
     def now(self) -> float:
         """Return the advanced time."""
-        return asyncio.get_running_loop().time() + self.moved_seconds
+        return asyncio.get_running_loop().time() + self.advanced_seconds
 
 
 def member(identity: VoterId) -> MemberInfo:
@@ -124,7 +124,7 @@
         for identity in self.ended:
             membership.detector.heard(member(identity), membership.now)
             membership.detector.refused(identity)
-        membership.moved_seconds = LONG_AGO_SECONDS
+        membership.advanced_seconds = LONG_AGO_SECONDS
         membership.detector.tick(membership.now)
         return register
 
