--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -117,7 +117,7 @@
         register.observe_register(value(0, self.voters).stamp, self.voters)
         for each in self.accepted:
             register.on_message(Accept(CELL, each))
-        self.says_that_it_votes = bool(metrics.voter._value.get())
+        self.voter_metric_set = bool(metrics.voter._value.get())
         for identity, stamp in self.peer_stamps.items():
             membership.detector.heard(member(identity), membership.now)
             register.record_peer_stamp(identity, stamp)
@@ -259,10 +259,10 @@
 @then("its metric does not report it as a voter")
 def step_says_not(context: Any) -> None:
     asyncio.run(_made(context.case))
-    assert not context.case.says_that_it_votes
+    assert not context.case.voter_metric_set
 
 
 @then("its metric reports it as a voter")
 def step_says(context: Any) -> None:
     asyncio.run(_made(context.case))
-    assert context.case.says_that_it_votes
+    assert context.case.voter_metric_set
