--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -61,7 +61,7 @@
         """Drop the message."""
 
 
-class HangingTable(LocalTableService):
+class UnresponsiveTable(LocalTableService):
     """A table service that never answers."""
 
     async def read(self, key: str) -> Row:
@@ -186,7 +186,7 @@
 @given("a daemon that votes alone, and a table service that never answers")
 def step_votes_alone(context: Any) -> None:
     context.case = VoterCase((OWN,))
-    context.case.table = HangingTable()
+    context.case.table = UnresponsiveTable()
 
 
 @given("a daemon that votes alone and leads")
