--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -42,7 +42,7 @@
 HIGHER_BALLOT = Ballot(99, LEADER)
 
 
-class SilentTransport(PeerTransport):
+class UnreachableTransport(PeerTransport):
     """A transport on which no peer can be reached."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
 
     def make(self) -> RegisterService:
         """Create the register and apply the inputs. Needs a running event loop."""
-        transport = SilentTransport()
+        transport = UnreachableTransport()
         metrics = Metrics()
         membership = AdvancedMembership(
             member(OWN), ("seed",), ControlSettings(), transport, metrics
