--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -33,7 +33,7 @@
 VOTER_COUNT = 3
 RETENTION_SECONDS = 900.0
 LONG_AGO_SECONDS = 1000.0
-POLL_SECONDS = 0.02
+POLL_INTERVAL_SECONDS = 0.02
 LEADER = VoterId("daemon-3", "c")
 OWN_EARLIER = VoterId("daemon-1", "a-earlier")
 OWN = VoterId("daemon-1", "a")
@@ -163,7 +163,7 @@
         known: Generation | None = None
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while known is None or known.number == 1:
-                await asyncio.sleep(POLL_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
                 known = await generations.read()
         running.cancel()
         return known.number
