--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -115,8 +115,8 @@
         claims = ClaimStore(OWN, RETENTION_SECONDS)
         register = RegisterService(membership, transport, self.table, VOTER_COUNT, claims, metrics)
         register.observe_register(value(0, self.voters).stamp, self.voters)
-        for each in self.accepted:
-            register.on_message(Accept(CELL, each))
+        for accepted_value in self.accepted:
+            register.on_message(Accept(CELL, accepted_value))
         self.voter_metric_set = bool(metrics.voter._value.get())
         for identity, stamp in self.peer_stamps.items():
             membership.detector.heard(member(identity), membership.now)
