--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -104,7 +104,7 @@
         self.ended: tuple[VoterId, ...] = ()
         self.peer_stamps: dict[VoterId, Stamp] = {}
 
-    def make(self) -> RegisterService:
+    def build(self) -> RegisterService:
         """Create the register and apply the inputs. Needs a running event loop."""
         transport = UnreachableTransport()
         metrics = Metrics()
@@ -130,7 +130,7 @@
 
     async def lead(self) -> None:
         """Run the register until the daemon begins its term as leader."""
-        register = self.make()
+        register = self.build()
         begun = asyncio.Event()
         register.on_lead = begun.set
         running = asyncio.create_task(register.run())
@@ -140,7 +140,7 @@
 
     async def end_by_refusal(self) -> bool:
         """Lead, have a write refused, and return whether the term ended by it."""
-        register = self.make()
+        register = self.build()
         begun, ended = asyncio.Event(), asyncio.Event()
         register.on_lead, register.on_step_down = begun.set, ended.set
         running = asyncio.create_task(register.run())
@@ -156,7 +156,7 @@
 
     async def next_generation(self) -> int:
         """Run the register until the table has a later generation, and return its number."""
-        register = self.make()
+        register = self.build()
         generations = GenerationStore(self.table, CELL)
         await generations.create(Generation(1, tuple(member(v) for v in self.voters)))
         running = asyncio.create_task(register.run())
@@ -170,7 +170,7 @@
 
 
 async def _made(case: VoterCase) -> None:
-    case.make()
+    case.build()
 
 
 @given("a daemon that votes with daemon-2 and daemon-3")
