--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -169,7 +169,7 @@
         return known.number
 
 
-async def _made(case: VoterCase) -> None:
+async def _build(case: VoterCase) -> None:
     case.build()
 
 
@@ -258,11 +258,11 @@
 
 @then("its metric does not report it as a voter")
 def step_says_not(context: Any) -> None:
-    asyncio.run(_made(context.case))
+    asyncio.run(_build(context.case))
     assert not context.case.voter_metric_set
 
 
 @then("its metric reports it as a voter")
 def step_says(context: Any) -> None:
-    asyncio.run(_made(context.case))
+    asyncio.run(_build(context.case))
     assert context.case.voter_metric_set
