--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -263,6 +263,6 @@
 
 
 @then("its metric reports it as a voter")
-def step_says(context: Any) -> None:
+def step_voter_reported(context: Any) -> None:
     asyncio.run(_build(context.case))
     assert context.case.voter_metric_set
