--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -257,7 +257,7 @@
 
 
 @then("its metric does not report it as a voter")
-def step_says_not(context: Any) -> None:
+def step_voter_not_reported(context: Any) -> None:
     asyncio.run(_build(context.case))
     assert not context.case.voter_metric_set
 
