--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -252,7 +252,7 @@
 
 
 @then("it creates the next generation")
-def step_founds(context: Any) -> None:
+def step_generation_created(context: Any) -> None:
     assert asyncio.run(context.case.next_generation()) == 2
 
 
