--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -220,7 +220,7 @@
 
 
 @when("it campaigns")
-def step_seeks(context: Any) -> None:
+def step_campaigns(context: Any) -> None:
     context.leading = context.case.lead
 
 
