--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -128,7 +128,7 @@
         membership.detector.tick(membership.now)
         return register
 
-    async def lead(self) -> None:
+    async def run_until_leading(self) -> None:
         """Run the register until the daemon begins its term as leader."""
         register = self.build()
         begun = asyncio.Event()
@@ -221,7 +221,7 @@
 
 @when("it campaigns")
 def step_campaigns(context: Any) -> None:
-    context.leading = context.case.lead
+    context.leading = context.case.run_until_leading
 
 
 @then("it begins its term")
