--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -138,7 +138,7 @@
             await begun.wait()
         running.cancel()
 
-    async def end_by_refusal(self) -> bool:
+    async def write_refused(self) -> bool:
         """Lead, have a write refused, and return whether the term ended by it."""
         register = self.build()
         begun, ended = asyncio.Event(), asyncio.Event()
@@ -196,7 +196,7 @@
 
 @when("its voter has promised a higher ballot, and it writes")
 def step_refused(context: Any) -> None:
-    context.term_ended = asyncio.run(context.case.end_by_refusal())
+    context.term_ended = asyncio.run(context.case.write_refused())
 
 
 @then("its term has ended")
