--- a/loomwind/pipeline/__init__.py
+++ b/loomwind/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""The path of a request: parse, identify, admit, queue, select, forward, relay.
+"""The request pipeline: parse, identify, admit, queue, select, forward, relay.
 
-Each filter is one module with one input and one output type; ``handler`` chains them.
+Each stage is a module with one input and one output type; ``handler`` runs them in order.
 """
