--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -1,4 +1,4 @@
-"""Third filter: refuses at once what cannot be served in time. Pure decisions, times in seconds."""
+"""Third stage: refuses requests that cannot meet their deadline. Pure functions; times in seconds."""
 
 from msgspec import Struct
 
@@ -10,13 +10,13 @@
 
 
 class AdmissionView(Struct, frozen=True):
-    """What admission decides on.
+    """The state that an admission decision depends on.
 
-    :param ready: whether some back end serves the target now.
-    :param estimate_seconds: when one is expected to; None when unknown.
-    :param controlled: whether the cell has a controller, or had one a moment ago.
-    :param waiting: requests of the group that wait here.
-    :param queue_seconds: expected wait behind those ahead; 0 when unknown.
+    :param ready: whether any back end serves the target now.
+    :param estimate_seconds: the expected time until one does; None if unknown.
+    :param controlled: whether the cell has a controller, or had one recently.
+    :param waiting: the number of requests of the group in this daemon's queue.
+    :param queue_seconds: the expected wait in the queue; 0 if unknown.
     """
 
     ready: bool
@@ -29,7 +29,7 @@
 def admit(identified: IdentifiedRequest, view: AdmissionView, now: float) -> AdmittedRequest:
     """Return the admitted request.
 
-    :raises RequestRefused: it cannot be served in time.
+    :raises RequestRefused: the queue is full, or the request cannot be served in time.
     """
     check_queue_limit(view.waiting, identified.max_waiting, identified.group)
     refusal = refusal_for(identified, view, now)
@@ -41,7 +41,7 @@
 def refusal_for(
     identified: IdentifiedRequest, view: AdmissionView, now: float
 ) -> RequestRefused | None:
-    """Return the refusal of a request that cannot be served in time, or None."""
+    """Return a refusal if the request cannot be served in time, otherwise None."""
     left = identified.parsed.deadline - now
     if view.ready:
         if view.queue_seconds > left:
