--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -1,12 +1,12 @@
-"""Circuit breakers and the retry budget: what keeps a failing back end from bringing a storm."""
+"""Circuit breakers and the retry budget, which prevent retry storms when back ends fail."""
 
 from loomwind import constants
 
 
 class CircuitBreaker:
-    """Keeps requests away from a back end that failed several times in a row.
+    """Stops sending requests to a back end after several consecutive failures.
 
-    After the open time one request is let through; its result closes or reopens the circuit.
+    After the open time the breaker lets one request through, whose result closes or reopens it.
     """
 
     def __init__(self) -> None:
@@ -15,26 +15,26 @@
         self._probing = False
 
     def allows(self, now: float) -> bool:
-        """Return whether a request may go to the back end."""
+        """Return whether a request may be sent to the back end."""
         if self._failures < constants.CIRCUIT_FAILURE_THRESHOLD:
             return True
         return now >= self._open_until and not self._probing
 
     def record_sent(self) -> None:
-        """Count a request that is sent."""
+        """Record that a request is sent."""
         self._probing = self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD
 
     def record_ended(self) -> None:
-        """Count a request that ended for a reason of its own; it says nothing of the back end."""
+        """Record that a request ended without a result that tells the back end's health."""
         self._probing = False
 
     def record_success(self) -> None:
-        """Close the circuit."""
+        """Record a success and close the circuit."""
         self._failures = 0
         self._probing = False
 
     def record_failure(self, now: float) -> bool:
-        """Count a failure; returns whether the circuit opened by it."""
+        """Record a failure, and return whether it opened the circuit."""
         self._failures += 1
         self._probing = False
         if self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD:
@@ -43,18 +43,21 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of requests, and a few more so that quiet times can retry."""
+    """A token bucket that limits retries to a share of requests.
+
+    The bucket starts full, so that a few retries are possible at low traffic.
+    """
 
     def __init__(self) -> None:
         self._tokens = constants.RETRY_BUDGET_CAPACITY
 
     def on_request(self) -> None:
-        """Count a first attempt."""
+        """Add the share of a retry that a new request allows."""
         limit = constants.RETRY_BUDGET_CAPACITY
         self._tokens = min(limit, self._tokens + constants.RETRY_BUDGET_RATIO)
 
     def try_spend(self) -> bool:
-        """Take one retry; False when the budget is used up."""
+        """Spend one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
