--- a/loomwind/pipeline/demand_reporter.py
+++ b/loomwind/pipeline/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Tells the controller what waits and runs here: at once when that changes, else now and then."""
+"""Reports queued and running requests to the controller, on changes and at a keepalive interval."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -13,7 +13,7 @@
 
 
 class DemandReporter:
-    """Sends this router's demand reports, at most one in each interval."""
+    """Sends this router's demand reports, at most one per interval."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         self._last_entries: tuple[DemandEntry, ...] = ()
 
     def notify(self) -> None:
-        """Say that the demand changed."""
+        """Request a report because the demand changed."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(constants.DEMAND_KEEPALIVE_SECONDS):
