--- a/loomwind/pipeline/errors.py
+++ b/loomwind/pipeline/errors.py
@@ -1,4 +1,4 @@
-"""Refusals: each problem that a caller can be told of, as a typed error (RFC 9457)."""
+"""Refusals: the problems that are reported to callers as problem details (RFC 9457)."""
 
 import enum
 import math
@@ -13,7 +13,7 @@
 
 
 class Problem(enum.Enum):
-    """Problem types, each with its HTTP status and title."""
+    """Problem types, with their HTTP status and title."""
 
     MALFORMED_REQUEST = ("malformed-request", 400, "The request is not valid HTTP")
     INVALID_BODY = ("invalid-body", 400, "The body is not a valid chat-completions request")
@@ -53,10 +53,10 @@
 
 
 class RequestRefused(LoomwindError):
-    """The request gets a final answer from Loomwind itself.
+    """The request is refused: Loomwind itself sends the final response.
 
-    :param outcome: whether it ran at a back end.
-    :param retry_after_seconds: when coming back may help; None when it does not.
+    :param outcome: whether the request ran at a back end.
+    :param retry_after_seconds: when a retry may succeed; None if a retry is no use.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self.status = status or problem.status
 
     def headers(self) -> Headers:
-        """Return the headers of the refusal."""
+        """Return the response headers of the refusal."""
         headers: Headers = (
             ("content-type", "application/problem+json"),
             ("x-outcome", self.outcome.value),
@@ -86,7 +86,7 @@
         return headers
 
     def body(self, request_id: str) -> bytes:
-        """Return the JSON body of the refusal."""
+        """Return the refusal as an RFC 9457 JSON body."""
         return msgspec.json.encode(
             ProblemBody(
                 type=f"urn:loomwind:problem:{self.problem.slug}",
@@ -100,11 +100,11 @@
 
 
 class AttemptFailed(LoomwindError):
-    """One attempt at one back end failed; the handler decides whether to try again.
+    """One attempt at one back end failed; the handler decides whether to retry.
 
-    :param outcome: NOT_RUN only if no byte was handed over, or the back end said so.
-    :param stale_route: whether the back end just does not have what the route says; that is no
-        failure of the back end.
+    :param outcome: NOT_RUN only if no byte was sent, or the back end reported it.
+    :param stale_route: whether the back end lacks the replica that the route names, which does not
+        count as a failure of the back end.
     """
 
     def __init__(self, detail: str, outcome: Outcome, stale_route: bool = False) -> None:
