--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -1,4 +1,4 @@
-"""Weighted deficit round robin over groups, in priority classes. Pure data structure, no clock."""
+"""A queue with priority classes and weighted deficit round robin among the groups of a class."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -27,7 +27,7 @@
 
 
 class _PriorityClass(Generic[Item]):
-    """Round robin over the groups of one class; each turn adds the group's weight."""
+    """Deficit round robin over the groups of one class; each round adds a group's relative weight."""
 
     def __init__(self) -> None:
         self.groups: dict[str, _GroupQueue[Item]] = {}
@@ -74,20 +74,20 @@
 
 
 class FairQueue(Generic[Item]):
-    """Waiting items by priority class and group."""
+    """Waiting items by priority class and group. Uses no clock."""
 
     def __init__(self) -> None:
         self._classes: dict[int, _PriorityClass[Item]] = {}
 
     def push(self, priority: int, group: str, weight: float, item: Item) -> None:
-        """Add an item at the end of its group.
+        """Append an item to its group's queue.
 
-        :param weight: the group's share, above 0.
+        :param weight: the group's new weight, greater than 0.
         """
         self._classes.setdefault(priority, _PriorityClass()).push(group, weight, item)
 
     def pop(self, eligible: Callable[[Item], bool]) -> Item | None:
-        """Remove and return the next item that can be served now, the highest class first."""
+        """Remove and return the next item that can be served now, from the highest class first."""
         for priority in sorted(self._classes, reverse=True):
             item = self._classes[priority].pop(eligible)
             if item is not None:
@@ -95,12 +95,12 @@
         return None
 
     def remove(self, priority: int, group: str, item: Item) -> bool:
-        """Remove a waiting item; returns whether it was there."""
+        """Remove a waiting item, and return whether it was in the queue."""
         priority_class = self._classes.get(priority)
         return priority_class is not None and priority_class.remove(group, item)
 
     def count(self, group: str) -> int:
-        """Return how many items of a group wait, over all classes."""
+        """Return the number of waiting items of a group in all classes."""
         queues = [c.groups[group] for c in self._classes.values() if group in c.groups]
         return sum(len(queue.items) for queue in queues)
 
