--- a/loomwind/pipeline/forward.py
+++ b/loomwind/pipeline/forward.py
@@ -1,7 +1,7 @@
-"""Sixth filter: hands a request to its back end and waits for the head of the answer.
+"""Sixth stage: sends a request to its back end and waits for the response head.
 
-A failure says whether the request may have run: not if no byte was handed over or the back end
-said that it refused the request unstarted; otherwise nobody knows.
+A failure tells whether the request may have run. It did not run if no byte was sent, or if the back
+end reported that it refused the request; otherwise this is unknown.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,11 @@
 
 
 class Attempt:
-    """One try at one back end; remembers whether any byte was handed over."""
+    """One attempt at one back end.
+
+    :ivar request_sent: whether any byte of the request was sent; False again once the back end
+        reports that the request did not run.
+    """
 
     def __init__(self, selected: SelectedRequest) -> None:
         self.selected = selected
@@ -46,9 +50,9 @@
 
 
 def backend_request(selected: SelectedRequest, resume_from: int | None = None) -> HttpRequest:
-    """Return the request as the back end gets it.
+    """Return the request as it is sent to the back end.
 
-    :param resume_from: byte of the answer's body to go on from, for a stream that was cut.
+    :param resume_from: the byte offset in the response body at which to resume a broken stream.
     """
     identified = selected.admitted.identified
     http = identified.parsed.http
@@ -74,9 +78,9 @@
         self._on_leaving = on_leaving
 
     async def forward(self, attempt: Attempt, resume_from: int | None = None) -> ForwardedResponse:
-        """Hand the request over and return the answer's head.
+        """Send the request and return the response, of which only the head was read.
 
-        :raises AttemptFailed: there is no answer to this request.
+        :raises AttemptFailed: the back end sent no response to this request.
         """
         selected = attempt.selected
         request = backend_request(selected, resume_from)
@@ -101,7 +105,7 @@
     def _check_head(
         self, attempt: Attempt, connection: ClientConnection, head: HttpResponse
     ) -> ForwardedResponse:
-        """Check that the head answers this request and that the back end took it."""
+        """Check that the response belongs to this request and that the back end accepted it."""
         selected = attempt.selected
         if head.header(STATE_HEADER) == LEAVING:
             self._on_leaving(selected.backend.name)
