--- a/loomwind/pipeline/identify.py
+++ b/loomwind/pipeline/identify.py
@@ -1,4 +1,4 @@
-"""Second filter: finds the target, the owner and whether the request may run twice."""
+"""Second stage: determines the target, its group and whether the request may be retried."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class _ChatBody(Struct):
-    """The part of a chat-completions body that decides where it goes."""
+    """The fields of a chat-completions body that are checked or used for routing."""
 
     model: str
     messages: list[dict[str, msgspec.Raw]]
@@ -32,8 +32,8 @@
 def identify(parsed: ParsedRequest, catalog: Catalog, is_ready: IsReady) -> IdentifiedRequest:
     """Return the request with its target.
 
-    :param is_ready: whether some engine serves an artifact now.
-    :raises RequestRefused: there is no such target, or the body is invalid.
+    :param is_ready: returns whether any engine serves an artifact now.
+    :raises RequestRefused: the target does not exist, or the request is invalid.
     """
     if parsed.http.path == CHAT_PATH:
         return _identify_chat(parsed, catalog, is_ready)
@@ -48,15 +48,15 @@
     except msgspec.MsgspecError as error:
         raise RequestRefused(Problem.INVALID_BODY, str(error)) from error
     target = serving_version(body.model, resolve_model(body.model, catalog), catalog, is_ready)
-    # Generation has no effect outside, so it may run again unless the caller gives a key.
+    # Generation has no side effects, so it may be repeated unless the caller sends a key.
     repeatable = parsed.idempotency_key is None
     return _identified(parsed, catalog, target, catalog.owner(target), repeatable)
 
 
 def resolve_model(name: str, catalog: Catalog) -> Artifact:
-    """Return the artifact of ``MODEL``, ``MODEL@VERSION`` or ``ADAPTER``.
+    """Return the artifact for a name: ``MODEL``, ``MODEL@VERSION`` or ``ADAPTER``.
 
-    :raises RequestRefused: there is none.
+    :raises RequestRefused: the catalog has no such model, version or adapter.
     """
     model_name, _, version = name.partition("@")
     model = catalog.model(model_name)
@@ -75,7 +75,8 @@
 def serving_version(name: str, target: Artifact, catalog: Catalog, is_ready: IsReady) -> Artifact:
     """Return the target, or the model's previous version until the current one is loaded.
 
-    Only for callers that named no version: they see no gap while the current version changes.
+    This avoids an interruption while the current version changes. It applies only to callers that
+    named no version.
     """
     model = catalog.model(name)
     if model is None or is_ready(target):
@@ -123,7 +124,7 @@
 
 
 def _check_group_header(parsed: ParsedRequest, group: Group) -> None:
-    """A caller may name its group; a name that does not own the target is refused."""
+    """Refuse a request whose ``x-group`` header names a group that does not own the target."""
     named = parsed.http.header("x-group")
     if named is not None and named != group.name:
         detail = f"group {named!r} does not own the target"
