--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -1,4 +1,4 @@
-"""Third stage: refuses requests that cannot meet their deadline. Pure functions; times in seconds."""
+"""Third stage: refuses requests that cannot meet their deadline. Pure; times in seconds."""
 
 from msgspec import Struct
 
--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -27,7 +27,7 @@
 
 
 class _PriorityClass(Generic[Item]):
-    """Deficit round robin over the groups of one class; each round adds a group's relative weight."""
+    """Deficit round robin over the groups of one class; each round adds the relative weights."""
 
     def __init__(self) -> None:
         self.groups: dict[str, _GroupQueue[Item]] = {}
