--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -1,4 +1,4 @@
-"""Chains the filters for one request, counts it, and gives every request one final answer."""
+"""Runs the pipeline stages for a request, counts it, and sends exactly one final response."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,9 +32,9 @@
 
 
 class BackendResponse(Struct, frozen=True):
-    """An answer that can be sent: a held body, or a stream when ``body`` is None.
+    """A response that is ready to send: with a buffered body, or a stream if ``body`` is None.
 
-    :param attempt_seconds: how long it has held its slot so far.
+    :param attempt_seconds: how long the attempt has used its slot so far.
     """
 
     response: ForwardedResponse
@@ -43,10 +43,11 @@
 
 
 class RequestProgress:
-    """How far a request has come, over all its attempts.
+    """The state of a request over all its attempts.
 
-    :ivar attempt: the attempt under way.
-    :ivar claim: the claim on the request's key; kept from one attempt to the next.
+    :ivar attempt: the latest attempt that was forwarded.
+    :ivar claim: the claim on the request's idempotency key; kept for further attempts.
+    :ivar may_have_run: whether a failed attempt may have run.
     """
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """Return what can be said of the request if it ends now."""
+        """Return the outcome to report if the request ends now."""
         under_way = self.attempt is not None and self.attempt.request_sent
         return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
 
@@ -95,7 +96,7 @@
         return asyncio.get_running_loop().time()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request; it ends as exactly one of answered, refused or cancelled."""
+        """Serve one request, and count it as exactly one of answered, refused or cancelled."""
         self._metrics.accepted.inc()
         self._metrics.waiting.inc()
         request_id = (exchange.request and exchange.request.header("x-request-id")) or ""
@@ -156,7 +157,7 @@
         self._queue.dispatch()
 
     async def _get_response(self, admitted: AdmittedRequest) -> BackendResponse:
-        """Try until there is an answer, the deadline is near, or trying again is not allowed."""
+        """Make attempts until one gets a response, the deadline is near or no retry is allowed."""
         self._budget.on_request()
         progress = RequestProgress()
         try:
@@ -175,9 +176,9 @@
     def _check_retry(
         self, admitted: AdmittedRequest, failure: AttemptFailed, attempt_number: int
     ) -> None:
-        """Return when another attempt is allowed.
+        """Check that a retry is allowed, and spend it from the retry budget.
 
-        :raises RequestRefused: it is not.
+        :raises RequestRefused: no retry is allowed.
         """
         safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
         last = attempt_number + 1 >= constants.MAX_ATTEMPTS
@@ -191,10 +192,10 @@
     async def _attempt_before_deadline(
         self, admitted: AdmittedRequest, progress: RequestProgress
     ) -> BackendResponse:
-        """Queue, select, forward, and read the answer up to where it can be sent.
+        """Wait for a slot, forward the request and read the response until it can be sent.
 
-        :raises AttemptFailed: the back end gave no answer.
-        :raises RequestRefused: the request ended without one.
+        :raises AttemptFailed: the back end sent no usable response.
+        :raises RequestRefused: the deadline is too near, or the request was refused.
         """
         margin = constants.DEADLINE_MARGIN_SECONDS
         try:
@@ -247,7 +248,7 @@
         self._queue.dispatch()
 
     async def _claim(self, admitted: AdmittedRequest) -> ClaimHandle | None:
-        """Claim the request's key, if it has one.
+        """Claim the request's idempotency key, if it has one.
 
         :raises RequestRefused: the key was not granted.
         """
