--- a/loomwind/pipeline/parse.py
+++ b/loomwind/pipeline/parse.py
@@ -1,4 +1,4 @@
-"""First filter: checks a request's own headers. Exchange to ParsedRequest."""
+"""First stage: checks the headers that Loomwind reads. Turns an Exchange into a ParsedRequest."""
 
 import math
 import uuid
@@ -17,9 +17,9 @@
 
 
 def parse(exchange: Exchange, limits: LimitSettings, now: float) -> ParsedRequest:
-    """Return the checked request.
+    """Return the request with its checked headers.
 
-    :raises RequestRefused: it is malformed.
+    :raises RequestRefused: the request is malformed, or a header has an invalid value.
     """
     if exchange.bad_request is not None or exchange.request is None:
         bad_request = exchange.bad_request
@@ -38,7 +38,7 @@
 
 
 def _timeout(http: HttpRequest, default_seconds: float) -> float:
-    """Return the time that the caller gives, in seconds."""
+    """Return the request timeout in seconds: the caller's, or the default."""
     text = http.header(REQUEST_TIMEOUT_HEADER)
     if text is None:
         return default_seconds
