--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -1,4 +1,4 @@
-"""Fourth filter: holds requests until a back end has a free slot, fairly among groups."""
+"""Fourth stage: queues requests until a back end has a free slot, with fairness among groups."""
 
 import asyncio
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 class WaitingRequest:
-    """A request in the queue, and the future that ends its wait."""
+    """A request in the queue, and the future of its selected back end."""
 
     def __init__(
         self, admitted: AdmittedRequest, selection: asyncio.Future[SelectedRequest]
@@ -21,12 +21,12 @@
 
 
 class RequestQueue:
-    """The waiting requests of one daemon."""
+    """The queue of one daemon."""
 
     def __init__(self, selector: Selector, weight: Callable[[str], float | None]) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
-        :param weight: the places that this router was lent for a group, if any.
+        :param weight: returns the slots lent to this router for a group; None if there are none.
         """
         self._lent_slots = weight
         self.on_demand_changed: Callable[[], None] = lambda: None
@@ -44,17 +44,17 @@
         return [entry.admitted for entry in self._queue]
 
     def waiting_for(self, target: Target) -> int:
-        """Return how many requests wait for a target."""
+        """Return the number of requests that wait for a target."""
         return self._waiting_by_target[target]
 
     def waiting_in_group(self, group: str) -> int:
-        """Return how many requests of a group wait."""
+        """Return the number of waiting requests of a group."""
         return self._queue.count(group)
 
     async def wait(self, admitted: AdmittedRequest) -> SelectedRequest:
         """Wait for a slot at a back end.
 
-        :raises RequestRefused: the wait was ended by :meth:`refuse_where`.
+        :raises RequestRefused: :meth:`refuse_matching` refused the request.
         """
         identified = admitted.identified
         selection: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
@@ -74,7 +74,7 @@
             self._waiting_by_target[admitted.target] -= 1
 
     def _withdraw(self, entry: WaitingRequest) -> None:
-        """Take a request out whose caller or deadline ended the wait."""
+        """Remove a cancelled request, and release its slot if it was just assigned one."""
         identified = entry.admitted.identified
         self._queue.remove(identified.priority, identified.group, entry)
         if (
@@ -87,7 +87,7 @@
         self.on_demand_changed()
 
     def dispatch(self) -> None:
-        """Give free slots to waiting requests, in fair order."""
+        """Assign free slots to waiting requests in fair order."""
         now = self._now()
         while True:
             entry = self._queue.pop(lambda e: self._selector.has_free_slot(e.admitted.target, now))
@@ -101,7 +101,7 @@
     def refuse_matching(
         self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]
     ) -> None:
-        """End the wait of each request for which ``judge`` returns a refusal."""
+        """Remove each request for which ``refusal_for`` returns a refusal, and raise it there."""
         for entry in list(self._queue):
             refusal = refusal_for(entry.admitted)
             if refusal is not None and not entry.selection.done():
@@ -111,9 +111,9 @@
 
 
 def check_queue_limit(waiting: int, limit: int, group: str) -> None:
-    """Check that a group may have one more request waiting.
+    """Check that the queue limit of a group allows another request.
 
-    :raises RequestRefused: it has as many as it may.
+    :raises RequestRefused: the group has reached its limit.
     """
     if waiting >= limit:
         detail = f"{waiting} requests of group {group} wait, the limit is {limit}"
