--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -1,8 +1,8 @@
-"""Last filter: passes the answer on, one write for each read, without parsing any token.
+"""Last stage: relays the response to the caller, one write per read, without parsing tokens.
 
-A stream that is cut is resumed at its offset where the engine can; otherwise it ends visibly:
-with an ``error`` event and a body without its proper end. An answer that is not a stream is held
-until it is whole, up to a limit, so that a failure can still be told by its status.
+If a stream breaks, the relay resumes it at its byte offset if the engine supports that. Otherwise
+the caller gets an ``error`` event and a truncated body, so that the failure is detectable. Other
+responses are buffered up to a limit, so that a failure can still be reported by the status code.
 """
 
 import asyncio
@@ -27,14 +27,17 @@
 
 
 class BufferedBody(Struct, frozen=True):
-    """What was read of a body; the rest is still to come when it is not ``complete``."""
+    """The part of a body that was read so far.
+
+    :param complete: whether this is the complete body; otherwise the rest must still be read.
+    """
 
     data: bytes
     complete: bool
 
 
 class ResponseTruncated(AttemptFailed):
-    """The answer's body ended before its end, after ``sent`` bytes went to the caller."""
+    """The response body ended too early, after ``sent`` bytes were sent to the caller."""
 
     def __init__(self, detail: str, sent: int) -> None:
         super().__init__(detail, Outcome.PARTIAL if sent else Outcome.UNKNOWN)
@@ -42,27 +45,27 @@
 
 
 class RelayProgress:
-    """What went to the caller of a stream so far, over all connections that it came by."""
+    """What was sent to the caller of a stream so far, over all back-end connections."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
         self.tail = StreamTail()
 
     def record_sent(self, piece: bytes) -> None:
-        """Count a piece that was sent."""
+        """Record a piece that was sent."""
         self.sent_bytes += len(piece)
         self.tail.feed(piece)
 
 
 class Relay:
-    """Passes answers from back ends to callers."""
+    """Relays responses from back ends to callers."""
 
     def __init__(
         self, client: HttpClient, forwarder: Forwarder, relayed: Counter, stall_seconds: float
     ) -> None:
-        """Make a relay.
+        """Create a relay.
 
-        :param stall_seconds: a stream on which nothing comes for so long is cut.
+        :param stall_seconds: the time without data after which a stream is aborted.
         """
         self._stall_seconds = stall_seconds
         self._client = client
@@ -70,9 +73,9 @@
         self._relayed = relayed
 
     async def buffer_body(self, response: ForwardedResponse) -> BufferedBody:
-        """Read a body that is not a stream, up to a limit.
+        """Read the body of a response that is not a stream, up to a limit.
 
-        :raises AttemptFailed: the body was cut short: whether the request ran whole is not known.
+        :raises AttemptFailed: the body was truncated; it is unknown whether the request completed.
         """
         body = bytearray()
         connection = response.connection
@@ -94,7 +97,7 @@
     async def send_buffered(
         self, exchange: Exchange, response: ForwardedResponse, body: bytes, request_id: str
     ) -> None:
-        """Send a held answer."""
+        """Send a response whose body was buffered."""
         self._relayed.inc(len(body))
         await exchange.respond(response.status, _headers(response, request_id), body)
 
@@ -105,11 +108,12 @@
         request_id: str,
         prefix: bytes = b"",
     ) -> None:
-        """Pass a stream on as it comes.
+        """Relay a response body as it arrives.
 
-        :param prefix: the part of the body that was read before.
-        :raises RequestRefused: the stream was cut and could not be resumed; nothing was sent.
-        :raises ConnectionBroken: the caller is gone.
+        :param prefix: the part of the body that was read already.
+        :raises RequestRefused: the stream broke and could not be resumed. If the response had
+            started, an error event was sent and the exchange was aborted.
+        :raises ConnectionBroken: the caller disconnected.
         """
         progress = RelayProgress()
         resumes = 0
@@ -139,9 +143,9 @@
         request_id: str,
         progress: RelayProgress,
     ) -> None:
-        """Pass one connection's part of the body on.
+        """Relay the body that arrives on one back-end connection.
 
-        :raises AnswerCutShort: it ended too soon.
+        :raises ResponseTruncated: the body ended too early.
         """
         connection = response.connection
         sent_before_bytes = progress.sent_bytes
@@ -159,7 +163,10 @@
 
     @staticmethod
     async def _read_piece(response: ForwardedResponse, progress: RelayProgress) -> bytes:
-        """Return the next piece of a body; empty at its end."""
+        """Return the next piece of a body, or an empty one at its end.
+
+        :raises ResponseTruncated: the body ended too early.
+        """
         try:
             piece = await response.connection.read_body()
             if not piece and response.streamed:
@@ -176,7 +183,7 @@
             await exchange.start(response.status, _headers(response, request_id))
 
     async def _resume(self, response: ForwardedResponse, sent: int) -> ForwardedResponse | None:
-        """Ask the same engine to go on from an offset; None when it cannot."""
+        """Ask the same engine to resume at a byte offset; return None if it cannot."""
         attempt = Attempt(response.selected)
         try:
             async with asyncio.timeout(self._stall_seconds):
@@ -187,7 +194,7 @@
     async def _send_error_event(
         self, exchange: Exchange, request_id: str, cut: ResponseTruncated
     ) -> None:
-        """Tell a caller that has part of the stream that the rest is missing."""
+        """Report a broken stream to a caller that has received part of it, and abort the exchange."""
         if not exchange.started:
             return
         body = self._refusal(cut).body(request_id)
