--- a/loomwind/pipeline/stall.py
+++ b/loomwind/pipeline/stall.py
@@ -1,16 +1,16 @@
-"""Ends a stream on which nothing came for a while, with one timer for many pieces."""
+"""Detects a stalled stream, with one timer for many pieces."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class StallWatch:
-    """Calls back once nothing was noted for some time. A context manager.
+    """Calls back after a time without activity. A context manager.
 
-    A timer for each piece would cost more than the piece: this one is armed again only when it
-    fires and finds that something came meanwhile.
+    A timer for each piece would cost more than relaying the piece. This timer is restarted only
+    when it fires and finds that there was activity in the meantime.
 
-    :param seconds: the silence that is too long.
+    :param seconds: the time without activity after which ``on_stall`` is called.
     """
 
     def __init__(self, seconds: float, on_stall: Callable[[], None]) -> None:
@@ -29,7 +29,7 @@
             self._timer.cancel()
 
     def record_activity(self) -> None:
-        """Note that something came."""
+        """Record that data arrived."""
         self._last_activity_at = self._loop.time()
 
     def _check(self) -> None:
