--- a/loomwind/pipeline/types.py
+++ b/loomwind/pipeline/types.py
@@ -1,4 +1,4 @@
-"""The types that pass from one filter to the next. Times are of the loop's clock, in seconds."""
+"""The types passed between pipeline stages. Times are event-loop times in seconds."""
 
 from msgspec import Struct
 
@@ -8,7 +8,7 @@
 
 
 class Application(Struct, frozen=True, order=True):
-    """The target of an ordinary HTTP request: the application servers of one name."""
+    """The target of an ordinary HTTP request: the application servers that share a name."""
 
     name: str
 
@@ -19,7 +19,7 @@
 class ParsedRequest(Struct, frozen=True):
     """A request whose headers were checked.
 
-    :param deadline: when its answer must have begun.
+    :param deadline: the time by which the response must have started.
     """
 
     http: HttpRequest
@@ -30,10 +30,10 @@
 
 
 class IdentifiedRequest(Struct, frozen=True):
-    """A request whose target and owner are known.
+    """A request whose target and group are known.
 
-    :param priority: 0 to 9; a higher class goes first.
-    :param repeatable: whether it may run twice.
+    :param priority: 0 to 9; higher priorities are served first.
+    :param repeatable: whether the request may run more than once.
     """
 
     parsed: ParsedRequest
@@ -46,23 +46,23 @@
 
 
 class AdmittedRequest(Struct, frozen=True):
-    """A request that may wait for a back end."""
+    """A request that was admitted to the queue."""
 
     identified: IdentifiedRequest
 
     @property
     def target(self) -> Target:
-        """Return where it should run."""
+        """Return the target of the request."""
         return self.identified.target
 
     @property
     def deadline(self) -> float:
-        """Return when its answer must have begun."""
+        """Return the time by which the response must have started."""
         return self.identified.parsed.deadline
 
 
 class Backend(Struct, frozen=True, order=True):
-    """A back end that can take a request."""
+    """A server that requests can be sent to: an engine or an application server."""
 
     name: str
     address: str
@@ -70,14 +70,14 @@
 
 
 class SelectedRequest(Struct, frozen=True):
-    """A request that has a slot at a back end."""
+    """A request that was assigned a slot at a back end."""
 
     admitted: AdmittedRequest
     backend: Backend
 
 
 class ForwardedResponse(Struct, frozen=True):
-    """A back end's answer, of which the head has come.
+    """A back end's response, of which the head was received.
 
     :param headers: end-to-end headers.
     """
