--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -194,7 +194,7 @@
     async def _send_error_event(
         self, exchange: Exchange, request_id: str, cut: ResponseTruncated
     ) -> None:
-        """Report a broken stream to a caller that has received part of it, and abort the exchange."""
+        """Report a broken stream to a caller that received part of it, and abort the exchange."""
         if not exchange.started:
             return
         body = self._refusal(cut).body(request_id)
