--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -26,7 +26,7 @@
     def __init__(self, selector: Selector, weight: Callable[[str], float | None]) -> None:
         """Create an empty queue.
 
-        :param weight: returns the slots lent to this router for a group; None if there are none.
+        :param weight: returns the slots allocated to this router for a group; None if there are none.
         """
         self._lent_slots = weight
         self.on_demand_changed: Callable[[], None] = lambda: None
