--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -1,4 +1,4 @@
-"""The router of one daemon: the filters, their shared state, and what reaches it from outside."""
+"""The router of one daemon: the pipeline, its shared state and updates from other daemons."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class Router:
-    """Everything that the pipeline of one daemon shares."""
+    """Creates the pipeline of one daemon, and keeps its routing state up to date."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         )
 
     def admission_view(self, identified: IdentifiedRequest) -> AdmissionView:
-        """Return what admission decides on for a request that is not in the queue yet."""
+        """Return the admission inputs for a request that is not queued yet."""
         target = identified.target
         waiting = self.queue.waiting_for(target)
         ahead = self.selector.queue_seconds(target, waiting, self._membership.now)
@@ -83,29 +83,30 @@
         )
 
     def _has_controller(self) -> bool:
-        """Whether the cell has a controller, or may soon have one again."""
+        """Return whether the cell has a controller, or had one within the grace period."""
         up_seconds = self._membership.now - self._started_at
         silence = min(self._membership.leader_silence_seconds(), up_seconds)
         return silence < CONTROLLER_GRACE_SECONDS
 
     async def run(self) -> None:
-        """Review the waiting requests now and then, until cancelled."""
+        """Recheck the waiting requests periodically, until cancelled."""
         while True:
             await asyncio.sleep(RECHECK_INTERVAL_SECONDS)
             self.recheck_waiting()
 
     def recheck_waiting(self) -> None:
-        """Serve what can go out, and refuse what cannot be served in time any more."""
+        """Dispatch requests that have a free slot, and refuse those that cannot meet their deadline."""
         self.queue.dispatch()
         self.queue.refuse_matching(self._refusal_for)
 
     def _refusal_for(self, request: AdmittedRequest) -> RequestRefused | None:
-        # Its place in the queue was judged when it came; only loads and the controller may change.
+        # The wait in the queue was checked on admission. Only load estimates and the presence of a
+        # controller can change afterwards.
         view = self._admission_view_with(request.identified, queue_seconds=0.0)
         return refusal_for(request.identified, view, self._membership.now)
 
     def on_routing(self, update: RoutingUpdate) -> bool:
-        """Take in a routing update; returns whether it was newer."""
+        """Apply a routing update, and return whether it was newer."""
         if not self.table.apply(update):
             return False
         self._metrics.replicas.set(sum(len(engine.replicas) for engine in update.engines))
@@ -113,11 +114,11 @@
         return True
 
     def on_leaving(self, backend: str) -> None:
-        """Take in that a back end itself said that it is leaving, and tell the cell."""
+        """Record that a back end announced its shutdown, and report it to the cell."""
         self.report(backend, leaving=True, failed=False)
 
     def report(self, backend: str, leaving: bool, failed: bool) -> None:
-        """Note a change of a back end's state, and tell the cell if it is news."""
+        """Record the state of a back end, and report it to the cell if it changed or failed."""
         if not self.table.mark_leaving(backend, leaving) and not failed:
             return
         message = BackendReport(self._membership.own.cell, backend, leaving, failed)
@@ -125,6 +126,6 @@
             self._transport.send(info.address, message)
 
     def on_backend_report(self, report: BackendReport) -> None:
-        """Take in what another daemon saw of a back end."""
+        """Apply another daemon's report about a back end."""
         self.table.mark_leaving(report.backend, report.leaving)
         self.queue.dispatch()
