--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -1,4 +1,4 @@
-"""Where requests can go, as the controller last said, less what was seen since."""
+"""The controller's latest routing table, without back ends found to be unusable since then."""
 
 from msgspec import structs
 
@@ -8,14 +8,14 @@
 
 
 def _applies_to(update: RoutingUpdate, current: RoutingUpdate) -> bool:
-    """Return whether an update changes just the one that is held."""
+    """Return whether an incremental update is based on the current one."""
     before, after = current.stamp, update.stamp
     same_term = (before.generation, before.ballot) == (after.generation, after.ballot)
     return same_term and update.base == current.sequence
 
 
 def _apply_changes(current: RoutingUpdate, update: RoutingUpdate) -> RoutingUpdate:
-    """Return the whole update that a change of engines leads to."""
+    """Return the full update that results from an incremental one."""
     engines = {route.engine: route for route in current.engines}
     engines |= {route.engine: route for route in update.engines}
     for engine in update.removed:
@@ -25,7 +25,7 @@
 
 
 class RoutingTable:
-    """The newest routing update of a daemon and the back ends that said they are leaving."""
+    """The newest routing update of a daemon, and the back ends that announced their shutdown."""
 
     def __init__(self) -> None:
         self.update: RoutingUpdate | None = None
@@ -40,11 +40,11 @@
 
     @property
     def sequence(self) -> int:
-        """Return the number of the update within its controller's term."""
+        """Return the sequence number of the update in its controller's term."""
         return self.update.sequence if self.update else 0
 
     def apply(self, update: RoutingUpdate) -> bool:
-        """Take in an update unless it is older than the one held."""
+        """Apply an update; return False if it is not newer or not based on the current one."""
         current = self.update
         if current is not None:
             term = (update.stamp.generation, update.stamp.ballot, update.sequence)
@@ -64,13 +64,13 @@
         return True
 
     def drop_replica(self, target: Target, backend: str) -> None:
-        """Use a replica no more that its engine says it does not have, until the next update."""
+        """Stop using a replica that its engine reports missing, until the next update."""
         if not isinstance(target, Application):
             kept = [e for e in self._engines.get(target, []) if e.engine != backend]
             self._engines[target] = kept
 
     def mark_leaving(self, backend: str, leaving: bool) -> bool:
-        """Note that a back end is leaving, or no longer is; returns whether that is news."""
+        """Record whether a back end is leaving, and return whether that changed."""
         if leaving == (backend in self._leaving):
             return False
         if leaving:
@@ -94,7 +94,7 @@
         return [backend for backend in found if backend.name not in self._leaving]
 
     def all_backends(self) -> list[Backend]:
-        """Return every back end of the update, also those that are leaving."""
+        """Return all back ends of the update, including those that are leaving."""
         if self.update is None:
             return []
         engines = [Backend(e.engine, e.address, e.zone) for e in self.update.engines]
@@ -102,18 +102,18 @@
         return engines + applications
 
     def slots(self, backend: str) -> int | None:
-        """Return how many requests may run at an engine at once; None when not limited."""
+        """Return how many requests this router may run on an engine concurrently; None if unlimited."""
         engines = self.update.engines if self.update else ()
         return next((e.slots for e in engines if e.engine == backend), None)
 
     def weight(self, group: str) -> float | None:
-        """Return the places that this router was lent for a group; None when it was lent none."""
+        """Return the slots allocated to this router for a group; None if there are none."""
         engines = self.update.engines if self.update else ()
         places = sum(p.places for engine in engines for p in engine.places if p.group == group)
         return places or None
 
     def estimate_seconds(self, target: Target) -> float | None:
-        """Return when a target that is not ready is expected to be; None when unknown."""
+        """Return the expected time until a target is ready, in seconds; None if unknown."""
         if isinstance(target, Application):
             return None
         return self._estimates.get(target)
