--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -1,4 +1,4 @@
-"""Fifth filter: chooses the back end by a pure policy, and counts the slots in use."""
+"""Fifth stage: selects a back end, and counts the slots in use."""
 
 from collections import Counter
 
@@ -13,10 +13,10 @@
 
 
 class Candidate(Struct, frozen=True):
-    """A back end that could take a request.
+    """A back end that serves the target of a request.
 
-    :param running: requests of this daemon that run there.
-    :param near: whether it is in the daemon's own zone.
+    :param running: the number of requests of this daemon that run there.
+    :param near: whether it is in the same zone as the daemon.
     """
 
     backend: Backend
@@ -26,13 +26,13 @@
 
 
 def least_loaded(candidates: list[Candidate]) -> Candidate | None:
-    """Return the least loaded candidate with a free slot; at equal load a near one."""
+    """Return the least loaded candidate with a free slot; at equal load, one in the same zone."""
     free = [c for c in candidates if c.running < c.slots]
     return min(free, key=lambda c: (c.running / c.slots, not c.near, c.backend.name), default=None)
 
 
 class Selector:
-    """Counts the slots in use and applies the policy."""
+    """Selects back ends by load, and tracks slots, circuit breakers and service times."""
 
     def __init__(self, table: RoutingTable, zone: str) -> None:
         self.running: Counter[str] = Counter()
@@ -47,7 +47,7 @@
         return self._circuits.setdefault(backend, CircuitBreaker())
 
     def candidates(self, target: Target, now: float) -> list[Candidate]:
-        """Return the back ends that serve a target and whose circuit is not open."""
+        """Return the back ends that serve a target and whose circuit breaker allows a request."""
         found = []
         for backend in self._table.backends(target):
             if self.circuit(backend.name).allows(now):
@@ -58,11 +58,11 @@
         return found
 
     def has_free_slot(self, target: Target, now: float) -> bool:
-        """Return whether a request for a target could go out now."""
+        """Return whether a request for a target could be sent now."""
         return least_loaded(self.candidates(target, now)) is not None
 
     def select(self, admitted: AdmittedRequest, now: float) -> SelectedRequest | None:
-        """Take a slot for a request; None when no back end has one free."""
+        """Assign a slot to a request; return None if no back end has a free one."""
         chosen = least_loaded(self.candidates(admitted.target, now))
         if chosen is None:
             return None
@@ -72,19 +72,19 @@
         return SelectedRequest(admitted, chosen.backend)
 
     def record_service_time(self, target: Target, seconds: float) -> None:
-        """Take in how long an answered request held its slot."""
+        """Add the slot time of an answered request to the target's moving average."""
         known = self._service_seconds.get(target, seconds)
         self._service_seconds[target] = known + SERVICE_TIME_SMOOTHING * (seconds - known)
 
     def queue_seconds(self, target: Target, waiting: int, now: float) -> float:
-        """Return how long a request waits behind others; 0 when nothing is known."""
+        """Return the expected wait behind the waiting requests; 0 if no service time is known."""
         candidates = self.candidates(target, now)
         slots = sum(candidate.slots for candidate in candidates)
         service = self._service_seconds.get(target, 0.0)
         return waiting * service / slots if slots else 0.0
 
     def release(self, selected: SelectedRequest) -> None:
-        """Give a slot back."""
+        """Release the slot of a request."""
         self.running[selected.backend.name] -= 1
         identified = selected.admitted.identified
         self.running_by_target[(identified.target, identified.group)] -= 1
