--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -28,7 +28,7 @@
 
         :param weight: returns the slots allocated to this router for a group; None if there are none.
         """
-        self._lent_slots = weight
+        self._group_slots = weight
         self.on_demand_changed: Callable[[], None] = lambda: None
         self.arrivals: Counter[tuple[Target, str]] = Counter()
         self._selector = selector
@@ -59,7 +59,7 @@
         identified = admitted.identified
         selection: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
         entry = WaitingRequest(admitted, selection)
-        weight = self._lent_slots(identified.group) or identified.share
+        weight = self._group_slots(identified.group) or identified.share
         self._queue.push(identified.priority, identified.group, weight, entry)
         self._waiting_by_target[admitted.target] += 1
         self.dispatch()
