--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -23,12 +23,12 @@
 class RequestQueue:
     """The queue of one daemon."""
 
-    def __init__(self, selector: Selector, weight: Callable[[str], float | None]) -> None:
+    def __init__(self, selector: Selector, group_slots: Callable[[str], float | None]) -> None:
         """Create an empty queue.
 
-        :param weight: returns the slots allocated to this router for a group; None if there are none.
+        :param group_slots: returns the slots allocated to this router for a group; None if there are none.
         """
-        self._group_slots = weight
+        self._group_slots = group_slots
         self.on_demand_changed: Callable[[], None] = lambda: None
         self.arrivals: Counter[tuple[Target, str]] = Counter()
         self._selector = selector
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.table = RoutingTable()
         self.selector = Selector(self.table, membership.own.zone)
-        self.queue = RequestQueue(self.selector, self.table.weight)
+        self.queue = RequestQueue(self.selector, self.table.group_slots)
         self.reporter = DemandReporter(membership, transport, self.queue, self.selector)
         self.queue.on_demand_changed = self.reporter.notify
         self._membership = membership
--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -106,7 +106,7 @@
         engines = self.update.engines if self.update else ()
         return next((e.slots for e in engines if e.engine == backend), None)
 
-    def weight(self, group: str) -> float | None:
+    def group_slots(self, group: str) -> float | None:
         """Return the slots allocated to this router for a group; None if there are none."""
         engines = self.update.engines if self.update else ()
         places = sum(p.places for engine in engines for p in engine.places if p.group == group)
