--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -109,8 +109,8 @@
     def group_slots(self, group: str) -> float | None:
         """Return the slots allocated to this router for a group; None if there are none."""
         engines = self.update.engines if self.update else ()
-        places = sum(p.places for engine in engines for p in engine.places if p.group == group)
-        return places or None
+        slots = sum(p.slots for engine in engines for p in engine.slots if p.group == group)
+        return slots or None
 
     def estimate_seconds(self, target: Target) -> float | None:
         """Return the expected time until a target is ready, in seconds; None if unknown."""
