--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -102,14 +102,14 @@
         return engines + applications
 
     def slots(self, backend: str) -> int | None:
-        """Return how many requests this router may run on an engine concurrently; None if unlimited."""
+        """Return how many requests this router may run on an engine at once; None if unlimited."""
         engines = self.update.engines if self.update else ()
         return next((e.slots for e in engines if e.engine == backend), None)
 
     def group_slots(self, group: str) -> float | None:
         """Return the slots allocated to this router for a group; None if there are none."""
         engines = self.update.engines if self.update else ()
-        slots = sum(p.slots for engine in engines for p in engine.slots if p.group == group)
+        slots = sum(p.places for engine in engines for p in engine.places if p.group == group)
         return slots or None
 
     def estimate_seconds(self, target: Target) -> float | None:
