--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -95,7 +95,7 @@
             self.recheck_waiting()
 
     def recheck_waiting(self) -> None:
-        """Dispatch requests that have a free slot, and refuse those that cannot meet their deadline."""
+        """Dispatch requests to free slots, and refuse those that cannot meet their deadline."""
         self.queue.dispatch()
         self.queue.refuse_matching(self._refusal_for)
 
