--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -26,7 +26,7 @@
     def __init__(self, selector: Selector, group_slots: Callable[[str], float | None]) -> None:
         """Create an empty queue.
 
-        :param group_slots: returns the slots allocated to this router for a group; None if there are none.
+        :param group_slots: returns the slots allocated to this router for a group, if any.
         """
         self._group_slots = group_slots
         self.on_demand_changed: Callable[[], None] = lambda: None
