--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -126,14 +126,14 @@
                 await self._relay_body(exchange, response, request_id, progress)
                 await exchange.finish()
                 return
-            except ResponseTruncated as cut:
+            except ResponseTruncated as error:
                 resumed = None
                 if resumes < MAX_RESUMES:
                     resumed = await self._resume(response, progress.sent_bytes)
                 resumes += 1
                 if resumed is None:
-                    await self._send_error_event(exchange, request_id, cut)
-                    raise self._refusal(cut) from cut
+                    await self._send_error_event(exchange, request_id, error)
+                    raise self._refusal(error) from error
                 response = resumed
 
     async def _relay_body(
@@ -192,12 +192,12 @@
             return None
 
     async def _send_error_event(
-        self, exchange: Exchange, request_id: str, cut: ResponseTruncated
+        self, exchange: Exchange, request_id: str, error: ResponseTruncated
     ) -> None:
         """Report a broken stream to a caller that received part of it, and abort the exchange."""
         if not exchange.started:
             return
-        body = self._refusal(cut).body(request_id)
+        body = self._refusal(error).body(request_id)
         try:
             await exchange.send(b"\n\nevent: error\ndata: " + body + b"\n\n")
         except ConnectionBroken:
@@ -206,8 +206,8 @@
             exchange.abort()
 
     @staticmethod
-    def _refusal(cut: ResponseTruncated) -> RequestRefused:
-        return RequestRefused(Problem.ANSWER_CUT_SHORT, str(cut), cut.outcome)
+    def _refusal(error: ResponseTruncated) -> RequestRefused:
+        return RequestRefused(Problem.ANSWER_CUT_SHORT, str(error), error.outcome)
 
 
 def _headers(response: ForwardedResponse, request_id: str) -> Headers:
