--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -22,13 +22,15 @@
     backend: Backend
     running: int
     slots: int
-    near: bool
+    same_zone: bool
 
 
 def least_loaded(candidates: list[Candidate]) -> Candidate | None:
     """Return the least loaded candidate with a free slot; at equal load, one in the same zone."""
     free = [c for c in candidates if c.running < c.slots]
-    return min(free, key=lambda c: (c.running / c.slots, not c.near, c.backend.name), default=None)
+    return min(
+        free, key=lambda c: (c.running / c.slots, not c.same_zone, c.backend.name), default=None
+    )
 
 
 class Selector:
@@ -52,9 +54,9 @@
         for backend in self._table.backends(target):
             if self.circuit(backend.name).allows(now):
                 slots = self._table.slots(backend.name) or APPLICATION_SLOTS
-                near = backend.zone == self._zone
+                same_zone = backend.zone == self._zone
                 running = self.running[backend.name]
-                found.append(Candidate(backend, running, slots, near))
+                found.append(Candidate(backend, running, slots, same_zone))
         return found
 
     def has_free_slot(self, target: Target, now: float) -> bool:
