--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -21,7 +21,7 @@
 
     ready: bool
     estimate_seconds: float | None
-    controlled: bool
+    has_controller: bool
     waiting: int
     queue_seconds: float
 
@@ -49,7 +49,7 @@
         return None
     if view.estimate_seconds is not None and view.estimate_seconds > left:
         return _too_late(left, view.estimate_seconds)
-    if not view.controlled:
+    if not view.has_controller:
         detail = "the target is not ready, and the cell has no controller to make it so"
         return RequestRefused(
             Problem.NO_CONTROLLER, detail, retry_after_seconds=CONTROLLER_RETRY_SECONDS
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -77,7 +77,7 @@
         return AdmissionView(
             ready=bool(self.table.backends(identified.target)),
             estimate_seconds=self.table.estimate_seconds(identified.target),
-            controlled=self._has_controller(),
+            has_controller=self._has_controller(),
             waiting=self.queue.waiting_in_group(identified.group),
             queue_seconds=queue_seconds,
         )
