--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -42,13 +42,13 @@
     identified: IdentifiedRequest, view: AdmissionView, now: float
 ) -> RequestRefused | None:
     """Return a refusal if the request cannot be served in time, otherwise None."""
-    left = identified.parsed.deadline - now
+    remaining = identified.parsed.deadline - now
     if view.ready:
-        if view.queue_seconds > left:
-            return _too_late(left, view.queue_seconds)
+        if view.queue_seconds > remaining:
+            return _too_late(remaining, view.queue_seconds)
         return None
-    if view.estimate_seconds is not None and view.estimate_seconds > left:
-        return _too_late(left, view.estimate_seconds)
+    if view.estimate_seconds is not None and view.estimate_seconds > remaining:
+        return _too_late(remaining, view.estimate_seconds)
     if not view.has_controller:
         detail = "the target is not ready, and the cell has no controller to make it so"
         return RequestRefused(
@@ -57,6 +57,6 @@
     return None
 
 
-def _too_late(left: float, needed: float) -> RequestRefused:
-    detail = f"{max(left, 0.0):.2f} s are left, {needed:.2f} s are needed"
+def _too_late(remaining: float, needed: float) -> RequestRefused:
+    detail = f"{max(remaining, 0.0):.2f} s are left, {needed:.2f} s are needed"
     return RequestRefused(Problem.CANNOT_MEET_DEADLINE, detail, retry_after_seconds=needed)
