--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -68,8 +68,8 @@
         """Return the admission inputs for a request that is not queued yet."""
         target = identified.target
         waiting = self.queue.waiting_for(target)
-        ahead = self.selector.queue_seconds(target, waiting, self._membership.now)
-        return self._admission_view_with(identified, ahead)
+        queue_seconds = self.selector.queue_seconds(target, waiting, self._membership.now)
+        return self._admission_view_with(identified, queue_seconds)
 
     def _admission_view_with(
         self, identified: IdentifiedRequest, queue_seconds: float
