--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -23,9 +23,9 @@
 from loomwind.metrics import Metrics
 from loomwind.schema import Artifact
 
-POLL_STABLE_SECONDS = 30.0
-POLL_TRANSITION_SECONDS = 0.1
-POLL_FAILED_SECONDS = 0.5
+STABLE_POLL_INTERVAL_SECONDS = 30.0
+TRANSITION_POLL_INTERVAL_SECONDS = 0.1
+FAILED_POLL_INTERVAL_SECONDS = 0.5
 ENDED_AFTER_REFUSALS = 3
 
 
@@ -82,7 +82,7 @@
             recheck = self._rechecks.setdefault(engine, asyncio.Event())
             recheck.clear()
             try:
-                async with asyncio.timeout(self._poll_seconds(self.tracker.records[engine])):
+                async with asyncio.timeout(self._poll_interval(self.tracker.records[engine])):
                     await recheck.wait()
             except TimeoutError:
                 pass
@@ -92,16 +92,16 @@
         if engine in self._rechecks:
             self._rechecks[engine].set()
 
-    def _poll_seconds(self, record: EngineRecord) -> float:
+    def _poll_interval(self, record: EngineRecord) -> float:
         if record.inventory is None or record.status is not EngineStatus.FENCED:
-            return POLL_TRANSITION_SECONDS
+            return TRANSITION_POLL_INTERVAL_SECONDS
         if record.failed:
-            return POLL_FAILED_SECONDS
+            return FAILED_POLL_INTERVAL_SECONDS
         in_transition = any(
             item.state is not ReplicaState.READY and record.pending_order(item.artifact) is None
             for item in record.inventory.items
         )
-        return POLL_TRANSITION_SECONDS if in_transition else POLL_STABLE_SECONDS
+        return TRANSITION_POLL_INTERVAL_SECONDS if in_transition else STABLE_POLL_INTERVAL_SECONDS
 
     async def _read(self, engine: str) -> None:
         """Fence an engine and apply its inventory."""
