--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -86,8 +86,8 @@
     def _is_preload_due(
         self, idle_seconds: float, preload_after: float, artifact: Artifact
     ) -> bool:
-        longest_gap = self._gaps[artifact].percentile(99)
-        return preload_after <= idle_seconds <= 1.1 * longest_gap
+        gap_p99 = self._gaps[artifact].percentile(99)
+        return preload_after <= idle_seconds <= 1.1 * gap_p99
 
     def artifacts(self) -> list[Artifact]:
         """Return all artifacts with recorded usage."""
