--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -84,7 +84,7 @@
         self._content: RoutingContent | None = None
         self._recipients: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
         self._next_allocation_at = 0.0
-        self._step_seconds = 0.0
+        self._step_cpu_seconds = 0.0
         self._load_limiter = RemoteLoadLimiter(
             settings.weight_store.loads_per_second,
             settings.weight_store.parallel_loads,
@@ -111,7 +111,7 @@
                 started = time.process_time()
                 self._update_machines()
                 await self._step()
-                self._step_seconds = time.process_time() - started
+                self._step_cpu_seconds = time.process_time() - started
                 if self._membership.now >= next_repair:
                     if await self._voter_changes.repair():
                         # Publish the new voters at once, since the old ones no longer grant claims.
@@ -130,7 +130,7 @@
         The pause is a multiple of the CPU time of the last step, so that the controller leaves the
         daemon's event loop to requests in cells of any size.
         """
-        pause = min(STEP_PAUSE_FACTOR * self._step_seconds, MAX_STEP_PAUSE_SECONDS)
+        pause = min(STEP_PAUSE_FACTOR * self._step_cpu_seconds, MAX_STEP_PAUSE_SECONDS)
         await asyncio.sleep(pause)
         try:
             async with asyncio.timeout(constants.CONTROLLER_TICK_SECONDS):
