--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -105,7 +105,7 @@
     return views
 
 
-def reconciled_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
+def reconcile_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
     """Return the intents without removable ones, plus intents for other artifacts on engines."""
     kept = set(value.intents) - tracker.removable_intents(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -14,7 +14,7 @@
 from loomwind.control.cluster_view import (
     cluster_view,
     fenced_engine_names,
-    reconciled_intents,
+    reconcile_intents,
     remote_loads_in_flight,
 )
 from loomwind.control.demand import DemandAggregator
@@ -158,7 +158,7 @@
         self._demand.drop_expired(now)
         value = self._register.committed
         tracker = self.fleet.tracker
-        intents = reconciled_intents(tracker, value)
+        intents = reconcile_intents(tracker, value)
         fenced = fenced_engine_names(tracker, value)
         new_plan = self._make_plan(value, intents, fenced, now)
         added = tuple(
