--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -25,7 +25,7 @@
 from loomwind.control.register_service import RegisterService
 from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.routing_publisher import RoutingContent, RoutingPublisher
-from loomwind.control.usage import UsageTracker, make_policy
+from loomwind.control.usage import UsageTracker, create_policy
 from loomwind.control.views import Plan
 from loomwind.control.voter_changes import VoterChanges
 from loomwind.engines.client import EngineClient
@@ -78,7 +78,7 @@
         self._wake_event = asyncio.Event()
         self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
-        self._usage = UsageTracker(make_policy(settings.keep_alive))
+        self._usage = UsageTracker(create_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -17,7 +17,7 @@
 NO_GAPS = GapHistogram()
 
 
-def make_policy(settings: KeepAlivePolicy) -> KeepAlive:
+def create_policy(settings: KeepAlivePolicy) -> KeepAlive:
     """Return the configured keep-alive policy."""
     if settings.policy == "fixed":
         return FixedKeepAlive(settings.fixed_seconds)
