--- a/loomwind/control/cluster_view.py
+++ b/loomwind/control/cluster_view.py
@@ -106,7 +106,7 @@
 
 
 def reconcile_intents(tracker: EngineTracker, value: RegisterValue) -> tuple[Intent, ...]:
-    """Return the intents without removable ones, plus intents for other artifacts on engines."""
+    """Return the intents that are still needed, plus one for each other artifact on an engine."""
     kept = set(value.intents) - tracker.removable_intents(value.intents)
     known = {(intent.engine, intent.artifact) for intent in kept}
     for record in tracker.records.values():
