--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -1,10 +1,10 @@
-Feature: Decisions are pure functions
+Feature: Decision functions
 
-  Scenario: placement keeps to the replica limit, counting engines that may hold anything
+  Scenario: placement counts engines with unknown contents toward the replica limit
     Given engines
-      | engine | memory | held          | ready         | may hold anything |
-      | e1     | 10000  |               |               | no                |
-      | e2     | 10000  |               |               | yes               |
+      | engine | memory | held          | ready         | contents unknown |
+      | e1     | 10000  |               |               | no               |
+      | e2     | 10000  |               |               | yes              |
     And models
       | model | memory | replicas | group |
       | a     | 4000   | 1        | g1    |
@@ -13,7 +13,7 @@
     Then the plan loads b on e1
     And the plan does not load a
 
-  Scenario: placement prefers the engine that has the weights close by
+  Scenario: placement prefers an engine that has the weights cached
     Given engines
       | engine | memory | cached |
       | e1     | 10000  |        |
@@ -24,17 +24,17 @@
     When 1 requests wait for a and 0 for a
     Then the plan loads a on e2
 
-  Scenario Outline: an engine that is leaving gets no load
-    When an engine is <word> and the last inventory says <told>
+  Scenario Outline: placement does not use an engine that is leaving
+    When an engine is <listed> and its last inventory says <reported>
     Then placement may <use> it
 
     Examples:
-      | word              | told        | use     |
+      | listed            | reported    | use     |
       | listed as live    | not leaving | use     |
       | listed as live    | leaving     | not use |
       | listed as leaving | not leaving | not use |
 
-  Scenario: replicas of one model are spread over zones
+  Scenario: replicas of one model are spread across zones
     Given engines
       | engine | zone   | memory | held | ready |
       | e1     | zone-a | 10000  | a    | a     |
@@ -46,7 +46,7 @@
     When 20 requests wait for a and 0 for a
     Then the plan loads a on e3
 
-  Scenario: an idle replica of a group over its share makes room
+  Scenario: placement evicts from the group with the most memory relative to its share
     Given engines
       | engine | memory | held | ready |
       | e1     | 9000   | x,y  | x,y   |
@@ -59,7 +59,7 @@
     When 1 requests wait for a and 0 for a
     Then the plan unloads y from e1
 
-  Scenario: a busy replica is never unloaded for another
+  Scenario: a busy replica is not evicted for another model
     Given engines
       | engine | memory | held | ready |
       | e1     | 5000   | x    | x     |
@@ -70,7 +70,7 @@
     When 1 requests wait for a and 1 for x
     Then the plan unloads nothing
 
-  Scenario: the weight store's rate holds remote loads back, not local ones
+  Scenario: the weight store's rate limit delays remote loads but not local ones
     Given engines
       | engine | memory | cached |
       | e1     | 20000  | b      |
@@ -83,47 +83,47 @@
     Then the plan loads b on e1
     And the plan does not load a
 
-  Scenario Outline: slots are lent by share and by demand
-    When an engine of <places> places is lent for <demand>
+  Scenario Outline: slots are allocated by share and demand
+    When an engine with <total> slots is allocated for <demand>
     Then the routers get <slots>
 
     Examples:
-      | places | demand                                 | slots      |
+      | total  | demand                                 | slots      |
       | 8      | r1 g1 8, r2 g2 8; g1 3, g2 1           | r1 6, r2 2 |
       | 8      | r1 g1 2, r2 g2 8; g1 3, g2 1           | r1 2, r2 6 |
       | 8      | r1 g1 4, r2 g1 4; g1 1                 | r1 4, r2 4 |
       | 8      | r1 g1 0, r2 g1 0; g1 1                 | r1 4, r2 4 |
 
-  Scenario: the fair queue serves groups by weight and starves none
+  Scenario: the fair queue serves groups in proportion to their weights and starves none
     When 400 items of group big with weight 3 and 400 of group small with weight 1 wait
     Then the first 100 served are 75 of big and 25 of small
     And a higher priority class goes first
 
-  Scenario: the retry budget stops a storm
+  Scenario: the retry budget prevents retry storms
     When 1000 requests each want one retry
     Then at most 210 retries are allowed
 
-  Scenario: a circuit opens after failures and lets one request through later
-    When a back end fails 3 times in a row
-    Then its circuit refuses requests, and after 2 s lets just one through
-
-  Scenario: keep-alive weighs idle time against reloads
-    Given gaps of 5 s mostly and of 3000 s sometimes
-    Then with an idle hour worth 30 s a replica that reloads in 4 s is kept 5 to 8 s
-    And with an idle hour worth 1 s it is kept at least 3000 s
-    And gaps of always 3600 s lead to a load ahead of the next request
-
-  Scenario: an inventory that was overtaken by an order's answer is ignored
-    When an order is answered after an earlier inventory was asked for
-    Then the late inventory does not make the loaded model look absent
-
-  Scenario: an intent for an earlier life of an engine may be removed
-    When an engine that was restarted is read
-    Then intents for its earlier life may be removed and those for the new life not
-
-  Scenario: the detector's evidence
-    Given a detector that suspects after 1.5 s and gives up after 4 s
-    Then silence of 2 s makes a member suspect and of 4 s gone
-    And a refused connection makes a member gone at once
-    And a peer that reached a suspect keeps it from gone
-    And a new incarnation under the same name ends the earlier one
+  Scenario: a circuit opens after failures and later allows one trial request
+    When a back end fails 3 consecutive times
+    Then its circuit rejects requests, and after 2 s allows exactly one
+
+  Scenario: keep-alive weighs idle cost against reload time
+    Given request gaps that are mostly 5 s and sometimes 3000 s
+    Then at an idle hour cost of 30 s a replica that reloads in 4 s is kept 5 to 8 s
+    And at an idle hour cost of 1 s it is kept at least 3000 s
+    And constant gaps of 3600 s lead to a preload before the next request
+
+  Scenario: an inventory older than an order's response is ignored
+    When an order's response arrives before an older inventory
+    Then the older inventory does not make the loaded model count as absent
+
+  Scenario: an intent for an earlier instance of an engine may be removed
+    When a restarted engine is read
+    Then only intents for its earlier instance may be removed
+
+  Scenario: the failure detector's evidence
+    Given a detector with a suspect timeout of 1.5 s and a gone timeout of 4 s
+    Then a member is suspect after 2 s without messages and gone after 4 s
+    And a refused connection marks a member as gone immediately
+    And a suspect that a peer has reached does not become gone
+    And a new incarnation under the same name replaces the earlier one
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps that call the pure decision functions with small views."""
+"""Steps that test the decision functions with small inputs."""
 
 from typing import Any
 
@@ -35,12 +35,12 @@
 
 
 def artifacts(cell: str) -> list[Artifact]:
-    """Return the artifacts that a table cell names."""
+    """Return the artifacts named in a table cell."""
     return [Artifact(name, "v1") for name in cell.split(",") if name]
 
 
 def column(row: Any, name: str, default: str = "") -> str:
-    """Return a table cell, or a default when the table lacks the column."""
+    """Return a table cell, or a default if the table has no such column."""
     return str(row[name]) if name in row.headings else default
 
 
@@ -85,7 +85,7 @@
 
 
 def engine_of(row: Any, catalog: Catalog) -> EngineView:
-    """Return the view of one row of the engines' table."""
+    """Return the engine view for a row of the engine table."""
     held = {a: catalog.memory_mib(a) or 0 for a in artifacts(column(row, "held"))}
     ready = frozenset(artifacts(column(row, "ready")))
     return EngineView(
@@ -94,8 +94,8 @@
         zone=column(row, "zone", "zone-a"),
         memory_mib=int(row["memory"]),
         concurrency=8,
-        usable=column(row, "may hold anything") != "yes",
-        contents_unknown=column(row, "may hold anything") == "yes",
+        usable=column(row, "contents unknown") != "yes",
+        contents_unknown=column(row, "contents unknown") == "yes",
         held=held,
         ready=ready,
         in_transition=frozenset(held) - ready,
@@ -138,15 +138,15 @@
     assert not context.plan.unloads, context.plan
 
 
-@when("an engine of {places:d} places is lent for {demand}")
-def step_allocate(context: Any, places: int, demand: str) -> None:
-    wanted, _, shares = demand.partition("; ")
+@when("an engine with {total:d} slots is allocated for {demand}")
+def step_allocate(context: Any, total: int, demand: str) -> None:
+    requested, _, shares = demand.partition("; ")
     demands = []
-    for item in wanted.split(", "):
+    for item in requested.split(", "):
         router, group, active = item.split()
         demands.append(SlotDemand(router, group, int(active)))
     weights = {name: float(value) for name, value in (s.split() for s in shares.split(", "))}
-    context.slots = allocate_slots(places, demands, weights, ["r1", "r2"])
+    context.slots = allocate_slots(total, demands, weights, ["r1", "r2"])
 
 
 @then("the routers get {slots}")
@@ -195,14 +195,14 @@
     assert 0 < context.allowed <= count, context.allowed
 
 
-@when("a back end fails {count:d} times in a row")
+@when("a back end fails {count:d} consecutive times")
 def step_fails(context: Any, count: int) -> None:
     context.circuit = CircuitBreaker()
     for _ in range(count):
         context.circuit.record_failure(now=0.0)
 
 
-@then("its circuit refuses requests, and after {seconds:g} s lets just one through")
+@then("its circuit rejects requests, and after {seconds:g} s allows exactly one")
 def step_circuit(context: Any, seconds: float) -> None:
     assert seconds == constants.CIRCUIT_OPEN_SECONDS
     assert not context.circuit.allows(now=seconds / 2)
@@ -214,7 +214,7 @@
 
 
 def gaps_of(seconds: list[float]) -> GapHistogram:
-    """Return a histogram of these gaps."""
+    """Return a histogram of the given gaps."""
     gaps = GapHistogram()
     now = 0.0
     gaps.record_arrival(now)
@@ -224,13 +224,13 @@
     return gaps
 
 
-@given("gaps of {often:g} s mostly and of {rarely:g} s sometimes")
+@given("request gaps that are mostly {often:g} s and sometimes {rarely:g} s")
 def step_gaps(context: Any, often: float, rarely: float) -> None:
     context.gaps = gaps_of([often] * 90 + [rarely] * 10)
 
 
 @then(
-    "with an idle hour worth {cost:g} s a replica that reloads in {reload:g} s "
+    "at an idle hour cost of {cost:g} s a replica that reloads in {reload:g} s "
     "is kept {a:g} to {b:g} s"
 )
 def step_kept(context: Any, cost: float, reload: float, a: float, b: float) -> None:
@@ -239,13 +239,13 @@
     assert a <= decision.keep_seconds <= b, decision
 
 
-@then("with an idle hour worth {cost:g} s it is kept at least {seconds:g} s")
+@then("at an idle hour cost of {cost:g} s it is kept at least {seconds:g} s")
 def step_kept_long(context: Any, cost: float, seconds: float) -> None:
     decision = HistogramKeepAlive(cost, 600.0).decide(context.gaps, context.reload)
     assert decision.keep_seconds >= seconds, decision
 
 
-@then("gaps of always {gap:g} s lead to a load ahead of the next request")
+@then("constant gaps of {gap:g} s lead to a preload before the next request")
 def step_preload(context: Any, gap: float) -> None:
     decision = HistogramKeepAlive(30.0, 600.0).decide(gaps_of([gap] * 10), context.reload)
     ahead = decision.preload_after_seconds
@@ -256,7 +256,7 @@
 
 
 def inventory(sequence: int, instance: str = "1", holds: bool = False) -> Inventory:
-    """Return an inventory under a fence of that sequence."""
+    """Return an inventory under a fence with the given sequence number."""
     items = (InventoryItem(LOADED, ReplicaState.READY, 1),) if holds else ()
     return Inventory(instance, Fence(1, sequence=sequence), 10, 1, False, items)
 
@@ -269,7 +269,7 @@
     return tracker
 
 
-@when("an order is answered after an earlier inventory was asked for")
+@when("an order's response arrives before an older inventory")
 def step_overtaken(context: Any) -> None:
     context.tracker = tracker_with_engine()
     order = Order(Fence(1, sequence=3), "1", Action.LOAD, LOADED, 1, 1.0)
@@ -279,16 +279,16 @@
     context.tracker.on_inventory("e1", inventory(2))
 
 
-@then("the late inventory does not make the loaded model look absent")
+@then("the older inventory does not make the loaded model count as absent")
 def step_not_absent(context: Any) -> None:
     assert not context.tracker.removable_intents((Intent("e1", "1", LOADED, 1),))
 
 
-@when("an engine is listed as {listed} and the last inventory says {told}")
-def step_leaving(context: Any, listed: str, told: str) -> None:
+@when("an engine is listed as {listed} and its last inventory says {reported}")
+def step_leaving(context: Any, listed: str, reported: str) -> None:
     tracker = EngineTracker()
     tracker.add_or_update("e1", "address", "zone", listed == "leaving")
-    read = structs.replace(inventory(1), leaving=told == "leaving")
+    read = structs.replace(inventory(1), leaving=reported == "leaving")
     tracker.on_inventory("e1", read)
     context.engine = engine_view(tracker.records["e1"], RegisterValue(Stamp(1), ()))
 
@@ -298,30 +298,30 @@
     assert context.engine.usable == (use == "use"), context.engine
 
 
-@when("an engine that was restarted is read")
+@when("a restarted engine is read")
 def step_restarted(context: Any) -> None:
     context.tracker = tracker_with_engine()
     context.tracker.on_inventory("e1", inventory(1, instance="2", holds=True))
 
 
-@then("intents for its earlier life may be removed and those for the new life not")
+@then("only intents for its earlier instance may be removed")
 def step_instances(context: Any) -> None:
     earlier, later = Intent("e1", "1", LOADED, 1), Intent("e1", "2", LOADED, 1)
     assert context.tracker.removable_intents((earlier, later)) == {earlier}
 
 
 def member(incarnation: str = "1") -> MemberInfo:
-    """Return a daemon."""
+    """Return the info of a daemon."""
     return MemberInfo(VoterId("daemon-2", incarnation), "cell", "zone", "address")
 
 
 def state_after(detector: Detector, seconds: float, identity: VoterId) -> MemberState | None:
-    """Let time pass and return a member's state."""
+    """Advance the detector's clock and return a member's state."""
     detector.tick(seconds)
     return detector.state_of(identity)
 
 
-@given("a detector that suspects after {suspect:g} s and gives up after {gone:g} s")
+@given("a detector with a suspect timeout of {suspect:g} s and a gone timeout of {gone:g} s")
 def step_detector(context: Any, suspect: float, gone: float) -> None:
     def make() -> Detector:
         detector = Detector(DetectorSettings(suspect, gone))
@@ -331,21 +331,21 @@
     context.detector = make
 
 
-@then("silence of {suspect:g} s makes a member suspect and of {gone:g} s gone")
+@then("a member is suspect after {suspect:g} s without messages and gone after {gone:g} s")
 def step_silence(context: Any, suspect: float, gone: float) -> None:
     detector = context.detector()
     assert state_after(detector, suspect, member().identity) is MemberState.SUSPECT
     assert state_after(detector, gone, member().identity) is MemberState.GONE
 
 
-@then("a refused connection makes a member gone at once")
+@then("a refused connection marks a member as gone immediately")
 def step_refused(context: Any) -> None:
     detector = context.detector()
     detector.refused(member().identity)
     assert state_after(detector, 0.1, member().identity) is MemberState.GONE
 
 
-@then("a peer that reached a suspect keeps it from gone")
+@then("a suspect that a peer has reached does not become gone")
 def step_reached(context: Any) -> None:
     detector = context.detector()
     detector.tick(3.0)
@@ -353,7 +353,7 @@
     assert state_after(detector, 5.0, member().identity) is MemberState.SUSPECT
 
 
-@then("a new incarnation under the same name ends the earlier one")
+@then("a new incarnation under the same name replaces the earlier one")
 def step_incarnation(context: Any) -> None:
     detector = context.detector()
     detector.heard(member("2"), 1.0)
