--- a/loomwind/reload.py
+++ b/loomwind/reload.py
@@ -69,15 +69,15 @@
             self.check_file(signalled)
 
     async def _wait_for_trigger(self) -> None:
-        triggers = [
+        tasks = [
             asyncio.ensure_future(self._reload_requested.wait()),
             asyncio.ensure_future(self._clock.sleep_ms(POLL_INTERVAL_MS)),
         ]
         try:
-            await asyncio.wait(triggers, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for wait in triggers:
-                wait.cancel()
+            for task in tasks:
+                task.cancel()
 
     def check_file(self, signalled: bool) -> None:
         """Reload the file if its content has changed.
