--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -6,7 +6,7 @@
 
 
 def choose_voters(
-    present: tuple[VoterId, ...], alive: list[MemberInfo], count: int
+    current: tuple[VoterId, ...], alive: list[MemberInfo], count: int
 ) -> tuple[VoterId, ...]:
     """Return the voter set that the cell should have.
 
@@ -18,22 +18,22 @@
     :param count: seats wanted.
     """
     by_identity = {info.identity: info for info in alive}
-    chosen = [voter for voter in present if voter in by_identity][:count]
-    seats = min(count, len(alive))
-    seats = max(seats - (seats % 2 == 0), 1)
-    spare = sorted(info for info in alive if info.identity not in chosen)
-    while len(chosen) < seats and spare:
+    chosen = [voter for voter in current if voter in by_identity][:count]
+    size = min(count, len(alive))
+    size = max(size - (size % 2 == 0), 1)
+    remaining = sorted(info for info in alive if info.identity not in chosen)
+    while len(chosen) < size and remaining:
         zones = [by_identity[voter].zone for voter in chosen]
-        best = min(spare, key=lambda info: (zones.count(info.zone), info.identity))
-        spare.remove(best)
+        best = min(remaining, key=lambda info: (zones.count(info.zone), info.identity))
+        remaining.remove(best)
         chosen.append(best.identity)
-    return tuple(sorted(chosen[: max(seats, 1)]))
+    return tuple(sorted(chosen[: max(size, 1)]))
 
 
-def keeps_majority(present: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
+def has_live_majority(current: tuple[VoterId, ...], alive: list[MemberInfo]) -> bool:
     """Return whether a majority of the present voters is alive, so that a change can settle."""
     identities = {info.identity for info in alive}
-    return 2 * len(identities & set(present)) > len(present)
+    return 2 * len(identities & set(current)) > len(current)
 
 
 def has_lost_majority(
--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from loomwind.pipeline.errors import Problem, RequestRefused
-from loomwind.pipeline.queue import check_room
+from loomwind.pipeline.queue import check_queue_limit
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 
 CONTROLLER_RETRY_SECONDS = 5.0
@@ -31,14 +31,16 @@
 
     :raises RequestRefused: it cannot be served in time.
     """
-    check_room(view.waiting, identified.max_waiting, identified.group)
-    refusal = judge(identified, view, now)
+    check_queue_limit(view.waiting, identified.max_waiting, identified.group)
+    refusal = refusal_for(identified, view, now)
     if refusal is not None:
         raise refusal
     return AdmittedRequest(identified)
 
 
-def judge(identified: IdentifiedRequest, view: AdmissionView, now: float) -> RequestRefused | None:
+def refusal_for(
+    identified: IdentifiedRequest, view: AdmissionView, now: float
+) -> RequestRefused | None:
     """Return the refusal of a request that cannot be served in time, or None."""
     left = identified.parsed.deadline - now
     if view.ready:
--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -13,9 +13,11 @@
 class WaitingRequest:
     """A request in the queue, and the future that ends its wait."""
 
-    def __init__(self, admitted: AdmittedRequest, turn: asyncio.Future[SelectedRequest]) -> None:
+    def __init__(
+        self, admitted: AdmittedRequest, selection: asyncio.Future[SelectedRequest]
+    ) -> None:
         self.admitted = admitted
-        self.turn = turn
+        self.selection = selection
 
 
 class RequestQueue:
@@ -26,8 +28,8 @@
 
         :param weight: the places that this router was lent for a group, if any.
         """
-        self._weight = weight
-        self.on_demand: Callable[[], None] = lambda: None
+        self._lent_slots = weight
+        self.on_demand_changed: Callable[[], None] = lambda: None
         self.arrivals: Counter[tuple[Target, str]] = Counter()
         self._selector = selector
         self._queue: FairQueue[WaitingRequest] = FairQueue()
@@ -45,7 +47,7 @@
         """Return how many requests wait for a target."""
         return self._waiting_by_target[target]
 
-    def waiting_of(self, group: str) -> int:
+    def waiting_in_group(self, group: str) -> int:
         """Return how many requests of a group wait."""
         return self._queue.count(group)
 
@@ -55,16 +57,16 @@
         :raises RequestRefused: the wait was ended by :meth:`refuse_where`.
         """
         identified = admitted.identified
-        turn: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
-        entry = WaitingRequest(admitted, turn)
-        weight = self._weight(identified.group) or identified.share
+        selection: asyncio.Future[SelectedRequest] = asyncio.get_running_loop().create_future()
+        entry = WaitingRequest(admitted, selection)
+        weight = self._lent_slots(identified.group) or identified.share
         self._queue.push(identified.priority, identified.group, weight, entry)
         self._waiting_by_target[admitted.target] += 1
-        self.pump()
-        if not turn.done():
-            self.on_demand()
+        self.dispatch()
+        if not selection.done():
+            self.on_demand_changed()
         try:
-            return await turn
+            return await selection
         except asyncio.CancelledError:
             self._withdraw(entry)
             raise
@@ -75,34 +77,40 @@
         """Take a request out whose caller or deadline ended the wait."""
         identified = entry.admitted.identified
         self._queue.remove(identified.priority, identified.group, entry)
-        if entry.turn.done() and not entry.turn.cancelled() and not entry.turn.exception():
-            self._selector.release(entry.turn.result())
-            self.pump()
-        self.on_demand()
-
-    def pump(self) -> None:
+        if (
+            entry.selection.done()
+            and not entry.selection.cancelled()
+            and not entry.selection.exception()
+        ):
+            self._selector.release(entry.selection.result())
+            self.dispatch()
+        self.on_demand_changed()
+
+    def dispatch(self) -> None:
         """Give free slots to waiting requests, in fair order."""
         now = self._now()
         while True:
-            entry = self._queue.pop(lambda e: self._selector.has_free(e.admitted.target, now))
+            entry = self._queue.pop(lambda e: self._selector.has_free_slot(e.admitted.target, now))
             if entry is None:
                 return
             selected = self._selector.select(entry.admitted, now)
-            if selected is None or entry.turn.done():
+            if selected is None or entry.selection.done():
                 continue
-            entry.turn.set_result(selected)
+            entry.selection.set_result(selected)
 
-    def refuse_where(self, judge: Callable[[AdmittedRequest], RequestRefused | None]) -> None:
+    def refuse_matching(
+        self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]
+    ) -> None:
         """End the wait of each request for which ``judge`` returns a refusal."""
         for entry in list(self._queue):
-            refusal = judge(entry.admitted)
-            if refusal is not None and not entry.turn.done():
+            refusal = refusal_for(entry.admitted)
+            if refusal is not None and not entry.selection.done():
                 identified = entry.admitted.identified
                 self._queue.remove(identified.priority, identified.group, entry)
-                entry.turn.set_exception(refusal)
+                entry.selection.set_exception(refusal)
 
 
-def check_room(waiting: int, limit: int, group: str) -> None:
+def check_queue_limit(waiting: int, limit: int, group: str) -> None:
     """Check that a group may have one more request waiting.
 
     :raises RequestRefused: it has as many as it may.
--- a/loomwind/pipeline/relay.py
+++ b/loomwind/pipeline/relay.py
@@ -23,17 +23,17 @@
 from loomwind.schema import Outcome
 
 MAX_RESUMES = 2
-HELD_BODY_BYTES = constants.MEBIBYTE
+MAX_BUFFERED_BODY_BYTES = constants.MEBIBYTE
 
 
-class HeldBody(Struct, frozen=True):
+class BufferedBody(Struct, frozen=True):
     """What was read of a body; the rest is still to come when it is not ``complete``."""
 
     data: bytes
     complete: bool
 
 
-class AnswerCutShort(AttemptFailed):
+class ResponseTruncated(AttemptFailed):
     """The answer's body ended before its end, after ``sent`` bytes went to the caller."""
 
     def __init__(self, detail: str, sent: int) -> None:
@@ -48,7 +48,7 @@
         self.sent_bytes = 0
         self.tail = StreamTail()
 
-    def note(self, piece: bytes) -> None:
+    def record_sent(self, piece: bytes) -> None:
         """Count a piece that was sent."""
         self.sent_bytes += len(piece)
         self.tail.feed(piece)
@@ -69,7 +69,7 @@
         self._forwarder = forwarder
         self._relayed = relayed
 
-    async def hold(self, response: ForwardedResponse) -> HeldBody:
+    async def buffer_body(self, response: ForwardedResponse) -> BufferedBody:
         """Read a body that is not a stream, up to a limit.
 
         :raises AttemptFailed: the body was cut short: whether the request ran whole is not known.
@@ -78,7 +78,7 @@
         connection = response.connection
         complete = False
         try:
-            while len(body) <= HELD_BODY_BYTES and not complete:
+            while len(body) <= MAX_BUFFERED_BODY_BYTES and not complete:
                 piece = await connection.read_body()
                 complete = not piece
                 body += piece
@@ -89,9 +89,9 @@
             raise
         if complete:
             self._client.release(connection)
-        return HeldBody(bytes(body), complete)
+        return BufferedBody(bytes(body), complete)
 
-    async def send_held(
+    async def send_buffered(
         self, exchange: Exchange, response: ForwardedResponse, body: bytes, request_id: str
     ) -> None:
         """Send a held answer."""
@@ -116,23 +116,23 @@
         if prefix:
             await exchange.start(response.status, _headers(response, request_id))
             await exchange.send(prefix)
-            progress.note(prefix)
+            progress.record_sent(prefix)
         while True:
             try:
-                await self._pass_on(exchange, response, request_id, progress)
+                await self._relay_body(exchange, response, request_id, progress)
                 await exchange.finish()
                 return
-            except AnswerCutShort as cut:
+            except ResponseTruncated as cut:
                 resumed = None
                 if resumes < MAX_RESUMES:
                     resumed = await self._resume(response, progress.sent_bytes)
                 resumes += 1
                 if resumed is None:
-                    await self._end_visibly(exchange, request_id, cut)
+                    await self._send_error_event(exchange, request_id, cut)
                     raise self._refusal(cut) from cut
                 response = resumed
 
-    async def _pass_on(
+    async def _relay_body(
         self,
         exchange: Exchange,
         response: ForwardedResponse,
@@ -147,29 +147,31 @@
         sent_before_bytes = progress.sent_bytes
         try:
             with StallWatch(self._stall_seconds, connection.abort_reading) as watch:
-                while piece := await self._next_piece(response, progress):
-                    watch.note()
-                    await self._start_once(exchange, response, request_id)
+                while piece := await self._read_piece(response, progress):
+                    watch.record_activity()
+                    await self._ensure_started(exchange, response, request_id)
                     await exchange.send(piece)
-                    progress.note(piece)
-            await self._start_once(exchange, response, request_id)
+                    progress.record_sent(piece)
+            await self._ensure_started(exchange, response, request_id)
         finally:
             self._relayed.inc(progress.sent_bytes - sent_before_bytes)
             self._client.release(connection)
 
     @staticmethod
-    async def _next_piece(response: ForwardedResponse, progress: RelayProgress) -> bytes:
+    async def _read_piece(response: ForwardedResponse, progress: RelayProgress) -> bytes:
         """Return the next piece of a body; empty at its end."""
         try:
             piece = await response.connection.read_body()
             if not piece and response.streamed:
                 progress.tail.finish()
         except HttpError as error:
-            raise AnswerCutShort(str(error), progress.sent_bytes) from error
+            raise ResponseTruncated(str(error), progress.sent_bytes) from error
         return piece
 
     @staticmethod
-    async def _start_once(exchange: Exchange, response: ForwardedResponse, request_id: str) -> None:
+    async def _ensure_started(
+        exchange: Exchange, response: ForwardedResponse, request_id: str
+    ) -> None:
         if not exchange.started:
             await exchange.start(response.status, _headers(response, request_id))
 
@@ -182,7 +184,9 @@
         except (AttemptFailed, TimeoutError):
             return None
 
-    async def _end_visibly(self, exchange: Exchange, request_id: str, cut: AnswerCutShort) -> None:
+    async def _send_error_event(
+        self, exchange: Exchange, request_id: str, cut: ResponseTruncated
+    ) -> None:
         """Tell a caller that has part of the stream that the rest is missing."""
         if not exchange.started:
             return
@@ -195,7 +199,7 @@
             exchange.abort()
 
     @staticmethod
-    def _refusal(cut: AnswerCutShort) -> RequestRefused:
+    def _refusal(cut: ResponseTruncated) -> RequestRefused:
         return RequestRefused(Problem.ANSWER_CUT_SHORT, str(cut), cut.outcome)
 
 
