--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -14,7 +14,7 @@
 from loomwind.control.cluster_view import (
     cluster_view,
     fenced_engine_names,
-    reconciled_intents,
+    reconcile_intents,
     remote_loads_in_flight,
 )
 from loomwind.control.demand import DemandAggregator
@@ -25,7 +25,7 @@
 from loomwind.control.register_service import RegisterService
 from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.routing_publisher import RoutingContent, RoutingPublisher
-from loomwind.control.usage import UsageTracker, make_policy
+from loomwind.control.usage import UsageTracker, create_policy
 from loomwind.control.views import Plan
 from loomwind.control.voter_changes import VoterChanges
 from loomwind.engines.client import EngineClient
@@ -78,13 +78,13 @@
         self._wake_event = asyncio.Event()
         self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
-        self._usage = UsageTracker(make_policy(settings.keep_alive))
+        self._usage = UsageTracker(create_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
         self._recipients: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
         self._next_allocation_at = 0.0
-        self._step_seconds = 0.0
+        self._step_cpu_seconds = 0.0
         self._load_limiter = RemoteLoadLimiter(
             settings.weight_store.loads_per_second,
             settings.weight_store.parallel_loads,
@@ -111,7 +111,7 @@
                 started = time.process_time()
                 self._update_machines()
                 await self._step()
-                self._step_seconds = time.process_time() - started
+                self._step_cpu_seconds = time.process_time() - started
                 if self._membership.now >= next_repair:
                     if await self._voter_changes.repair():
                         # Publish the new voters at once, since the old ones no longer grant claims.
@@ -130,7 +130,7 @@
         The pause is a multiple of the CPU time of the last step, so that the controller leaves the
         daemon's event loop to requests in cells of any size.
         """
-        pause = min(STEP_PAUSE_FACTOR * self._step_seconds, MAX_STEP_PAUSE_SECONDS)
+        pause = min(STEP_PAUSE_FACTOR * self._step_cpu_seconds, MAX_STEP_PAUSE_SECONDS)
         await asyncio.sleep(pause)
         try:
             async with asyncio.timeout(constants.CONTROLLER_TICK_SECONDS):
@@ -158,7 +158,7 @@
         self._demand.drop_expired(now)
         value = self._register.committed
         tracker = self.fleet.tracker
-        intents = reconciled_intents(tracker, value)
+        intents = reconcile_intents(tracker, value)
         fenced = fenced_engine_names(tracker, value)
         new_plan = self._make_plan(value, intents, fenced, now)
         added = tuple(
