--- a/features/settings.feature
+++ b/features/settings.feature
@@ -13,7 +13,7 @@
       voters = 9
       """
     Then it exits with status 2 and prints
-      | text                    |
+      | fault                   |
       | name                    |
       | zonne: unknown key      |
       | limits.max_body_bytes   |
@@ -35,7 +35,7 @@
       versions = [{ name = "v1", memory_mib = 10 }]
       """
     Then it exits with status 2 and prints
-      | text                                                 |
+      | fault                                                |
       | control: heartbeat_seconds < suspect_after_seconds   |
       | models[0].group: group nobody is not among groups    |
       | models[0].current: v2 is not among its versions      |
@@ -46,23 +46,23 @@
       name =
       """
     Then it exits with status 2 and prints
-      | text       |
+      | fault      |
       | Invalid    |
     When check-config is run on a file that does not exist
     Then it exits with status 2 and prints
-      | text       |
+      | fault      |
       | No such    |
 
   Scenario: the example file has no faults
     When the command line runs check-config examples/small.toml
     Then it exits with status 0 and prints
-      | text      |
+      | fault     |
       | no faults |
 
   Scenario: check-config --explain lists each setting with its value, source, unit and range
     When the command line runs check-config examples/small.toml --explain
     Then it exits with status 0 and prints
-      | text                          |
+      | fault                         |
       | bounds.lease_ms               |
       | default  milliseconds         |
       | limits.max_body_bytes         |
@@ -75,37 +75,37 @@
     And a site of 1 daemons and 1 engines
     When the operator's command line runs group put night-school --share=3
     Then it exits with status 0 and prints
-      | text    |
+      | fault   |
       | version |
     When the operator's command line runs group list
     Then it exits with status 0 and prints
-      | text         |
+      | fault        |
       | night-school |
       | 3.0          |
     When the operator's command line runs group put night-school --share=4 --base_version=1
     Then it exits with status 3 and prints
-      | text           |
+      | fault          |
       | ChangeConflict |
     When the operator's command line runs group get nobody
     Then it exits with status 4 and prints
-      | text           |
+      | fault          |
       | ObjectNotFound |
     When the operator's command line runs group put night-school --share=0
     Then it exits with status 2 and prints
-      | text            |
+      | fault           |
       | InvalidArgument |
     When the operator's command line runs group list --token=wrong-token
     Then it exits with status 6 and prints
-      | text             |
+      | fault            |
       | NotAuthenticated |
     When the operator's command line runs version add tutor v3 4000
     And the operator's command line runs version use tutor v3
     And the operator's command line runs model list --json
     Then it exits with status 0 and prints
-      | text            |
+      | fault           |
       | "current": "v3" |
     When the operator's command line runs status --json
     Then it exits with status 0 and prints
-      | text               |
+      | fault              |
       | "catalog_version"  |
       | "controller": true |
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -55,4 +55,4 @@
 def step_status(context: Any, status: int) -> None:
     assert context.status == status, (context.status, context.output)
     for row in context.table:
-        assert row["text"] in context.output, (row["text"], context.output)
+        assert row["fault"] in context.output, (row["fault"], context.output)
