--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -232,7 +232,7 @@
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
     async def _load_catalog(self) -> None:
-        """Load the accepted catalog, add the objects of the settings, and accept requests."""
+        """Accept requests once the catalog is loaded and the settings' objects are added to it."""
         while not await self.catalog.learn_at_start():
             await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
