--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -14,7 +14,7 @@
 
     :param ready: whether any back end serves the target now.
     :param estimate_seconds: the expected time until one does; None if unknown.
-    :param controlled: whether the cell has a controller, or had one recently.
+    :param has_controller: whether the cell has a controller, or had one recently.
     :param waiting: the number of requests of the group in this daemon's queue.
     :param queue_seconds: the expected wait in the queue; 0 if unknown.
     """
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -16,7 +16,7 @@
     """A back end that serves the target of a request.
 
     :param running: the number of requests of this daemon that run there.
-    :param near: whether it is in the same zone as the daemon.
+    :param same_zone: whether it is in the same zone as the daemon.
     """
 
     backend: Backend
