--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -34,7 +34,7 @@
 def _merge_claim(granted: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
     """Return the claim to keep after another one to the same key was fetched.
 
-    If two claimants were granted a key, it stays blocked for all: either may have a majority of
+    If two claims to a key were granted, it stays blocked for all: either may have a majority of
     the earlier voters. The specification's ``claim-conflict`` mutation shows the failure otherwise.
     """
     if granted is None:
