--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -39,8 +39,8 @@
     """The result of asking all voters for a claim.
 
     WON: a majority granted it.
-    CONTESTED: some voters granted the key to another claimant, which may not have a majority.
-    NO_MAJORITY: too few voters granted it, and none granted the key to another claimant.
+    CONTESTED: at least one voter has recorded another claim to the key, which may lack a majority.
+    NO_MAJORITY: too few voters granted it, and none has recorded another claim to the key.
     """
 
     WON = enum.auto()
@@ -124,7 +124,7 @@
     def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return the result of the voters' answers.
 
-        :raises ClaimTaken: a majority granted the key to another claimant, or blocked it.
+        :raises ClaimTaken: a majority of the voters recorded another claim to the key, or blocked it.
         :raises ClaimBarrier: a voter reports that earlier claims were lost.
         """
         verdicts = [answer.verdict for answer in answers]
