--- a/loomwind/pipeline/queue.py
+++ b/loomwind/pipeline/queue.py
@@ -101,7 +101,7 @@
     def refuse_matching(
         self, refusal_for: Callable[[AdmittedRequest], RequestRefused | None]
     ) -> None:
-        """Remove each request for which ``refusal_for`` returns a refusal, and raise it there."""
+        """Remove each request for which ``refusal_for`` returns a refusal; its wait raises that."""
         for entry in list(self._queue):
             refusal = refusal_for(entry.admitted)
             if refusal is not None and not entry.selection.done():
