--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -43,7 +43,7 @@
     NO_MAJORITY: too few voters granted it, and none has recorded another claim to the key.
     """
 
-    WON = enum.auto()
+    GRANTED = enum.auto()
     CONTESTED = enum.auto()
     NO_MAJORITY = enum.auto()
 
@@ -78,7 +78,7 @@
                 while True:
                     handle = ClaimHandle(key, next(self._attempts))
                     result = await self._attempt_claim(handle)
-                    if result is ClaimResult.WON:
+                    if result is ClaimResult.GRANTED:
                         return handle
                     contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
@@ -94,7 +94,7 @@
         except BaseException:
             self.release(handle)
             raise
-        if result is not ClaimResult.WON:
+        if result is not ClaimResult.GRANTED:
             self.release(handle)
         return result
 
@@ -131,7 +131,7 @@
         if ClaimVerdict.BARRIER in verdicts:
             raise ClaimBarrier("earlier claims were lost with a majority of the voters")
         if 2 * verdicts.count(ClaimVerdict.GRANTED) > voters:
-            return ClaimResult.WON
+            return ClaimResult.GRANTED
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
