--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -31,7 +31,7 @@
 RETRY_BARRIER_SECONDS = 30.0
 
 
-class BackendResponse(Struct, frozen=True):
+class PreparedResponse(Struct, frozen=True):
     """A response that is ready to send: with a buffered body, or a stream if ``body`` is None.
 
     :param attempt_seconds: how long the attempt has used its slot so far.
@@ -156,7 +156,7 @@
         self._selector.release(response.selected)
         self._queue.dispatch()
 
-    async def _get_response(self, admitted: AdmittedRequest) -> BackendResponse:
+    async def _get_response(self, admitted: AdmittedRequest) -> PreparedResponse:
         """Make attempts until one gets a response, the deadline is near or no retry is allowed."""
         self._budget.on_request()
         progress = RequestProgress()
@@ -191,7 +191,7 @@
 
     async def _attempt_before_deadline(
         self, admitted: AdmittedRequest, progress: RequestProgress
-    ) -> BackendResponse:
+    ) -> PreparedResponse:
         """Wait for a slot, forward the request and read the response until it can be sent.
 
         :raises AttemptFailed: the back end sent no usable response.
@@ -214,7 +214,7 @@
 
     async def _attempt(
         self, admitted: AdmittedRequest, progress: RequestProgress
-    ) -> BackendResponse:
+    ) -> PreparedResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
         began = self._now()
@@ -228,7 +228,7 @@
             self._on_attempt_failed(attempt, progress, error)
             raise
         self._selector.circuit(selected.backend.name).record_success()
-        return BackendResponse(response, body, self._now() - began)
+        return PreparedResponse(response, body, self._now() - began)
 
     def _on_attempt_failed(
         self, attempt: Attempt, progress: RequestProgress, error: BaseException
