--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -134,18 +134,18 @@
         identified = identify(parsed, self._catalog(), self._is_ready)
         admitted = admit(identified, self._admission(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
-        answer = await self._get_response(admitted)
-        response = answer.response
+        prepared = await self._get_response(admitted)
+        response = prepared.response
         forwarded_at = self._now()
         try:
-            if answer.body is None or not answer.body.complete:
-                prefix = answer.body.data if answer.body else b""
+            if prepared.body is None or not prepared.body.complete:
+                prefix = prepared.body.data if prepared.body else b""
                 await self._relay.stream(exchange, response, parsed.request_id, prefix)
             else:
-                data = answer.body.data
+                data = prepared.body.data
                 await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
-            slot_seconds = answer.attempt_seconds + self._now() - forwarded_at
+            slot_seconds = prepared.attempt_seconds + self._now() - forwarded_at
             self._selector.record_service_time(admitted.target, slot_seconds)
             self._release(response)
 
