--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -104,7 +104,7 @@
             await self._serve(exchange)
             self._metrics.answered.inc()
         except RequestRefused as refusal:
-            self._count(refusal)
+            self._count_refusal(refusal)
             await self._refuse(exchange, refusal, request_id)
         except (ConnectionBroken, asyncio.CancelledError):
             self._metrics.cancelled.inc()
@@ -112,12 +112,12 @@
         except Exception as error:
             log_state("request", "internal-error", error=repr(error))
             internal = RequestRefused(Problem.INTERNAL_ERROR, "see the log", Outcome.UNKNOWN)
-            self._count(internal)
+            self._count_refusal(internal)
             await self._refuse(exchange, internal, request_id)
         finally:
             self._metrics.waiting.dec()
 
-    def _count(self, refusal: RequestRefused) -> None:
+    def _count_refusal(self, refusal: RequestRefused) -> None:
         self._metrics.refused.labels(refusal.problem.slug, refusal.outcome.value).inc()
 
     async def _refuse(self, exchange: Exchange, refusal: RequestRefused, request_id: str) -> None:
