--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -180,13 +180,13 @@
 
         :raises RequestRefused: no retry is allowed.
         """
-        safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
+        retry_safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
         last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if safe and not last and self._budget.try_spend():
+        if retry_safe and not last and self._budget.try_spend():
             return
         not_run = failure.outcome is Outcome.NOT_RUN
         problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
-        retry_after = RETRY_SOON_SECONDS if safe else None
+        retry_after = RETRY_SOON_SECONDS if retry_safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
     async def _attempt_before_deadline(
