--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -181,8 +181,8 @@
         :raises RequestRefused: no retry is allowed.
         """
         retry_safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
-        last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if retry_safe and not last and self._budget.try_spend():
+        is_last_attempt = attempt_number + 1 >= constants.MAX_ATTEMPTS
+        if retry_safe and not is_last_attempt and self._budget.try_spend():
             return
         not_run = failure.outcome is Outcome.NOT_RUN
         problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
