--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -255,9 +255,9 @@
         key = admitted.identified.parsed.idempotency_key
         if key is None:
             return None
-        scoped = f"{admitted.identified.group}/{key}"
+        scoped_key = f"{admitted.identified.group}/{key}"
         try:
-            return await self._claims.claim(scoped, admitted.deadline - self._now())
+            return await self._claims.claim(scoped_key, admitted.deadline - self._now())
         except ClaimTaken as error:
             raise RequestRefused(Problem.DUPLICATE_REQUEST, str(error), Outcome.UNKNOWN) from error
         except ClaimBarrier as error:
