--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -58,8 +58,8 @@
     @property
     def outcome(self) -> Outcome:
         """Return the outcome to report if the request ends now."""
-        under_way = self.attempt is not None and self.attempt.request_sent
-        return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
+        in_progress = self.attempt is not None and self.attempt.request_sent
+        return Outcome.UNKNOWN if in_progress or self.may_have_run else Outcome.NOT_RUN
 
 
 class RequestHandler:
