--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -217,7 +217,7 @@
     ) -> PreparedResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
-        began = self._now()
+        started_at = self._now()
         try:
             if progress.claim is None:
                 progress.claim = await self._claim(admitted)
@@ -228,7 +228,7 @@
             self._on_attempt_failed(attempt, progress, error)
             raise
         self._selector.circuit(selected.backend.name).record_success()
-        return PreparedResponse(response, body, self._now() - began)
+        return PreparedResponse(response, body, self._now() - started_at)
 
     def _on_attempt_failed(
         self, attempt: Attempt, progress: RequestProgress, error: BaseException
