--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -87,7 +87,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._claims = claims
-        self._admission = admission
+        self._admission_view = admission
         self._metrics = metrics
         self._budget = RetryBudget()
 
@@ -132,7 +132,7 @@
             detail = "the catalog is not known yet"
             raise RequestRefused(Problem.NOT_READY, detail, retry_after_seconds=RETRY_SOON_SECONDS)
         identified = identify(parsed, self._catalog(), self._is_ready)
-        admitted = admit(identified, self._admission(identified), self._now())
+        admitted = admit(identified, self._admission_view(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
         prepared = await self._get_response(admitted)
         response = prepared.response
