--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -27,7 +27,7 @@
 from loomwind.schema import Artifact, Outcome
 from loomwind.settings import LimitSettings
 
-RETRY_SOON_SECONDS = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 RETRY_BARRIER_SECONDS = 30.0
 
 
@@ -130,7 +130,9 @@
         parsed = parse(exchange, self._limits, self._now())
         if not self.ready:
             detail = "the catalog is not known yet"
-            raise RequestRefused(Problem.NOT_READY, detail, retry_after_seconds=RETRY_SOON_SECONDS)
+            raise RequestRefused(
+                Problem.NOT_READY, detail, retry_after_seconds=DEFAULT_RETRY_AFTER_SECONDS
+            )
         identified = identify(parsed, self._catalog(), self._is_ready)
         admitted = admit(identified, self._admission_view(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
@@ -186,7 +188,7 @@
             return
         not_run = failure.outcome is Outcome.NOT_RUN
         problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
-        retry_after = RETRY_SOON_SECONDS if retry_safe else None
+        retry_after = DEFAULT_RETRY_AFTER_SECONDS if retry_safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
     async def _attempt_before_deadline(
@@ -210,7 +212,7 @@
 
     def _retry_after(self, admitted: AdmittedRequest) -> float:
         estimate = self._table.estimate_seconds(admitted.target)
-        return RETRY_SOON_SECONDS if estimate is None else estimate
+        return DEFAULT_RETRY_AFTER_SECONDS if estimate is None else estimate
 
     async def _attempt(
         self, admitted: AdmittedRequest, progress: RequestProgress
@@ -266,5 +268,5 @@
             ) from error
         except ClaimUnavailable as error:
             raise RequestRefused(
-                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, RETRY_SOON_SECONDS
+                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, DEFAULT_RETRY_AFTER_SECONDS
             ) from error
