--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -28,7 +28,7 @@
 from loomwind.settings import LimitSettings
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-RETRY_BARRIER_SECONDS = 30.0
+BARRIER_RETRY_AFTER_SECONDS = 30.0
 
 
 class PreparedResponse(Struct, frozen=True):
@@ -264,7 +264,7 @@
             raise RequestRefused(Problem.DUPLICATE_REQUEST, str(error), Outcome.UNKNOWN) from error
         except ClaimBarrier as error:
             raise RequestRefused(
-                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, RETRY_BARRIER_SECONDS
+                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, BARRIER_RETRY_AFTER_SECONDS
             ) from error
         except ClaimUnavailable as error:
             raise RequestRefused(
