--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -6,7 +6,7 @@
 from loomwind.pipeline.queue import check_queue_limit
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 
-CONTROLLER_RETRY_SECONDS = 5.0
+CONTROLLER_RETRY_AFTER_SECONDS = 5.0
 
 
 class AdmissionView(Struct, frozen=True):
@@ -52,7 +52,7 @@
     if not view.has_controller:
         detail = "the target is not ready, and the cell has no controller to make it so"
         return RequestRefused(
-            Problem.NO_CONTROLLER, detail, retry_after_seconds=CONTROLLER_RETRY_SECONDS
+            Problem.NO_CONTROLLER, detail, retry_after_seconds=CONTROLLER_RETRY_AFTER_SECONDS
         )
     return None
 
