--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -119,10 +119,10 @@
         self, intents: tuple[Intent, ...], fenced_engines: tuple[str, ...]
     ) -> list[Envelope]:
         """Start writing the next version, with new placements."""
-        stamp, present = self._next_version()
+        stamp, current = self._next_version()
         self._write(
             structs.replace(
-                present, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
+                current, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
             )
         )
         return self.unanswered_messages()
@@ -132,10 +132,10 @@
 
         It is committed once a majority of the old set and a majority of the new set accepted it.
         """
-        stamp, present = self._next_version()
-        epoch = present.epoch + 1
+        stamp, current = self._next_version()
+        epoch = current.epoch + 1
         changed = structs.replace(
-            present, stamp=stamp, voters=voters, joint=present.voters, epoch=epoch
+            current, stamp=stamp, voters=voters, joint=current.voters, epoch=epoch
         )
         self._write(changed)
         return self.unanswered_messages()
