--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -163,7 +163,7 @@
         current = (self.generation, self.ballot)
         if self.phase is not Phase.PREPARING or (message.generation, message.ballot) != current:
             return []
-        before = self._recipients()
+        previous_recipients = self._recipients()
         self._promises[message.voter] = message.accepted
         newest = self._newest()
         if newest is None:
@@ -171,7 +171,7 @@
                 return []
             newest = RegisterValue(Stamp(self.generation), self._base_voters)
         elif not is_quorum(self._promises, newest):
-            return self.unanswered_messages() if self._recipients() != before else []
+            return self.unanswered_messages() if self._recipients() != previous_recipients else []
         self._recover(newest)
         return self.unanswered_messages()
 
