--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -131,10 +131,10 @@
     def _has_active_leader(self) -> bool:
         membership = self._membership
         silence = membership.leader_silence_seconds()
-        return membership.leader is not None and silence < self._suspect_after
+        return membership.leader is not None and silence < self._suspect_after_seconds
 
     @property
-    def _suspect_after(self) -> float:
+    def _suspect_after_seconds(self) -> float:
         return self._membership.detector.suspect_after_seconds
 
     def _campaign_delay_seconds(self) -> float:
