--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -130,8 +130,8 @@
 
     def _has_active_leader(self) -> bool:
         membership = self._membership
-        silence = membership.leader_silence_seconds()
-        return membership.leader is not None and silence < self._suspect_after_seconds
+        silence_seconds = membership.leader_silence_seconds()
+        return membership.leader is not None and silence_seconds < self._suspect_after_seconds
 
     @property
     def _suspect_after_seconds(self) -> float:
