--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -161,12 +161,12 @@
         if stored is not None:
             self._adopt(stored)
             return True
-        waited = self._membership.now - self._started_at
+        waited_seconds = self._membership.now - self._started_at
         alive = len(self._membership.alive())
         if (
             self._membership.has_seeds
             and alive < self._voter_count
-            and waited < BOOTSTRAP_WAIT_SECONDS
+            and waited_seconds < BOOTSTRAP_WAIT_SECONDS
         ):
             return False
         return await self._create_generation(1)
