--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -197,8 +197,8 @@
 
         Missing heartbeats alone do not prove that a process has ended.
         """
-        up_seconds = self._membership.now - self._started_at
-        if self._peer_has_newer_voters() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
+        uptime_seconds = self._membership.now - self._started_at
+        if self._peer_has_newer_voters() or uptime_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
             return False
         ended = {voter for voter in (*self.voters, *self._joint) if self._has_ended(voter)}
         return not self.voters or has_lost_majority(self.voters, self._joint, ended)
--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -84,8 +84,8 @@
 
     def _has_controller(self) -> bool:
         """Return whether the cell has a controller, or had one within the grace period."""
-        up_seconds = self._membership.now - self._started_at
-        silence = min(self._membership.leader_silence_seconds(), up_seconds)
+        uptime_seconds = self._membership.now - self._started_at
+        silence = min(self._membership.leader_silence_seconds(), uptime_seconds)
         return silence < CONTROLLER_GRACE_SECONDS
 
     async def run(self) -> None:
