--- a/loomwind/pipeline/router.py
+++ b/loomwind/pipeline/router.py
@@ -85,8 +85,8 @@
     def _has_controller(self) -> bool:
         """Return whether the cell has a controller, or had one within the grace period."""
         uptime_seconds = self._membership.now - self._started_at
-        silence = min(self._membership.leader_silence_seconds(), uptime_seconds)
-        return silence < CONTROLLER_GRACE_SECONDS
+        silence_seconds = min(self._membership.leader_silence_seconds(), uptime_seconds)
+        return silence_seconds < CONTROLLER_GRACE_SECONDS
 
     async def run(self) -> None:
         """Recheck the waiting requests periodically, until cancelled."""
