--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -47,14 +47,14 @@
         :returns: whether the voter set changed.
         :raises RegisterUnavailable: the change may or may not be committed.
         """
-        present = self._register.committed.voters
+        current = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        target = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
-        if set(target) == set(present) or not has_live_majority(present, alive):
+        target = choose_voters(current, alive + [m.info for m in suspects], self._voter_count)
+        if set(target) == set(current) or not has_live_majority(current, alive):
             return False
         for voter in target:
-            if voter not in present and not await self._admit(voter):
+            if voter not in current and not await self._admit(voter):
                 return False
         await self._register.change_voters(target)
         return True
@@ -67,7 +67,7 @@
             cell=self._register.cell,
             generation=self._register.generation,
             epoch=self._register.committed.epoch + 1,
-            present=self._register.voter_infos(),
+            current=self._register.voter_infos(),
             voter_count=len(self._register.voters),
         )
         if voter == self._membership.own.identity:
@@ -82,7 +82,7 @@
         """Prepare to become a voter by fetching the claims of a majority of the present voters."""
         request = ClaimTransferRequest(message.cell, message.generation, message.epoch)
         transfers = await asyncio.gather(
-            *(self._fetch_claims(info, request) for info in message.present)
+            *(self._fetch_claims(info, request) for info in message.current)
         )
         ready = [transfer for transfer in transfers if transfer is not None and transfer.ready]
         if 2 * len(ready) <= message.voter_count:
