--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -67,7 +67,7 @@
             cell=self._register.cell,
             generation=self._register.generation,
             epoch=self._register.committed.epoch + 1,
-            current=self._register.voter_infos(),
+            present=self._register.voter_infos(),
             voter_count=len(self._register.voters),
         )
         if voter == self._membership.own.identity:
@@ -82,7 +82,7 @@
         """Prepare to become a voter by fetching the claims of a majority of the present voters."""
         request = ClaimTransferRequest(message.cell, message.generation, message.epoch)
         transfers = await asyncio.gather(
-            *(self._fetch_claims(info, request) for info in message.current)
+            *(self._fetch_claims(info, request) for info in message.present)
         )
         ready = [transfer for transfer in transfers if transfer is not None and transfer.ready]
         if 2 * len(ready) <= message.voter_count:
