--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -38,7 +38,7 @@
 class ClaimResult(enum.Enum):
     """The result of asking all voters for a claim.
 
-    WON: a majority granted it.
+    GRANTED: a majority granted it.
     CONTESTED: at least one voter has recorded another claim to the key, which may lack a majority.
     NO_MAJORITY: too few voters granted it, and none has recorded another claim to the key.
     """
@@ -124,7 +124,7 @@
     def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return the result of the voters' answers.
 
-        :raises ClaimTaken: a majority of the voters recorded another claim to the key, or blocked it.
+        :raises ClaimTaken: a majority of the voters recorded another claim, or blocked the key.
         :raises ClaimBarrier: a voter reports that earlier claims were lost.
         """
         verdicts = [answer.verdict for answer in answers]
