--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -312,7 +312,7 @@
                 self._commit_done.set_result(None)
         elif isinstance(answer, Refused):
             if answer.generation > self.generation:
-                self.generation = 0
+                self.generation = 0  # Read the generation from the table service again.
             if candidate.on_refused(answer):
                 self.step_down()
 
