--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -185,11 +185,11 @@
         alive = self._membership.alive()
         chosen = choose_voters((), alive, self._voter_count)
         members = tuple(info for info in alive if info.identity in chosen)
-        founded = Generation(number, members)
-        if not await self._generations.create(founded):
+        created = Generation(number, members)
+        if not await self._generations.create(created):
             return False
         log_state("generation", "founded", generation=number)
-        self._adopt(founded)
+        self._adopt(created)
         return True
 
     def _majority_lost(self) -> bool:
