--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -205,9 +205,9 @@
 
     def _peer_has_newer_voters(self) -> bool:
         """Return whether a reachable peer has a newer voter set, and so must make the decision."""
-        present = {info.identity for info in self._membership.reachable()}
+        reachable = {info.identity for info in self._membership.reachable()}
         return any(
-            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in present
+            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in reachable
         )
 
     def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
