--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -48,8 +48,8 @@
         current = self.update
         if current is not None:
             term = (update.stamp.generation, update.stamp.ballot, update.sequence)
-            known = (current.stamp.generation, current.stamp.ballot, current.sequence)
-            if term <= known:
+            current_position = (current.stamp.generation, current.stamp.ballot, current.sequence)
+            if term <= current_position:
                 return False
         if update.base:
             if current is None or not _applies_to(update, current):
