--- a/loomwind/pipeline/routing_table.py
+++ b/loomwind/pipeline/routing_table.py
@@ -47,9 +47,9 @@
         """Apply an update; return False if it is not newer or not based on the current one."""
         current = self.update
         if current is not None:
-            term = (update.stamp.generation, update.stamp.ballot, update.sequence)
+            new_position = (update.stamp.generation, update.stamp.ballot, update.sequence)
             current_position = (current.stamp.generation, current.stamp.ballot, current.sequence)
-            if term <= current_position:
+            if new_position <= current_position:
                 return False
         if update.base:
             if current is None or not _applies_to(update, current):
