--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -75,8 +75,8 @@
 
     def record_service_time(self, target: Target, seconds: float) -> None:
         """Add the slot time of an answered request to the target's moving average."""
-        known = self._service_seconds.get(target, seconds)
-        self._service_seconds[target] = known + SERVICE_TIME_SMOOTHING * (seconds - known)
+        average = self._service_seconds.get(target, seconds)
+        self._service_seconds[target] = average + SERVICE_TIME_SMOOTHING * (seconds - average)
 
     def queue_seconds(self, target: Target, waiting: int, now: float) -> float:
         """Return the expected wait behind the waiting requests; 0 if no service time is known."""
