--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -50,14 +50,14 @@
 
     def candidates(self, target: Target, now: float) -> list[Candidate]:
         """Return the back ends that serve a target and whose circuit breaker allows a request."""
-        found = []
+        candidates = []
         for backend in self._table.backends(target):
             if self.circuit(backend.name).allows(now):
                 slots = self._table.slots(backend.name) or APPLICATION_SLOTS
                 same_zone = backend.zone == self._zone
                 running = self.running[backend.name]
-                found.append(Candidate(backend, running, slots, same_zone))
-        return found
+                candidates.append(Candidate(backend, running, slots, same_zone))
+        return candidates
 
     def has_free_slot(self, target: Target, now: float) -> bool:
         """Return whether a request for a target could be sent now."""
