--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -270,7 +270,7 @@
 
 
 @when("an order's response arrives before an older inventory")
-def step_overtaken(context: Any) -> None:
+def step_stale_inventory(context: Any) -> None:
     context.tracker = tracker_with_engine()
     order = Order(Fence(1, sequence=3), "1", Action.LOAD, LOADED, 1, 1.0)
     context.tracker.on_order_sent("e1", order)
