--- a/loomwind/control/slot_allocation.py
+++ b/loomwind/control/slot_allocation.py
@@ -35,7 +35,7 @@
     while unsatisfied and remaining > 1e-9:
         weight_sum = sum(weights[claimant] for claimant in unsatisfied)
         offer = {claimant: remaining * weights[claimant] / weight_sum for claimant in unsatisfied}
-        satisfied = {t for t in unsatisfied if allocated[t] + offer[t] >= requested[t]}
+        satisfied = {c for c in unsatisfied if allocated[c] + offer[c] >= requested[c]}
         if not satisfied:
             for claimant in unsatisfied:
                 allocated[claimant] += offer[claimant]
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -144,10 +144,10 @@
             _same(f"pending of {c}", _abstract(candidate.pending), expected.pending)
             _same(f"committed of {c}", _abstract(candidate.committed), expected.committed)
             for e in register.ENGINES:
-                _same(f"engine {e} for {c}", self._knowledge(c, e), expected.engines[e])
+                _same(f"engine {e} for {c}", self._engine_status(c, e), expected.engines[e])
                 self._check_removable(c, e, expected)
 
-    def _knowledge(self, c: int, e: int) -> str:
+    def _engine_status(self, c: int, e: int) -> str:
         record = self.trackers[c].records[engine_name(e)]
         if record.orders:
             return register.ORDERED
