--- a/loomwind/control/candidate.py
+++ b/loomwind/control/candidate.py
@@ -119,10 +119,10 @@
         self, intents: tuple[Intent, ...], fenced_engines: tuple[str, ...]
     ) -> list[Envelope]:
         """Start writing the next version, with new placements."""
-        stamp, present = self._next_version()
+        stamp, current = self._next_version()
         self._write(
             structs.replace(
-                present, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
+                current, stamp=stamp, joint=(), intents=intents, fenced_engines=fenced_engines
             )
         )
         return self.unanswered_messages()
@@ -132,10 +132,10 @@
 
         It is committed once a majority of the old set and a majority of the new set accepted it.
         """
-        stamp, present = self._next_version()
-        epoch = present.epoch + 1
+        stamp, current = self._next_version()
+        epoch = current.epoch + 1
         changed = structs.replace(
-            present, stamp=stamp, voters=voters, joint=present.voters, epoch=epoch
+            current, stamp=stamp, voters=voters, joint=current.voters, epoch=epoch
         )
         self._write(changed)
         return self.unanswered_messages()
@@ -163,7 +163,7 @@
         current = (self.generation, self.ballot)
         if self.phase is not Phase.PREPARING or (message.generation, message.ballot) != current:
             return []
-        before = self._recipients()
+        previous_recipients = self._recipients()
         self._promises[message.voter] = message.accepted
         newest = self._newest()
         if newest is None:
@@ -171,7 +171,7 @@
                 return []
             newest = RegisterValue(Stamp(self.generation), self._base_voters)
         elif not is_quorum(self._promises, newest):
-            return self.unanswered_messages() if self._recipients() != before else []
+            return self.unanswered_messages() if self._recipients() != previous_recipients else []
         self._recover(newest)
         return self.unanswered_messages()
 
