--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -128,8 +128,8 @@
 
 
 def _memory_per_share(catalog: Catalog, memory: dict[str, int], group: str) -> float:
-    known = catalog.group(group)
-    return memory.get(group, 0) / (known.share if known else 1.0)
+    definition = catalog.group(group)
+    return memory.get(group, 0) / (definition.share if definition else 1.0)
 
 
 def _load_order(state: _PlanningState) -> list[Artifact]:
