--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -26,6 +26,7 @@
 STABLE_POLL_INTERVAL_SECONDS = 30.0
 TRANSITION_POLL_INTERVAL_SECONDS = 0.1
 FAILED_POLL_INTERVAL_SECONDS = 0.5
+# Consecutive refused connections after which the engine process counts as ended.
 ENDED_AFTER_REFUSALS = 3
 
 
--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -27,6 +27,7 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
+# Assumed for replicas without recorded usage.
 DEFAULT_IDLE_SECONDS = 60.0
 DEADLINE_BUCKET_SECONDS = 2.0
 
