--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -38,12 +38,12 @@
 class ClaimResult(enum.Enum):
     """The result of asking all voters for a claim.
 
-    WON: a majority granted it.
-    CONTESTED: some voters granted the key to another claimant, which may not have a majority.
-    NO_MAJORITY: too few voters granted it, and none granted the key to another claimant.
+    GRANTED: a majority granted it.
+    CONTESTED: at least one voter has recorded another claim to the key, which may lack a majority.
+    NO_MAJORITY: too few voters granted it, and none has recorded another claim to the key.
     """
 
-    WON = enum.auto()
+    GRANTED = enum.auto()
     CONTESTED = enum.auto()
     NO_MAJORITY = enum.auto()
 
@@ -78,7 +78,7 @@
                 while True:
                     handle = ClaimHandle(key, next(self._attempts))
                     result = await self._attempt_claim(handle)
-                    if result is ClaimResult.WON:
+                    if result is ClaimResult.GRANTED:
                         return handle
                     contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
@@ -94,7 +94,7 @@
         except BaseException:
             self.release(handle)
             raise
-        if result is not ClaimResult.WON:
+        if result is not ClaimResult.GRANTED:
             self.release(handle)
         return result
 
@@ -124,14 +124,14 @@
     def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
         """Return the result of the voters' answers.
 
-        :raises ClaimTaken: a majority granted the key to another claimant, or blocked it.
+        :raises ClaimTaken: a majority of the voters recorded another claim, or blocked the key.
         :raises ClaimBarrier: a voter reports that earlier claims were lost.
         """
         verdicts = [answer.verdict for answer in answers]
         if ClaimVerdict.BARRIER in verdicts:
             raise ClaimBarrier("earlier claims were lost with a majority of the voters")
         if 2 * verdicts.count(ClaimVerdict.GRANTED) > voters:
-            return ClaimResult.WON
+            return ClaimResult.GRANTED
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -130,11 +130,11 @@
 
     def _has_active_leader(self) -> bool:
         membership = self._membership
-        silence = membership.leader_silence_seconds()
-        return membership.leader is not None and silence < self._suspect_after
+        silence_seconds = membership.leader_silence_seconds()
+        return membership.leader is not None and silence_seconds < self._suspect_after_seconds
 
     @property
-    def _suspect_after(self) -> float:
+    def _suspect_after_seconds(self) -> float:
         return self._membership.detector.suspect_after_seconds
 
     def _campaign_delay_seconds(self) -> float:
@@ -161,12 +161,12 @@
         if stored is not None:
             self._adopt(stored)
             return True
-        waited = self._membership.now - self._started_at
+        waited_seconds = self._membership.now - self._started_at
         alive = len(self._membership.alive())
         if (
             self._membership.has_seeds
             and alive < self._voter_count
-            and waited < BOOTSTRAP_WAIT_SECONDS
+            and waited_seconds < BOOTSTRAP_WAIT_SECONDS
         ):
             return False
         return await self._create_generation(1)
@@ -185,11 +185,11 @@
         alive = self._membership.alive()
         chosen = choose_voters((), alive, self._voter_count)
         members = tuple(info for info in alive if info.identity in chosen)
-        founded = Generation(number, members)
-        if not await self._generations.create(founded):
+        created = Generation(number, members)
+        if not await self._generations.create(created):
             return False
         log_state("generation", "founded", generation=number)
-        self._adopt(founded)
+        self._adopt(created)
         return True
 
     def _majority_lost(self) -> bool:
@@ -197,17 +197,17 @@
 
         Missing heartbeats alone do not prove that a process has ended.
         """
-        up_seconds = self._membership.now - self._started_at
-        if self._peer_has_newer_voters() or up_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
+        uptime_seconds = self._membership.now - self._started_at
+        if self._peer_has_newer_voters() or uptime_seconds < constants.NEW_GENERATION_AFTER_SECONDS:
             return False
         ended = {voter for voter in (*self.voters, *self._joint) if self._has_ended(voter)}
         return not self.voters or has_lost_majority(self.voters, self._joint, ended)
 
     def _peer_has_newer_voters(self) -> bool:
         """Return whether a reachable peer has a newer voter set, and so must make the decision."""
-        present = {info.identity for info in self._membership.reachable()}
+        reachable = {info.identity for info in self._membership.reachable()}
         return any(
-            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in present
+            self._peer_stamps.get(peer, self.newest_stamp) > self.newest_stamp for peer in reachable
         )
 
     def record_peer_stamp(self, peer: VoterId, stamp: Stamp) -> None:
@@ -312,7 +312,7 @@
                 self._commit_done.set_result(None)
         elif isinstance(answer, Refused):
             if answer.generation > self.generation:
-                self.generation = 0
+                self.generation = 0  # Read the generation from the table service again.
             if candidate.on_refused(answer):
                 self.step_down()
 
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -47,14 +47,14 @@
         :returns: whether the voter set changed.
         :raises RegisterUnavailable: the change may or may not be committed.
         """
-        present = self._register.committed.voters
+        current = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        target = choose_voters(present, alive + [m.info for m in suspects], self._voter_count)
-        if set(target) == set(present) or not has_live_majority(present, alive):
+        target = choose_voters(current, alive + [m.info for m in suspects], self._voter_count)
+        if set(target) == set(current) or not has_live_majority(current, alive):
             return False
         for voter in target:
-            if voter not in present and not await self._admit(voter):
+            if voter not in current and not await self._admit(voter):
                 return False
         await self._register.change_voters(target)
         return True
