--- a/loomwind/control/placement.py
+++ b/loomwind/control/placement.py
@@ -27,6 +27,7 @@
 from loomwind.engines.protocol import CheckpointTier
 from loomwind.schema import Artifact
 
+# Assumed for replicas without recorded usage.
 DEFAULT_IDLE_SECONDS = 60.0
 DEADLINE_BUCKET_SECONDS = 2.0
 
@@ -128,8 +129,8 @@
 
 
 def _memory_per_share(catalog: Catalog, memory: dict[str, int], group: str) -> float:
-    known = catalog.group(group)
-    return memory.get(group, 0) / (known.share if known else 1.0)
+    definition = catalog.group(group)
+    return memory.get(group, 0) / (definition.share if definition else 1.0)
 
 
 def _load_order(state: _PlanningState) -> list[Artifact]:
