--- a/standins/application.py
+++ b/standins/application.py
@@ -15,7 +15,7 @@
 )
 from loomwind.http.messages import Headers
 from loomwind.http.server import Exchange, HttpServer
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, decode_faults, json_response, apply_delay
 
 
 class Application:
@@ -61,7 +61,7 @@
         self.executions[key] += 1
         self._running += 1
         try:
-            await pause(self.faults, request.path)
+            await apply_delay(self.faults, request.path)
             await asyncio.sleep(self._work_seconds)
         finally:
             self._running -= 1
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -35,7 +35,7 @@
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from standins.batching import Batch
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, decode_faults, json_response, apply_delay
 from standins.replicas import Replicas
 from standins.unframed import start_unframed
 
@@ -143,7 +143,7 @@
             await self._chat(exchange, request)
             return
         if not request.path.startswith("/_"):
-            await pause(self.faults, request.path)
+            await apply_delay(self.faults, request.path)
         response = await self._control(request)
         lost = self.faults.lose_answers and request.path.startswith(self.faults.matches)
         if lost and not request.path.startswith("/_"):
@@ -246,7 +246,7 @@
         resumed: bool,
     ) -> None:
         cut = self.faults.cut_after_bytes if not resumed else 0
-        await pause(self.faults, "/v1/chat/completions")
+        await apply_delay(self.faults, "/v1/chat/completions")
         await asyncio.sleep(self._first_token_seconds)
         if self.faults.lose_answers and "/v1/chat/completions".startswith(self.faults.matches):
             exchange.abort()
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -37,7 +37,7 @@
     return msgspec.json.decode(body, type=Faults) if body else Faults()
 
 
-async def pause(faults: Faults, path: str) -> None:
+async def apply_delay(faults: Faults, path: str) -> None:
     """Wait as long as the faults say for this path."""
     if faults.delay_seconds and path.startswith(faults.matches):
         await asyncio.sleep(faults.delay_seconds)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,7 +14,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from loomwind.ports.base import Machine
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, decode_faults, json_response, apply_delay
 
 HELD_BACK_SECONDS = 0.1
 
@@ -93,7 +93,7 @@
         if self.faults.down and affected and not request.path.startswith("/_"):
             exchange.abort()
             return
-        await pause(self.faults, request.path)
+        await apply_delay(self.faults, request.path)
         response = await self._act(request)
         if self.faults.lose_answers and affected:
             exchange.abort()
