--- a/standins/application.py
+++ b/standins/application.py
@@ -43,11 +43,11 @@
             report = StatusReport(self.name, self.faults.leaving, self._running)
             response = json_response(report)
         else:
-            await self._work(exchange)
+            await self._run_request(exchange)
             return
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _work(self, exchange: Exchange) -> None:
+    async def _run_request(self, exchange: Exchange) -> None:
         request = exchange.request
         assert request is not None
         request_id = request.header(REQUEST_ID_HEADER) or ""
