--- a/standins/batching.py
+++ b/standins/batching.py
@@ -13,7 +13,7 @@
     def __init__(self, concurrency: int) -> None:
         self.concurrency = concurrency
         self.running = 0
-        self._counter = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
 
     @property
@@ -26,7 +26,7 @@
         """Wait for a place in the batch and hold it."""
         if self.running >= self.concurrency:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            heapq.heappush(self._waiting, (-priority, next(self._counter), future))
+            heapq.heappush(self._waiting, (-priority, next(self._sequence), future))
             await future
         else:
             self.running += 1
