--- a/standins/batching.py
+++ b/standins/batching.py
@@ -33,9 +33,9 @@
         try:
             yield
         finally:
-            self._pass_on()
+            self._release_slot()
 
-    def _pass_on(self) -> None:
+    def _release_slot(self) -> None:
         while self._waiting:
             _, _, future = heapq.heappop(self._waiting)
             if not future.done():
