--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -123,7 +123,7 @@
         self.fence = max(self.fence, fence)
         return self.inventory()
 
-    async def carry_out(self, order: Order) -> OrderAnswer:
+    async def execute_order(self, order: Order) -> OrderAnswer:
         """Carry out an order, or refuse it unstarted."""
         if order.instance != self.instance:
             return self._answer(OrderResult.WRONG_INSTANCE)
