--- a/standins/engine.py
+++ b/standins/engine.py
@@ -224,7 +224,7 @@
         task = asyncio.current_task()
         assert task is not None
         self._running[request_id] = task
-        self.replicas.begin(replica)
+        self.replicas.record_request_start(replica)
         try:
             async with self._batch.slot(int(request.header(PRIORITY_HEADER) or 0)):
                 await self._stream(exchange, known, headers, max(resumed, 0), resumed >= 0)
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -87,7 +87,7 @@
                 return item
         return None
 
-    def begin(self, item: Loaded) -> None:
+    def record_request_start(self, item: Loaded) -> None:
         """Count a request that starts on an artifact."""
         if item.running == 0:
             item.busy_since = time.monotonic()
