--- a/standins/engine.py
+++ b/standins/engine.py
@@ -229,7 +229,7 @@
             async with self._batch.slot(int(request.header(PRIORITY_HEADER) or 0)):
                 await self._stream(exchange, known, headers, max(resumed, 0), resumed >= 0)
         finally:
-            self.replicas.end(replica)
+            self.replicas.record_request_end(replica)
             self._running.pop(request_id, None)
 
     def _remember(self, request_id: str, generation: Generation) -> None:
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -93,7 +93,7 @@
             item.busy_since = time.monotonic()
         item.running += 1
 
-    def end(self, item: Loaded) -> None:
+    def record_request_end(self, item: Loaded) -> None:
         """Count a request that ended."""
         item.running -= 1
         if item.running == 0:
