--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -60,7 +60,7 @@
     memory_mib: int
     state: ReplicaState
     holding: Holding
-    settled: asyncio.Event
+    idle: asyncio.Event
     running: int = 0
     busy_since: float = 0.0
 
@@ -98,7 +98,7 @@
         item.running -= 1
         if item.running == 0:
             item.holding.busy_seconds += time.monotonic() - item.busy_since
-            item.settled.set()
+            item.idle.set()
 
     def inventory(self) -> Inventory:
         """Return all that is held."""
@@ -200,8 +200,8 @@
             return OrderResult.DONE
         item.state = ReplicaState.UNLOADING
         while item.running:
-            item.settled.clear()
-            await item.settled.wait()
+            item.idle.clear()
+            await item.idle.wait()
         item.holding.ended = time.monotonic()
         self._loaded.pop(artifact, None)
         return OrderResult.DONE
