--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -53,7 +53,7 @@
     peak_memory_mib: int = 0
 
 
-class Loaded(Struct):
+class LoadedArtifact(Struct):
     """One artifact in memory."""
 
     artifact: Artifact
@@ -76,24 +76,24 @@
         self._memory_mib = memory_mib
         self._concurrency = concurrency
         self._fetch = fetch
-        self._loaded: dict[Artifact, Loaded] = {}
+        self._loaded: dict[Artifact, LoadedArtifact] = {}
         self._in_memory: OrderedDict[Artifact, None] = OrderedDict()
         self._on_disk: OrderedDict[Artifact, None] = OrderedDict()
 
-    def ready(self, name: str) -> Loaded | None:
+    def ready(self, name: str) -> LoadedArtifact | None:
         """Return the ready artifact of that text form, or None."""
         for item in self._loaded.values():
             if item.state is ReplicaState.READY and str(item.artifact) == name:
                 return item
         return None
 
-    def record_request_start(self, item: Loaded) -> None:
+    def record_request_start(self, item: LoadedArtifact) -> None:
         """Count a request that starts on an artifact."""
         if item.running == 0:
             item.busy_since = time.monotonic()
         item.running += 1
 
-    def record_request_end(self, item: Loaded) -> None:
+    def record_request_end(self, item: LoadedArtifact) -> None:
         """Count a request that ended."""
         item.running -= 1
         if item.running == 0:
@@ -158,7 +158,9 @@
         self.statistics.peak_memory_mib = max(self.statistics.peak_memory_mib, used)
         holding = Holding(str(artifact), order.memory_mib, time.monotonic())
         self.statistics.holdings.append(holding)
-        item = Loaded(artifact, order.memory_mib, ReplicaState.LOADING, holding, asyncio.Event())
+        item = LoadedArtifact(
+            artifact, order.memory_mib, ReplicaState.LOADING, holding, asyncio.Event()
+        )
         self._loaded[artifact] = item
         await self._read_weights(artifact, order.load_seconds)
         item.state = ReplicaState.READY
