--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -28,7 +28,7 @@
 Fetch = Callable[[float], Awaitable[None]]
 
 
-class Holding(Struct):
+class ResidencyPeriod(Struct):
     """The time that an artifact occupied memory. Times of the machine's monotonic clock, seconds.
 
     :param busy_seconds: time during which at least one request ran on it.
@@ -45,7 +45,7 @@
 class EngineStatistics(Struct):
     """What an engine was asked to do, for tests and the bench."""
 
-    holdings: list[Holding] = []
+    holdings: list[ResidencyPeriod] = []
     orders_done: int = 0
     orders_stale: int = 0
     orders_without_memory: int = 0
@@ -59,7 +59,7 @@
     artifact: Artifact
     memory_mib: int
     state: ReplicaState
-    holding: Holding
+    holding: ResidencyPeriod
     idle: asyncio.Event
     running: int = 0
     busy_since: float = 0.0
@@ -156,7 +156,7 @@
             self.statistics.orders_without_memory += 1
             return OrderResult.NO_MEMORY
         self.statistics.peak_memory_mib = max(self.statistics.peak_memory_mib, used)
-        holding = Holding(str(artifact), order.memory_mib, time.monotonic())
+        holding = ResidencyPeriod(str(artifact), order.memory_mib, time.monotonic())
         self.statistics.holdings.append(holding)
         item = LoadedArtifact(
             artifact, order.memory_mib, ReplicaState.LOADING, holding, asyncio.Event()
