--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -59,7 +59,7 @@
     artifact: Artifact
     memory_mib: int
     state: ReplicaState
-    holding: ResidencyPeriod
+    residency: ResidencyPeriod
     idle: asyncio.Event
     running: int = 0
     busy_since: float = 0.0
@@ -97,7 +97,7 @@
         """Count a request that ended."""
         item.running -= 1
         if item.running == 0:
-            item.holding.busy_seconds += time.monotonic() - item.busy_since
+            item.residency.busy_seconds += time.monotonic() - item.busy_since
             item.idle.set()
 
     def inventory(self) -> Inventory:
@@ -156,15 +156,15 @@
             self.statistics.orders_without_memory += 1
             return OrderResult.NO_MEMORY
         self.statistics.peak_memory_mib = max(self.statistics.peak_memory_mib, used)
-        holding = ResidencyPeriod(str(artifact), order.memory_mib, time.monotonic())
-        self.statistics.holdings.append(holding)
+        residency = ResidencyPeriod(str(artifact), order.memory_mib, time.monotonic())
+        self.statistics.holdings.append(residency)
         item = LoadedArtifact(
-            artifact, order.memory_mib, ReplicaState.LOADING, holding, asyncio.Event()
+            artifact, order.memory_mib, ReplicaState.LOADING, residency, asyncio.Event()
         )
         self._loaded[artifact] = item
         await self._read_weights(artifact, order.load_seconds)
         item.state = ReplicaState.READY
-        holding.ready = time.monotonic()
+        residency.ready = time.monotonic()
         return OrderResult.DONE
 
     def _tier(self, artifact: Artifact) -> CheckpointTier:
@@ -204,6 +204,6 @@
         while item.running:
             item.idle.clear()
             await item.idle.wait()
-        item.holding.ended = time.monotonic()
+        item.residency.ended = time.monotonic()
         self._loaded.pop(artifact, None)
         return OrderResult.DONE
