--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -21,7 +21,11 @@
 )
 from loomwind.schema import Artifact
 
-LOAD_SHARE = {CheckpointTier.MEMORY: 0.05, CheckpointTier.DISK: 0.3, CheckpointTier.REMOTE: 1.0}
+LOAD_TIME_FACTORS = {
+    CheckpointTier.MEMORY: 0.05,
+    CheckpointTier.DISK: 0.3,
+    CheckpointTier.REMOTE: 1.0,
+}
 MEMORY_CHECKPOINTS = 4
 DISK_CHECKPOINTS = 12
 
@@ -179,7 +183,7 @@
         if tier is CheckpointTier.REMOTE:
             await self._fetch(load_seconds)
         else:
-            await asyncio.sleep(load_seconds * LOAD_SHARE[tier])
+            await asyncio.sleep(load_seconds * LOAD_TIME_FACTORS[tier])
         self.cache(artifact, CheckpointTier.MEMORY)
 
     def cache(self, artifact: Artifact, tier: CheckpointTier) -> None:
