--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -26,7 +26,7 @@
     CheckpointTier.DISK: 0.3,
     CheckpointTier.REMOTE: 1.0,
 }
-MEMORY_CHECKPOINTS = 4
+MAX_MEMORY_CHECKPOINTS = 4
 DISK_CHECKPOINTS = 12
 
 Fetch = Callable[[float], Awaitable[None]]
@@ -192,7 +192,7 @@
             self._on_disk.pop(artifact, None)
             self._in_memory[artifact] = None
             self._in_memory.move_to_end(artifact)
-            if len(self._in_memory) > MEMORY_CHECKPOINTS:
+            if len(self._in_memory) > MAX_MEMORY_CHECKPOINTS:
                 oldest, _ = self._in_memory.popitem(last=False)
                 self.cache(oldest, CheckpointTier.DISK)
         elif tier is CheckpointTier.DISK:
