--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -27,7 +27,7 @@
     CheckpointTier.REMOTE: 1.0,
 }
 MAX_MEMORY_CHECKPOINTS = 4
-DISK_CHECKPOINTS = 12
+MAX_DISK_CHECKPOINTS = 12
 
 Fetch = Callable[[float], Awaitable[None]]
 
@@ -197,7 +197,7 @@
                 self.cache(oldest, CheckpointTier.DISK)
         elif tier is CheckpointTier.DISK:
             self._on_disk[artifact] = None
-            if len(self._on_disk) > DISK_CHECKPOINTS:
+            if len(self._on_disk) > MAX_DISK_CHECKPOINTS:
                 self._on_disk.popitem(last=False)
 
     async def _unload(self, artifact: Artifact) -> OrderResult:
