--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -81,7 +81,7 @@
         self._concurrency = concurrency
         self._fetch = fetch
         self._loaded: dict[Artifact, LoadedArtifact] = {}
-        self._in_memory: OrderedDict[Artifact, None] = OrderedDict()
+        self._memory_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
         self._on_disk: OrderedDict[Artifact, None] = OrderedDict()
 
     def ready(self, name: str) -> LoadedArtifact | None:
@@ -110,7 +110,7 @@
             InventoryItem(item.artifact, item.state, item.memory_mib)
             for item in self._loaded.values()
         )
-        checkpoints = [CheckpointItem(a, CheckpointTier.MEMORY) for a in self._in_memory]
+        checkpoints = [CheckpointItem(a, CheckpointTier.MEMORY) for a in self._memory_checkpoints]
         checkpoints += [CheckpointItem(a, CheckpointTier.DISK) for a in self._on_disk]
         return Inventory(
             self.instance,
@@ -172,7 +172,7 @@
         return OrderResult.DONE
 
     def _tier(self, artifact: Artifact) -> CheckpointTier:
-        if artifact in self._in_memory:
+        if artifact in self._memory_checkpoints:
             return CheckpointTier.MEMORY
         if artifact in self._on_disk:
             return CheckpointTier.DISK
@@ -190,10 +190,10 @@
         """Keep an artifact's weights in a tier; the oldest fall to the next one."""
         if tier is CheckpointTier.MEMORY:
             self._on_disk.pop(artifact, None)
-            self._in_memory[artifact] = None
-            self._in_memory.move_to_end(artifact)
-            if len(self._in_memory) > MAX_MEMORY_CHECKPOINTS:
-                oldest, _ = self._in_memory.popitem(last=False)
+            self._memory_checkpoints[artifact] = None
+            self._memory_checkpoints.move_to_end(artifact)
+            if len(self._memory_checkpoints) > MAX_MEMORY_CHECKPOINTS:
+                oldest, _ = self._memory_checkpoints.popitem(last=False)
                 self.cache(oldest, CheckpointTier.DISK)
         elif tier is CheckpointTier.DISK:
             self._on_disk[artifact] = None
