--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -82,7 +82,7 @@
         self._fetch = fetch
         self._loaded: dict[Artifact, LoadedArtifact] = {}
         self._memory_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
-        self._on_disk: OrderedDict[Artifact, None] = OrderedDict()
+        self._disk_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
 
     def ready(self, name: str) -> LoadedArtifact | None:
         """Return the ready artifact of that text form, or None."""
@@ -111,7 +111,7 @@
             for item in self._loaded.values()
         )
         checkpoints = [CheckpointItem(a, CheckpointTier.MEMORY) for a in self._memory_checkpoints]
-        checkpoints += [CheckpointItem(a, CheckpointTier.DISK) for a in self._on_disk]
+        checkpoints += [CheckpointItem(a, CheckpointTier.DISK) for a in self._disk_checkpoints]
         return Inventory(
             self.instance,
             self.fence,
@@ -174,7 +174,7 @@
     def _tier(self, artifact: Artifact) -> CheckpointTier:
         if artifact in self._memory_checkpoints:
             return CheckpointTier.MEMORY
-        if artifact in self._on_disk:
+        if artifact in self._disk_checkpoints:
             return CheckpointTier.DISK
         return CheckpointTier.REMOTE
 
@@ -189,16 +189,16 @@
     def cache(self, artifact: Artifact, tier: CheckpointTier) -> None:
         """Keep an artifact's weights in a tier; the oldest fall to the next one."""
         if tier is CheckpointTier.MEMORY:
-            self._on_disk.pop(artifact, None)
+            self._disk_checkpoints.pop(artifact, None)
             self._memory_checkpoints[artifact] = None
             self._memory_checkpoints.move_to_end(artifact)
             if len(self._memory_checkpoints) > MAX_MEMORY_CHECKPOINTS:
                 oldest, _ = self._memory_checkpoints.popitem(last=False)
                 self.cache(oldest, CheckpointTier.DISK)
         elif tier is CheckpointTier.DISK:
-            self._on_disk[artifact] = None
-            if len(self._on_disk) > MAX_DISK_CHECKPOINTS:
-                self._on_disk.popitem(last=False)
+            self._disk_checkpoints[artifact] = None
+            if len(self._disk_checkpoints) > MAX_DISK_CHECKPOINTS:
+                self._disk_checkpoints.popitem(last=False)
 
     async def _unload(self, artifact: Artifact) -> OrderResult:
         item = self._loaded.get(artifact)
