--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -29,7 +29,7 @@
 MAX_MEMORY_CHECKPOINTS = 4
 MAX_DISK_CHECKPOINTS = 12
 
-Fetch = Callable[[float], Awaitable[None]]
+FetchWeights = Callable[[float], Awaitable[None]]
 
 
 class ResidencyPeriod(Struct):
@@ -72,7 +72,9 @@
 class Replicas:
     """The loaded artifacts of one life of an engine."""
 
-    def __init__(self, instance: str, memory_mib: int, concurrency: int, fetch: Fetch) -> None:
+    def __init__(
+        self, instance: str, memory_mib: int, concurrency: int, fetch: FetchWeights
+    ) -> None:
         self.instance = instance
         self.fence = Fence()
         self.leaving = False
