--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -173,7 +173,7 @@
         residency.ready = time.monotonic()
         return OrderResult.DONE
 
-    def _tier(self, artifact: Artifact) -> CheckpointTier:
+    def _tier_of(self, artifact: Artifact) -> CheckpointTier:
         if artifact in self._memory_checkpoints:
             return CheckpointTier.MEMORY
         if artifact in self._disk_checkpoints:
@@ -181,7 +181,7 @@
         return CheckpointTier.REMOTE
 
     async def _read_weights(self, artifact: Artifact, load_seconds: float) -> None:
-        tier = self._tier(artifact)
+        tier = self._tier_of(artifact)
         if tier is CheckpointTier.REMOTE:
             await self._fetch(load_seconds)
         else:
