--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -132,10 +132,10 @@
     async def execute_order(self, order: Order) -> OrderAnswer:
         """Carry out an order, or refuse it unstarted."""
         if order.instance != self.instance:
-            return self._answer(OrderResult.WRONG_INSTANCE)
+            return self._make_answer(OrderResult.WRONG_INSTANCE)
         if order.fence <= self.fence:
             self.statistics.orders_stale += 1
-            return self._answer(OrderResult.STALE)
+            return self._make_answer(OrderResult.STALE)
         self.fence = order.fence
         self.statistics.last_order_at = time.monotonic()
         if order.action is Action.LOAD:
@@ -145,9 +145,9 @@
         else:
             result = OrderResult.DONE
         self.statistics.orders_done += result is OrderResult.DONE
-        return self._answer(result)
+        return self._make_answer(result)
 
-    def _answer(self, result: OrderResult) -> OrderAnswer:
+    def _make_answer(self, result: OrderResult) -> OrderAnswer:
         return OrderAnswer(result, self.inventory())
 
     async def _load(self, order: Order) -> OrderResult:
