--- a/standins/engine.py
+++ b/standins/engine.py
@@ -207,7 +207,7 @@
         headers: Headers = ((REQUEST_ID_HEADER, echoed),)
         if self.faults.leaving:
             headers += ((STATE_HEADER, LEAVING),)
-        replica = self.replicas.ready(request.header(ARTIFACT_HEADER) or "")
+        replica = self.replicas.get_ready(request.header(ARTIFACT_HEADER) or "")
         resumed = int(request.header(RESUME_HEADER) or -1)
         known = self._known.get(request_id)
         unresumable = resumed >= 0 and (known is None or self.faults.cannot_resume)
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -86,7 +86,7 @@
         self._memory_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
         self._disk_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
 
-    def ready(self, name: str) -> LoadedArtifact | None:
+    def get_ready(self, name: str) -> LoadedArtifact | None:
         """Return the ready artifact of that text form, or None."""
         for item in self._loaded.values():
             if item.state is ReplicaState.READY and str(item.artifact) == name:
