--- a/standins/engine.py
+++ b/standins/engine.py
@@ -120,7 +120,7 @@
         self._batch = Batch(concurrency)
         self._first_token_seconds = first_token_seconds
         self._token_seconds = token_seconds
-        self._known: OrderedDict[str, Generation] = OrderedDict()
+        self._generations: OrderedDict[str, Generation] = OrderedDict()
         self._running: dict[str, asyncio.Task[Any]] = {}
         self._report = StatusReport(self.replicas.instance, False)
         self._events: list[CacheEvent] = []
@@ -209,7 +209,7 @@
             headers += ((STATE_HEADER, LEAVING),)
         replica = self.replicas.get_ready(request.header(ARTIFACT_HEADER) or "")
         resumed = int(request.header(RESUME_HEADER) or -1)
-        generation = self._known.get(request_id)
+        generation = self._generations.get(request_id)
         unresumable = resumed >= 0 and (generation is None or self.faults.cannot_resume)
         refused = self.faults.refuse or self.faults.leaving or replica is None or unresumable
         if refused or replica is None:
@@ -233,9 +233,9 @@
             self._running.pop(request_id, None)
 
     def _remember(self, request_id: str, generation: Generation) -> None:
-        self._known[request_id] = generation
-        if len(self._known) > REMEMBERED_REQUESTS:
-            self._known.popitem(last=False)
+        self._generations[request_id] = generation
+        if len(self._generations) > REMEMBERED_REQUESTS:
+            self._generations.popitem(last=False)
 
     async def _stream(
         self,
