--- a/standins/engine.py
+++ b/standins/engine.py
@@ -219,7 +219,7 @@
         if generation is None or resumed < 0:
             self.executions[request.header("idempotency-key") or request_id] += 1
             generation = generate(request_id, msgspec.json.decode(request.body, type=ChatRequest))
-            self._remember(request_id, generation)
+            self._store_generation(request_id, generation)
             self._note_prefix(request)
         task = asyncio.current_task()
         assert task is not None
@@ -232,7 +232,7 @@
             self.replicas.record_request_end(replica)
             self._running.pop(request_id, None)
 
-    def _remember(self, request_id: str, generation: Generation) -> None:
+    def _store_generation(self, request_id: str, generation: Generation) -> None:
         self._generations[request_id] = generation
         if len(self._generations) > REMEMBERED_REQUESTS:
             self._generations.popitem(last=False)
