--- a/standins/engine.py
+++ b/standins/engine.py
@@ -220,7 +220,7 @@
             self.executions[request.header("idempotency-key") or request_id] += 1
             generation = generate(request_id, msgspec.json.decode(request.body, type=ChatRequest))
             self._store_generation(request_id, generation)
-            self._note_prefix(request)
+            self._emit_cache_event(request)
         task = asyncio.current_task()
         assert task is not None
         self._running[request_id] = task
@@ -283,7 +283,7 @@
         exchange.send_raw(whole[skip_bytes : cut or len(whole)])
         exchange.abort()
 
-    def _note_prefix(self, request: HttpRequest) -> None:
+    def _emit_cache_event(self, request: HttpRequest) -> None:
         self._event_count += 1
         event = CacheEvent(self._event_count, request.body[:PREFIX_CHARACTERS].hex(), True)
         if self._random.random() >= CACHE_EVENT_LOSS:
