--- a/standins/engine.py
+++ b/standins/engine.py
@@ -43,7 +43,7 @@
 CACHE_EVENT_LAG_SECONDS = 0.5
 CACHE_EVENT_LOSS = 0.1
 PREFIX_CHARACTERS = 64
-REMEMBERED_REQUESTS = 4096
+MAX_STORED_GENERATIONS = 4096
 WEIGHT_FETCH_TIMEOUT_SECONDS = 120.0
 
 
@@ -234,7 +234,7 @@
 
     def _store_generation(self, request_id: str, generation: Generation) -> None:
         self._generations[request_id] = generation
-        if len(self._generations) > REMEMBERED_REQUESTS:
+        if len(self._generations) > MAX_STORED_GENERATIONS:
             self._generations.popitem(last=False)
 
     async def _stream(
