--- a/standins/engine.py
+++ b/standins/engine.py
@@ -42,7 +42,7 @@
 LOAD_REPORT_LAG_SECONDS = 0.3
 CACHE_EVENT_LAG_SECONDS = 0.5
 CACHE_EVENT_LOSS_RATE = 0.1
-PREFIX_CHARACTERS = 64
+PREFIX_BYTES = 64
 MAX_STORED_GENERATIONS = 4096
 WEIGHT_FETCH_TIMEOUT_SECONDS = 120.0
 
@@ -285,7 +285,7 @@
 
     def _emit_cache_event(self, request: HttpRequest) -> None:
         self._event_count += 1
-        event = CacheEvent(self._event_count, request.body[:PREFIX_CHARACTERS].hex(), True)
+        event = CacheEvent(self._event_count, request.body[:PREFIX_BYTES].hex(), True)
         if self._random.random() >= CACHE_EVENT_LOSS_RATE:
             loop = asyncio.get_running_loop()
             loop.call_later(CACHE_EVENT_LAG_SECONDS, self._events.append, event)
