--- a/standins/engine.py
+++ b/standins/engine.py
@@ -39,7 +39,7 @@
 from standins.replicas import Replicas
 from standins.unframed import start_unframed
 
-LOAD_REPORT_LAG_SECONDS = 0.3
+STATUS_LAG_SECONDS = 0.3
 CACHE_EVENT_LAG_SECONDS = 0.5
 CACHE_EVENT_LOSS_RATE = 0.1
 PREFIX_BYTES = 64
@@ -197,7 +197,7 @@
             self.replicas.instance, self.faults.leaving, self._batch.running, self._batch.waiting
         )
         loop = asyncio.get_running_loop()
-        loop.call_later(LOAD_REPORT_LAG_SECONDS, setattr, self, "_report", report)
+        loop.call_later(STATUS_LAG_SECONDS, setattr, self, "_report", report)
         if report.leaving != self._report.leaving:
             self._report = report
 
