--- a/standins/engine.py
+++ b/standins/engine.py
@@ -122,7 +122,7 @@
         self._token_seconds = token_seconds
         self._generations: OrderedDict[str, Generation] = OrderedDict()
         self._running: dict[str, asyncio.Task[Any]] = {}
-        self._report = StatusReport(self.replicas.instance, False)
+        self._published_status = StatusReport(self.replicas.instance, False)
         self._events: list[CacheEvent] = []
         self._event_count = 0
         self._random = random.Random(name)
@@ -163,7 +163,7 @@
             return json_response(await asyncio.shield(carrying))
         if path == "/v1/status":
             self._schedule_report()
-            return json_response(self._report)
+            return json_response(self._published_status)
         if path == "/v1/cache-events":
             after = int(request.target.partition("after=")[2] or 0)
             events = tuple(event for event in self._events if event.sequence > after)
@@ -198,8 +198,8 @@
         )
         loop = asyncio.get_running_loop()
         loop.call_later(STATUS_LAG_SECONDS, setattr, self, "_report", report)
-        if report.leaving != self._report.leaving:
-            self._report = report
+        if report.leaving != self._published_status.leaving:
+            self._published_status = report
 
     async def _chat(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header(REQUEST_ID_HEADER) or uuid.uuid4().hex
