--- a/standins/engine.py
+++ b/standins/engine.py
@@ -162,7 +162,7 @@
             carrying = asyncio.get_running_loop().create_task(self.replicas.execute_order(order))
             return json_response(await asyncio.shield(carrying))
         if path == "/v1/status":
-            self._schedule_report()
+            self._schedule_status()
             return json_response(self._published_status)
         if path == "/v1/cache-events":
             after = int(request.target.partition("after=")[2] or 0)
@@ -192,7 +192,7 @@
             return json_response(None)
         return HttpResponse(404)
 
-    def _schedule_report(self) -> None:
+    def _schedule_status(self) -> None:
         report = StatusReport(
             self.replicas.instance, self.faults.leaving, self._batch.running, self._batch.waiting
         )
