--- a/standins/engine.py
+++ b/standins/engine.py
@@ -123,7 +123,7 @@
         self._generations: OrderedDict[str, Generation] = OrderedDict()
         self._running: dict[str, asyncio.Task[Any]] = {}
         self._published_status = StatusReport(self.replicas.instance, False)
-        self._events: list[CacheEvent] = []
+        self._cache_events: list[CacheEvent] = []
         self._event_count = 0
         self._random = random.Random(name)
 
@@ -166,7 +166,7 @@
             return json_response(self._published_status)
         if path == "/v1/cache-events":
             after = int(request.target.partition("after=")[2] or 0)
-            events = tuple(event for event in self._events if event.sequence > after)
+            events = tuple(event for event in self._cache_events if event.sequence > after)
             return json_response(CacheEvents(events))
         if request.method == "DELETE" and path.startswith("/v1/requests/"):
             task = self._running.get(path.rpartition("/")[2])
@@ -288,7 +288,7 @@
         event = CacheEvent(self._event_count, request.body[:PREFIX_BYTES].hex(), True)
         if self._random.random() >= CACHE_EVENT_LOSS_RATE:
             loop = asyncio.get_running_loop()
-            loop.call_later(CACHE_EVENT_LAG_SECONDS, self._events.append, event)
+            loop.call_later(CACHE_EVENT_LAG_SECONDS, self._cache_events.append, event)
 
 
 async def _serve(engine: Engine, host: str, port: int) -> None:
