--- a/standins/engine.py
+++ b/standins/engine.py
@@ -124,7 +124,7 @@
         self._running: dict[str, asyncio.Task[Any]] = {}
         self._published_status = StatusReport(self.replicas.instance, False)
         self._cache_events: list[CacheEvent] = []
-        self._event_count = 0
+        self._cache_event_count = 0
         self._random = random.Random(name)
 
     async def _fetch(self, seconds: float) -> None:
@@ -284,8 +284,8 @@
         exchange.abort()
 
     def _emit_cache_event(self, request: HttpRequest) -> None:
-        self._event_count += 1
-        event = CacheEvent(self._event_count, request.body[:PREFIX_BYTES].hex(), True)
+        self._cache_event_count += 1
+        event = CacheEvent(self._cache_event_count, request.body[:PREFIX_BYTES].hex(), True)
         if self._random.random() >= CACHE_EVENT_LOSS_RATE:
             loop = asyncio.get_running_loop()
             loop.call_later(CACHE_EVENT_LAG_SECONDS, self._cache_events.append, event)
