--- a/standins/engine.py
+++ b/standins/engine.py
@@ -113,7 +113,9 @@
         self.name = name
         self.faults = Faults()
         self.executions: Counter[str] = Counter()
-        self.replicas = Replicas(uuid.uuid4().hex[:12], memory_mib, concurrency, self._fetch)
+        self.replicas = Replicas(
+            uuid.uuid4().hex[:12], memory_mib, concurrency, self._fetch_weights
+        )
         self.server = HttpServer(self._serve, ServerLimits(max_body_bytes=8 << 20))
         self._weights = weights
         self._http = HttpClient(Connector())
@@ -127,7 +129,7 @@
         self._cache_event_count = 0
         self._random = random.Random(name)
 
-    async def _fetch(self, seconds: float) -> None:
+    async def _fetch_weights(self, seconds: float) -> None:
         if not self._weights:
             await asyncio.sleep(seconds * self.faults.load_factor)
             return
