--- a/standins/engine.py
+++ b/standins/engine.py
@@ -117,7 +117,7 @@
             uuid.uuid4().hex[:12], memory_mib, concurrency, self._fetch_weights
         )
         self.server = HttpServer(self._serve, ServerLimits(max_body_bytes=8 << 20))
-        self._weights = weights
+        self._weight_store = weights
         self._http = HttpClient(Connector())
         self._batch = Batch(concurrency)
         self._first_token_seconds = first_token_seconds
@@ -130,11 +130,11 @@
         self._random = random.Random(name)
 
     async def _fetch_weights(self, seconds: float) -> None:
-        if not self._weights:
+        if not self._weight_store:
             await asyncio.sleep(seconds * self.faults.load_factor)
             return
         request = HttpRequest("POST", "/weights", (), msgspec.json.encode(seconds))
-        await self._http.request(self._weights, request, WEIGHT_FETCH_TIMEOUT_SECONDS)
+        await self._http.request(self._weight_store, request, WEIGHT_FETCH_TIMEOUT_SECONDS)
 
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
