--- a/standins/engine.py
+++ b/standins/engine.py
@@ -146,14 +146,14 @@
             return
         if not request.path.startswith("/_"):
             await apply_delay(self.faults, request.path)
-        response = await self._control(request)
+        response = await self._handle_control(request)
         lost = self.faults.lose_answers and request.path.startswith(self.faults.matches)
         if lost and not request.path.startswith("/_"):
             exchange.abort()
             return
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _control(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_control(self, request: HttpRequest) -> HttpResponse:
         path = request.path
         if path == "/v1/fence":
             fence = msgspec.json.decode(request.body, type=FenceRequest).fence
