--- a/standins/engine.py
+++ b/standins/engine.py
@@ -175,9 +175,9 @@
             if task is not None:
                 task.cancel()
             return json_response(task is not None)
-        return self._test_control(request)
+        return self._handle_test_control(request)
 
-    def _test_control(self, request: HttpRequest) -> HttpResponse:
+    def _handle_test_control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
             self.faults = decode_faults(request.body)
             self.replicas.leaving = self.faults.leaving
