--- a/standins/engine.py
+++ b/standins/engine.py
@@ -161,8 +161,8 @@
         if path == "/v1/orders":
             order = msgspec.json.decode(request.body, type=Order)
             # An order that has begun goes on when the controller that gave it goes away.
-            carrying = asyncio.get_running_loop().create_task(self.replicas.execute_order(order))
-            return json_response(await asyncio.shield(carrying))
+            execution = asyncio.get_running_loop().create_task(self.replicas.execute_order(order))
+            return json_response(await asyncio.shield(execution))
         if path == "/v1/status":
             self._schedule_status()
             return json_response(self._published_status)
