--- a/standins/engine.py
+++ b/standins/engine.py
@@ -205,8 +205,8 @@
 
     async def _chat(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header(REQUEST_ID_HEADER) or uuid.uuid4().hex
-        echoed = "someone-else" if self.faults.wrong_request_id else request_id
-        headers: Headers = ((REQUEST_ID_HEADER, echoed),)
+        echoed_id = "someone-else" if self.faults.wrong_request_id else request_id
+        headers: Headers = ((REQUEST_ID_HEADER, echoed_id),)
         if self.faults.leaving:
             headers += ((STATE_HEADER, LEAVING),)
         replica = self.replicas.get_ready(request.header(ARTIFACT_HEADER) or "")
