--- a/standins/engine.py
+++ b/standins/engine.py
@@ -147,8 +147,8 @@
         if not request.path.startswith("/_"):
             await apply_delay(self.faults, request.path)
         response = await self._handle_control(request)
-        lost = self.faults.lose_answers and request.path.startswith(self.faults.matches)
-        if lost and not request.path.startswith("/_"):
+        drops_response = self.faults.lose_answers and request.path.startswith(self.faults.matches)
+        if drops_response and not request.path.startswith("/_"):
             exchange.abort()
             return
         await exchange.respond(response.status, response.headers, response.body)
