--- a/standins/engine.py
+++ b/standins/engine.py
@@ -260,10 +260,10 @@
         await exchange.start(200, headers)
         sent = 0
         for piece in generation.pieces:
-            fresh = piece[max(0, skip_bytes - sent) :]
+            unsent = piece[max(0, skip_bytes - sent) :]
             sent += len(piece)
-            if fresh:
-                await exchange.send(fresh)
+            if unsent:
+                await exchange.send(unsent)
             if cut and sent >= cut:
                 exchange.abort()
                 return
