--- a/standins/engine.py
+++ b/standins/engine.py
@@ -280,9 +280,9 @@
         skip_bytes: int,
         cut: int,
     ) -> None:
-        whole = b"".join(generation.pieces)
+        body = b"".join(generation.pieces)
         start_unframed(exchange, headers)
-        exchange.send_raw(whole[skip_bytes : cut or len(whole)])
+        exchange.send_raw(body[skip_bytes : cut or len(body)])
         exchange.abort()
 
     def _emit_cache_event(self, request: HttpRequest) -> None:
