--- a/standins/engine.py
+++ b/standins/engine.py
@@ -247,7 +247,7 @@
         skip_bytes: int,
         resumed: bool,
     ) -> None:
-        cut = self.faults.cut_after_bytes if not resumed else 0
+        cut_after_bytes = self.faults.cut_after_bytes if not resumed else 0
         await apply_delay(self.faults, "/v1/chat/completions")
         await asyncio.sleep(self._first_token_seconds)
         if self.faults.lose_answers and "/v1/chat/completions".startswith(self.faults.matches):
@@ -255,7 +255,7 @@
             return
         headers = (*headers, ("content-type", generation.content_type))
         if self.faults.unframed:
-            await self._stream_unframed(exchange, generation, headers, skip_bytes, cut)
+            await self._stream_unframed(exchange, generation, headers, skip_bytes, cut_after_bytes)
             return
         await exchange.start(200, headers)
         sent = 0
@@ -264,7 +264,7 @@
             sent += len(piece)
             if unsent:
                 await exchange.send(unsent)
-            if cut and sent >= cut:
+            if cut_after_bytes and sent >= cut_after_bytes:
                 exchange.abort()
                 return
             pause_seconds = self.faults.token_seconds or self._token_seconds
@@ -278,11 +278,11 @@
         generation: Generation,
         headers: Headers,
         skip_bytes: int,
-        cut: int,
+        cut_after_bytes: int,
     ) -> None:
         body = b"".join(generation.pieces)
         start_unframed(exchange, headers)
-        exchange.send_raw(body[skip_bytes : cut or len(body)])
+        exchange.send_raw(body[skip_bytes : cut_after_bytes or len(body)])
         exchange.abort()
 
     def _emit_cache_event(self, request: HttpRequest) -> None:
