--- a/standins/engine.py
+++ b/standins/engine.py
@@ -210,15 +210,15 @@
         if self.faults.leaving:
             headers += ((STATE_HEADER, LEAVING),)
         replica = self.replicas.get_ready(request.header(ARTIFACT_HEADER) or "")
-        resumed = int(request.header(RESUME_HEADER) or -1)
+        resume_offset = int(request.header(RESUME_HEADER) or -1)
         generation = self._generations.get(request_id)
-        unresumable = resumed >= 0 and (generation is None or self.faults.cannot_resume)
+        unresumable = resume_offset >= 0 and (generation is None or self.faults.cannot_resume)
         refused = self.faults.refuse or self.faults.leaving or replica is None or unresumable
         if refused or replica is None:
             status = 503 if self.faults.refuse or self.faults.leaving else 409
             await exchange.respond(status, (*headers, (OUTCOME_HEADER, NOT_RUN)), b"")
             return
-        if generation is None or resumed < 0:
+        if generation is None or resume_offset < 0:
             self.executions[request.header("idempotency-key") or request_id] += 1
             generation = generate(request_id, msgspec.json.decode(request.body, type=ChatRequest))
             self._store_generation(request_id, generation)
@@ -229,7 +229,9 @@
         self.replicas.record_request_start(replica)
         try:
             async with self._batch.slot(int(request.header(PRIORITY_HEADER) or 0)):
-                await self._stream(exchange, generation, headers, max(resumed, 0), resumed >= 0)
+                await self._stream(
+                    exchange, generation, headers, max(resume_offset, 0), resume_offset >= 0
+                )
         finally:
             self.replicas.record_request_end(replica)
             self._running.pop(request_id, None)
