--- a/standins/platform.py
+++ b/standins/platform.py
@@ -16,7 +16,7 @@
 from loomwind.ports.base import Machine
 from standins.faults import Faults, decode_faults, json_response, apply_delay
 
-HELD_BACK_SECONDS = 0.1
+THROTTLE_THRESHOLD_SECONDS = 0.1
 
 
 class WeightStatistics(Struct):
@@ -52,7 +52,7 @@
         """Take as long as a fetch of ``seconds`` at full speed takes now."""
         loop = asyncio.get_running_loop()
         start = max(loop.time(), self._next_start)
-        self.statistics.held_back += start - loop.time() > HELD_BACK_SECONDS
+        self.statistics.held_back += start - loop.time() > THROTTLE_THRESHOLD_SECONDS
         self._next_start = start + self._interval
         await asyncio.sleep(start - loop.time())
         self._active += 1
