--- a/standins/platform.py
+++ b/standins/platform.py
@@ -77,7 +77,7 @@
         self._rows: dict[str, StoredRow] = {}
         self._objects: dict[str, bytes] = {}
         self._machines: tuple[Machine, ...] = ()
-        self._lag_seconds = machine_lag_seconds
+        self._machine_lag_seconds = machine_lag_seconds
         self.server = HttpServer(self._serve, ServerLimits(max_body_bytes=64 << 20))
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -116,7 +116,9 @@
             return json_response([m for m in self._machines if m.cell == cell])
         if request.path == "/_machines":
             machines = msgspec.json.decode(request.body, type=tuple[Machine, ...])
-            asyncio.get_running_loop().call_later(self._lag_seconds, self._set_machines, machines)
+            asyncio.get_running_loop().call_later(
+                self._machine_lag_seconds, self._set_machines, machines
+            )
             return json_response(machines)
         if request.path == "/weights":
             seconds = msgspec.json.decode(request.body, type=float)
