--- a/standins/platform.py
+++ b/standins/platform.py
@@ -87,7 +87,7 @@
             return
         if request.path == "/_fault":
             self.faults = decode_faults(request.body)
-            await self._answer(exchange, json_response(self.faults))
+            await self._respond(exchange, json_response(self.faults))
             return
         affected = request.path.startswith(self.faults.matches)
         if self.faults.down and affected and not request.path.startswith("/_"):
@@ -98,10 +98,10 @@
         if self.faults.lose_answers and affected:
             exchange.abort()
             return
-        await self._answer(exchange, response)
+        await self._respond(exchange, response)
 
     @staticmethod
-    async def _answer(exchange: Exchange, response: HttpResponse) -> None:
+    async def _respond(exchange: Exchange, response: HttpResponse) -> None:
         await exchange.respond(response.status, response.headers, response.body)
 
     async def _act(self, request: HttpRequest) -> HttpResponse:
