--- a/standins/platform.py
+++ b/standins/platform.py
@@ -94,7 +94,7 @@
             exchange.abort()
             return
         await apply_delay(self.faults, request.path)
-        response = await self._act(request)
+        response = await self._handle(request)
         if self.faults.lose_answers and affected:
             exchange.abort()
             return
@@ -104,7 +104,7 @@
     async def _respond(exchange: Exchange, response: HttpResponse) -> None:
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _act(self, request: HttpRequest) -> HttpResponse:
+    async def _handle(self, request: HttpRequest) -> HttpResponse:
         _, _, rest = request.target[1:].partition("/")
         name = unquote(rest)
         if request.path.startswith("/table/"):
