--- a/standins/platform.py
+++ b/standins/platform.py
@@ -108,7 +108,7 @@
         _, _, rest = request.target[1:].partition("/")
         name = unquote(rest)
         if request.path.startswith("/table/"):
-            return self._table(request, name)
+            return self._handle_table(request, name)
         if request.path.startswith("/objects/"):
             return self._object(request, name)
         if request.path == "/machines":
@@ -131,7 +131,7 @@
     def _set_machines(self, machines: tuple[Machine, ...]) -> None:
         self._machines = machines
 
-    def _table(self, request: HttpRequest, name: str) -> HttpResponse:
+    def _handle_table(self, request: HttpRequest, name: str) -> HttpResponse:
         row = self._rows.setdefault(name, StoredRow())
         if request.method == "PUT":
             if int(request.header("if-match") or 0) != row.version:
