--- a/standins/platform.py
+++ b/standins/platform.py
@@ -110,7 +110,7 @@
         if request.path.startswith("/table/"):
             return self._handle_table(request, name)
         if request.path.startswith("/objects/"):
-            return self._object(request, name)
+            return self._handle_object(request, name)
         if request.path == "/machines":
             cell = unquote(request.target.partition("cell=")[2])
             return json_response([m for m in self._machines if m.cell == cell])
@@ -140,7 +140,7 @@
             row.value = request.body
         return HttpResponse(200, (("etag", str(row.version)),), row.value)
 
-    def _object(self, request: HttpRequest, name: str) -> HttpResponse:
+    def _handle_object(self, request: HttpRequest, name: str) -> HttpResponse:
         if request.method == "PUT":
             self._objects[name] = request.body
             return HttpResponse(200)
