--- a/standins/platform.py
+++ b/standins/platform.py
@@ -48,7 +48,7 @@
         self._active = 0
         self.statistics = WeightStatistics()
 
-    async def fetch(self, seconds: float, factor: float) -> None:
+    async def fetch(self, seconds: float, time_factor: float) -> None:
         """Take as long as a fetch of ``seconds`` at full speed takes now."""
         loop = asyncio.get_running_loop()
         start = max(loop.time(), self._next_start)
@@ -61,7 +61,7 @@
         try:
             slowdown = max(1.0, self._active / self._parallel)
             self.statistics.busy_seconds += seconds
-            await asyncio.sleep(seconds * slowdown * factor)
+            await asyncio.sleep(seconds * slowdown * time_factor)
         finally:
             self._active -= 1
 
