--- a/standins/platform.py
+++ b/standins/platform.py
@@ -44,16 +44,16 @@
     def __init__(self, rate: float, parallel: int) -> None:
         self._interval = 1.0 / rate
         self._parallel = parallel
-        self._next_start = 0.0
+        self._next_start_at = 0.0
         self._active = 0
         self.statistics = WeightStatistics()
 
     async def fetch(self, seconds: float, time_factor: float) -> None:
         """Take as long as a fetch of ``seconds`` at full speed takes now."""
         loop = asyncio.get_running_loop()
-        start = max(loop.time(), self._next_start)
+        start = max(loop.time(), self._next_start_at)
         self.statistics.held_back += start - loop.time() > THROTTLE_THRESHOLD_SECONDS
-        self._next_start = start + self._interval
+        self._next_start_at = start + self._interval
         await asyncio.sleep(start - loop.time())
         self._active += 1
         self.statistics.fetches += 1
