--- a/standins/link.py
+++ b/standins/link.py
@@ -11,7 +11,7 @@
 
 import fire
 
-BACKLOG = 100
+LISTEN_BACKLOG = 100
 # With a backlog of none, the kernel drops the opening packet once so many connections wait.
 FILLING_CONNECTIONS = 4
 
@@ -69,7 +69,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(address)
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
         return listener
 
     def _start_accepting(self) -> None:
@@ -97,7 +97,7 @@
         if state is LinkState.PARTITION:
             self._fill()
         else:
-            self._listener.listen(BACKLOG)
+            self._listener.listen(LISTEN_BACKLOG)
             self._start_accepting()
 
     async def _stop_accepting(self) -> None:
