--- a/standins/link.py
+++ b/standins/link.py
@@ -13,7 +13,7 @@
 
 LISTEN_BACKLOG = 100
 # With a backlog of none, the kernel drops the opening packet once so many connections wait.
-FILLING_CONNECTIONS = 4
+BACKLOG_FILL_CONNECTIONS = 4
 
 
 class LinkState(enum.Enum):
@@ -112,7 +112,7 @@
     def _fill(self) -> None:
         """Take all room for connections that wait to be accepted, so that further ones hang."""
         self._listener.listen(0)
-        for _ in range(FILLING_CONNECTIONS):
+        for _ in range(BACKLOG_FILL_CONNECTIONS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
