--- a/standins/link.py
+++ b/standins/link.py
@@ -57,7 +57,7 @@
         self._state = LinkState.OPEN
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._fillers: list[socket.socket] = []
+        self._backlog_sockets: list[socket.socket] = []
         self._accepting: asyncio.Task[None] | None = None
         self._listener = self._listen((host, 0))
         self.address: tuple[str, int] = self._listener.getsockname()
@@ -105,9 +105,9 @@
             self._accepting.cancel()
             await asyncio.wait([self._accepting])
             self._accepting = None
-        for filler in self._fillers:
+        for filler in self._backlog_sockets:
             filler.close()
-        self._fillers.clear()
+        self._backlog_sockets.clear()
 
     def _fill(self) -> None:
         """Take all room for connections that wait to be accepted, so that further ones hang."""
@@ -116,7 +116,7 @@
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
-            self._fillers.append(filler)
+            self._backlog_sockets.append(filler)
 
     async def _carry(self, raw: socket.socket) -> None:
         """Forward one connection both ways."""
