--- a/standins/link.py
+++ b/standins/link.py
@@ -105,18 +105,18 @@
             self._accepting.cancel()
             await asyncio.wait([self._accepting])
             self._accepting = None
-        for filler in self._backlog_sockets:
-            filler.close()
+        for backlog_socket in self._backlog_sockets:
+            backlog_socket.close()
         self._backlog_sockets.clear()
 
     def _fill(self) -> None:
         """Take all room for connections that wait to be accepted, so that further ones hang."""
         self._listener.listen(0)
         for _ in range(BACKLOG_FILL_CONNECTIONS):
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex(self.address)
-            self._backlog_sockets.append(filler)
+            backlog_socket = socket.socket()
+            backlog_socket.setblocking(False)
+            backlog_socket.connect_ex(self.address)
+            self._backlog_sockets.append(backlog_socket)
 
     async def _carry(self, raw: socket.socket) -> None:
         """Forward one connection both ways."""
