--- a/standins/link.py
+++ b/standins/link.py
@@ -95,7 +95,7 @@
         if self._listener.fileno() < 0:
             self._listener = self._listen(self.address)
         if state is LinkState.PARTITION:
-            self._fill()
+            self._fill_backlog()
         else:
             self._listener.listen(LISTEN_BACKLOG)
             self._start_accepting()
@@ -109,7 +109,7 @@
             backlog_socket.close()
         self._backlog_sockets.clear()
 
-    def _fill(self) -> None:
+    def _fill_backlog(self) -> None:
         """Take all room for connections that wait to be accepted, so that further ones hang."""
         self._listener.listen(0)
         for _ in range(BACKLOG_FILL_CONNECTIONS):
