--- a/standins/link.py
+++ b/standins/link.py
@@ -125,20 +125,20 @@
             writer.transport.abort()
             return
         try:
-            onward_reader, onward = await asyncio.open_connection(*self._target_address)
+            onward_reader, target_writer = await asyncio.open_connection(*self._target_address)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, onward}
+        self._writers |= {writer, target_writer}
         tasks = [
-            asyncio.create_task(self._forward(reader, onward)),
+            asyncio.create_task(self._forward(reader, target_writer)),
             asyncio.create_task(self._forward(onward_reader, writer)),
         ]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             task.cancel()
-        self._writers -= {writer, onward}
-        onward.transport.abort()
+        self._writers -= {writer, target_writer}
+        target_writer.transport.abort()
         writer.transport.abort()
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
