--- a/standins/link.py
+++ b/standins/link.py
@@ -125,14 +125,14 @@
             writer.transport.abort()
             return
         try:
-            onward_reader, target_writer = await asyncio.open_connection(*self._target_address)
+            target_reader, target_writer = await asyncio.open_connection(*self._target_address)
         except OSError:
             writer.transport.abort()
             return
         self._writers |= {writer, target_writer}
         tasks = [
             asyncio.create_task(self._forward(reader, target_writer)),
-            asyncio.create_task(self._forward(onward_reader, writer)),
+            asyncio.create_task(self._forward(target_reader, writer)),
         ]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
