--- a/standins/link.py
+++ b/standins/link.py
@@ -77,8 +77,8 @@
 
     async def _accept_all(self) -> None:
         while True:
-            raw, _ = await asyncio.get_running_loop().sock_accept(self._listener)
-            task = asyncio.get_running_loop().create_task(self._forward_connection(raw))
+            client_socket, _ = await asyncio.get_running_loop().sock_accept(self._listener)
+            task = asyncio.get_running_loop().create_task(self._forward_connection(client_socket))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -118,9 +118,9 @@
             backlog_socket.connect_ex(self.address)
             self._backlog_sockets.append(backlog_socket)
 
-    async def _forward_connection(self, raw: socket.socket) -> None:
+    async def _forward_connection(self, client_socket: socket.socket) -> None:
         """Forward one connection both ways."""
-        reader, writer = await asyncio.open_connection(sock=raw)
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         if self._state is LinkState.CUT:
             writer.transport.abort()
             return
