--- a/standins/link.py
+++ b/standins/link.py
@@ -73,9 +73,9 @@
         return listener
 
     def _start_accepting(self) -> None:
-        self._accepting = asyncio.get_running_loop().create_task(self._accept_all())
+        self._accepting = asyncio.get_running_loop().create_task(self._accept_connections())
 
-    async def _accept_all(self) -> None:
+    async def _accept_connections(self) -> None:
         while True:
             client_socket, _ = await asyncio.get_running_loop().sock_accept(self._listener)
             task = asyncio.get_running_loop().create_task(self._forward_connection(client_socket))
