--- a/standins/link.py
+++ b/standins/link.py
@@ -58,7 +58,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._backlog_sockets: list[socket.socket] = []
-        self._accepting: asyncio.Task[None] | None = None
+        self._accept_task: asyncio.Task[None] | None = None
         self._listener = self._listen((host, 0))
         self.address: tuple[str, int] = self._listener.getsockname()
         self._start_accepting()
@@ -73,7 +73,7 @@
         return listener
 
     def _start_accepting(self) -> None:
-        self._accepting = asyncio.get_running_loop().create_task(self._accept_connections())
+        self._accept_task = asyncio.get_running_loop().create_task(self._accept_connections())
 
     async def _accept_connections(self) -> None:
         while True:
@@ -101,10 +101,10 @@
             self._start_accepting()
 
     async def _stop_accepting(self) -> None:
-        if self._accepting is not None:
-            self._accepting.cancel()
-            await asyncio.wait([self._accepting])
-            self._accepting = None
+        if self._accept_task is not None:
+            self._accept_task.cancel()
+            await asyncio.wait([self._accept_task])
+            self._accept_task = None
         for backlog_socket in self._backlog_sockets:
             backlog_socket.close()
         self._backlog_sockets.clear()
