--- a/standins/link.py
+++ b/standins/link.py
@@ -32,7 +32,7 @@
     PARTITION = "partition"
 
     @property
-    def passes_bytes(self) -> bool:
+    def forwards_bytes(self) -> bool:
         """Whether bytes of connections that are open arrive."""
         return self in (LinkState.OPEN, LinkState.REFUSE_NEW)
 
@@ -144,7 +144,7 @@
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while data := await reader.read(65536):
-                if self._state.passes_bytes:
+                if self._state.forwards_bytes:
                     writer.write(data)
                     await writer.drain()
         except OSError:
