--- a/standins/link.py
+++ b/standins/link.py
@@ -37,7 +37,7 @@
         return self in (LinkState.OPEN, LinkState.REFUSE_NEW)
 
     @property
-    def breaks_open(self) -> bool:
+    def aborts_open_connections(self) -> bool:
         """Whether connections that are open are broken."""
         return self in (LinkState.CUT, LinkState.RESET)
 
@@ -86,7 +86,7 @@
         """Change what the link does."""
         await self._stop_accepting()
         self._state = state
-        if state.breaks_open:
+        if state.aborts_open_connections:
             for writer in list(self._writers):
                 writer.transport.abort()
         if state.refuses:
