--- a/standins/link.py
+++ b/standins/link.py
@@ -42,7 +42,7 @@
         return self in (LinkState.CUT, LinkState.RESET)
 
     @property
-    def refuses(self) -> bool:
+    def refuses_new_connections(self) -> bool:
         """Whether nothing listens."""
         return self in (LinkState.RESET, LinkState.REFUSE_NEW)
 
@@ -89,7 +89,7 @@
         if state.aborts_open_connections:
             for writer in list(self._writers):
                 writer.transport.abort()
-        if state.refuses:
+        if state.refuses_new_connections:
             self._listener.close()
             return
         if self._listener.fileno() < 0:
