--- a/standins/link.py
+++ b/standins/link.py
@@ -182,8 +182,8 @@
 
     :param targets: ``host:port`` of each link's target, with commas between.
     """
-    listed = targets.split(",") if isinstance(targets, str) else list(targets)
-    asyncio.run(_serve(listed, host))
+    target_list = targets.split(",") if isinstance(targets, str) else list(targets)
+    asyncio.run(_serve(target_list, host))
 
 
 if __name__ == "__main__":
