--- a/standins/engine.py
+++ b/standins/engine.py
@@ -37,7 +37,7 @@
 from standins.batching import Batch
 from standins.faults import Faults, decode_faults, json_response, apply_delay
 from standins.replicas import Replicas
-from standins.unframed import start_unframed
+from standins.unframed import start_close_delimited
 
 STATUS_LAG_SECONDS = 0.3
 CACHE_EVENT_LAG_SECONDS = 0.5
@@ -283,7 +283,7 @@
         cut_after_bytes: int,
     ) -> None:
         body = b"".join(generation.pieces)
-        start_unframed(exchange, headers)
+        start_close_delimited(exchange, headers)
         exchange.send_raw(body[skip_bytes : cut_after_bytes or len(body)])
         exchange.abort()
 
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -22,7 +22,7 @@
 from loomwind.http.server import Exchange, HttpServer
 from standins.faults import json_response
 from standins.pool.holdings import Holdings, ModelSize, OrderBody
-from standins.unframed import start_unframed
+from standins.unframed import start_close_delimited
 
 HEARTBEAT_SECONDS = 0.2
 EVENT_SECONDS = 0.01
@@ -250,7 +250,7 @@
             await asyncio.sleep(self.faults.work_seconds)
             body = f"{request.method} {request.target} ".encode() + request.body
             if self.faults.unframed:
-                start_unframed(exchange, headers, self.faults.http_version)
+                start_close_delimited(exchange, headers, self.faults.http_version)
                 exchange.send_raw(body)
                 exchange.abort()
             else:
@@ -310,7 +310,7 @@
         self, exchange: Exchange, headers: Headers, numbers: Iterable[int]
     ) -> None:
         """Send events whose end is told by the connection's end alone."""
-        start_unframed(exchange, headers, self.faults.http_version)
+        start_close_delimited(exchange, headers, self.faults.http_version)
         for sent, number in enumerate(numbers):
             await asyncio.sleep(self.faults.event_seconds)
             event = _event(number)
--- a/standins/unframed.py
+++ b/standins/unframed.py
@@ -4,7 +4,7 @@
 from loomwind.http.server import Exchange
 
 
-def start_unframed(exchange: Exchange, headers: Headers, version: str = "1.1") -> None:
+def start_close_delimited(exchange: Exchange, headers: Headers, version: str = "1.1") -> None:
     """Send the head of a success past h11, which would announce chunks.
 
     :param version: of HTTP, in the answer's first line.
