--- a/standins/application.py
+++ b/standins/application.py
@@ -15,7 +15,7 @@
 )
 from loomwind.http.messages import Headers
 from loomwind.http.server import Exchange, HttpServer
-from standins.faults import Faults, decode_faults, json_response, apply_delay
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 
 
 class Application:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -35,9 +35,9 @@
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from standins.batching import Batch
-from standins.faults import Faults, decode_faults, json_response, apply_delay
+from standins.close_delimited import start_close_delimited
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 from standins.replicas import Replicas
-from standins.unframed import start_close_delimited
 
 STATUS_LAG_SECONDS = 0.3
 CACHE_EVENT_LAG_SECONDS = 0.5
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,7 +14,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from loomwind.ports.base import Machine
-from standins.faults import Faults, decode_faults, json_response, apply_delay
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 
 THROTTLE_THRESHOLD_SECONDS = 0.1
 
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -20,9 +20,9 @@
 from loomwind.http.errors import HttpError
 from loomwind.http.messages import Headers, HttpRequest
 from loomwind.http.server import Exchange, HttpServer
+from standins.close_delimited import start_close_delimited
 from standins.faults import json_response
 from standins.pool.holdings import Holdings, ModelSize, OrderBody
-from standins.unframed import start_close_delimited
 
 HEARTBEAT_SECONDS = 0.2
 EVENT_SECONDS = 0.01
