--- a/standins/engine.py
+++ b/standins/engine.py
@@ -257,7 +257,9 @@
             return
         headers = (*headers, ("content-type", generation.content_type))
         if self.faults.unframed:
-            await self._stream_unframed(exchange, generation, headers, skip_bytes, cut_after_bytes)
+            await self._stream_close_delimited(
+                exchange, generation, headers, skip_bytes, cut_after_bytes
+            )
             return
         await exchange.start(200, headers)
         sent = 0
@@ -274,7 +276,7 @@
                 await asyncio.sleep(pause_seconds)
         await exchange.finish()
 
-    async def _stream_unframed(
+    async def _stream_close_delimited(
         self,
         exchange: Exchange,
         generation: Generation,
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -263,7 +263,7 @@
         last = int((request.header("x-token-usage") or "1,1").split(",")[1])
         headers = (*headers, ("content-type", "text/event-stream"))
         if self.faults.unframed:
-            await self._stream_unframed(exchange, headers, range(first, last + 1))
+            await self._stream_close_delimited(exchange, headers, range(first, last + 1))
             return
         await exchange.start(200, headers)
         crashes = self._has_crash_part(request)
@@ -306,7 +306,7 @@
         self.born_ms = time.time_ns() // 1_000_000
         await self.server.start("127.0.0.1", port)
 
-    async def _stream_unframed(
+    async def _stream_close_delimited(
         self, exchange: Exchange, headers: Headers, numbers: Iterable[int]
     ) -> None:
         """Send events whose end is told by the connection's end alone."""
