--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 
-class ModelSize(Struct, rename="kebab"):
+class ModelSpec(Struct, rename="kebab"):
     """A model as the configuration gives it."""
 
     name: str
@@ -42,7 +42,7 @@
 class Holdings:
     """Models, adapters, revision and fence of one life of a server."""
 
-    def __init__(self, sizes: list[ModelSize], memory_mb: float, adapter_slots: int) -> None:
+    def __init__(self, sizes: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
         self._sizes = {size.name: size for size in sizes}
         self._memory_mb = memory_mb
         self._adapter_slots = adapter_slots
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -22,7 +22,7 @@
 from loomwind.http.server import Exchange, HttpServer
 from standins.close_delimited import start_close_delimited
 from standins.faults import json_response
-from standins.pool.holdings import Holdings, ModelSize, OrderBody
+from standins.pool.holdings import Holdings, ModelSpec, OrderBody
 
 HEARTBEAT_SECONDS = 0.2
 EVENT_SECONDS = 0.01
@@ -367,7 +367,7 @@
     holdings = None
     if models:
         with open(models, "rb") as file:
-            sizes = msgspec.json.decode(file.read(), type=list[ModelSize])
+            sizes = msgspec.json.decode(file.read(), type=list[ModelSpec])
         holdings = Holdings(sizes, memory_mb, adapter_slots)
     server = PoolServer(service, zone, store, holdings, instance)
     asyncio.run(_serve(server, held, host, port))
