--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -31,7 +31,7 @@
     expect_revision: int | None = None
 
 
-class Work(Struct):
+class WeightOperation(Struct):
     """An order for weights that is being carried out."""
 
     op: str
@@ -50,7 +50,7 @@
         self.on_disk: set[str] = set()
         self.revision = 0
         self.fence = 0
-        self.work: Work | None = None
+        self.work: WeightOperation | None = None
         self.running: Counter[str] = Counter()
         self.violations: list[str] = []
         self.store_loads = 0
@@ -99,7 +99,7 @@
     def _weights(self, body: OrderBody, now: float) -> int:
         size = self._sizes[body.model]
         if body.op == "unload" and self.running[body.model]:
-            self.work = Work("unload", body.model, now)
+            self.work = WeightOperation("unload", body.model, now)
             return 202
         if body.op == "unload":
             self.held.pop(body.model, None)
@@ -109,7 +109,7 @@
         from_disk = body.model in self.on_disk
         self.store_loads += not from_disk
         seconds = size.disk_load_s if from_disk else size.load_time_s
-        self.work = Work("load", body.model, now + seconds)
+        self.work = WeightOperation("load", body.model, now + seconds)
         return 202
 
     def _adapter(self, body: OrderBody) -> int:
