--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -50,28 +50,28 @@
         self.on_disk: set[str] = set()
         self.revision = 0
         self.fence = 0
-        self.work: WeightOperation | None = None
+        self.operation: WeightOperation | None = None
         self.running: Counter[str] = Counter()
         self.violations: list[str] = []
         self.store_loads = 0
 
     def settle(self, now: float) -> None:
         """Finish work that is done by now."""
-        work = self.work
-        if work is None or now < work.done_at:
+        operation = self.operation
+        if operation is None or now < operation.done_at:
             return
-        if work.op == "unload" and self.running[work.model]:
+        if operation.op == "unload" and self.running[operation.model]:
             return
-        self.work = None
-        if work.op == "load":
-            self.held.setdefault(work.model, [])
-            self.on_disk.add(work.model)
+        self.operation = None
+        if operation.op == "load":
+            self.held.setdefault(operation.model, [])
+            self.on_disk.add(operation.model)
         else:
-            self.held.pop(work.model, None)
+            self.held.pop(operation.model, None)
 
     def used_mb(self) -> float:
         """Return the memory that is taken, a load under way included."""
-        names = set(self.held) | ({self.work.model} if self.work else set())
+        names = set(self.held) | ({self.operation.model} if self.operation else set())
         weights = sum(self._sizes[name].weights_mb for name in names)
         return weights + sum(self._sizes[n].adapter_mb * len(a) for n, a in self.held.items())
 
@@ -82,7 +82,7 @@
             return 400
         if body.fencing_token < self.fence:
             return 412
-        if self.work is not None:
+        if self.operation is not None:
             return 409
         if body.expect_revision is not None and body.expect_revision != self.revision:
             return 409
@@ -99,7 +99,7 @@
     def _weights(self, body: OrderBody, now: float) -> int:
         size = self._sizes[body.model]
         if body.op == "unload" and self.running[body.model]:
-            self.work = WeightOperation("unload", body.model, now)
+            self.operation = WeightOperation("unload", body.model, now)
             return 202
         if body.op == "unload":
             self.held.pop(body.model, None)
@@ -109,7 +109,7 @@
         from_disk = body.model in self.on_disk
         self.store_loads += not from_disk
         seconds = size.disk_load_s if from_disk else size.load_time_s
-        self.work = WeightOperation("load", body.model, now + seconds)
+        self.operation = WeightOperation("load", body.model, now + seconds)
         return 202
 
     def _adapter(self, body: OrderBody) -> int:
@@ -126,7 +126,11 @@
 
     def is_leaving(self, model: str) -> bool:
         """Whether a model is being unloaded once its runs are over."""
-        return self.work is not None and self.work.op == "unload" and self.work.model == model
+        return (
+            self.operation is not None
+            and self.operation.op == "unload"
+            and self.operation.model == model
+        )
 
     def has(self, model: str, adapter: str) -> bool:
         """Whether a request for a model or an adapter can run."""
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -173,7 +173,7 @@
             "stage": "both",
             "born": self.born_ms,
             "models": models,
-            "busy": bool(holdings and holdings.work),
+            "busy": bool(holdings and holdings.operation),
             "seq": holdings.revision if holdings else 0,
             "waiting": 0,
             "running": 0,
