--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -55,7 +55,7 @@
         self.violations: list[str] = []
         self.store_loads = 0
 
-    def settle(self, now: float) -> None:
+    def complete_due_operation(self, now: float) -> None:
         """Finish work that is done by now."""
         operation = self.operation
         if operation is None or now < operation.done_at:
@@ -77,7 +77,7 @@
 
     def order(self, body: OrderBody, now: float) -> int:
         """Take an order in; returns the HTTP status of its answer."""
-        self.settle(now)
+        self.complete_due_operation(now)
         if not body.holder or body.fencing_token is None or body.model not in self._sizes:
             return 400
         if body.fencing_token < self.fence:
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -123,7 +123,7 @@
     def _models(self) -> list[dict[str, object]]:
         if self.holdings is None:
             return []
-        self.holdings.settle(self._now())
+        self.holdings.complete_due_operation(self._now())
         held = self.holdings.held
         return [{"name": n, "version": 1, "adapters": adapters} for n, adapters in held.items()]
 
@@ -230,7 +230,7 @@
         model, _, adapter = (request.header("x-model") or "").partition("/")
         if self.holdings is None or not model:
             return 0
-        self.holdings.settle(self._now())
+        self.holdings.complete_due_operation(self._now())
         if self.holdings.is_leaving(model):
             return 503
         return 0 if self.holdings.has(model, adapter) else 421
