--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -75,7 +75,7 @@
         weights = sum(self._sizes[name].weights_mb for name in names)
         return weights + sum(self._sizes[n].adapter_mb * len(a) for n, a in self.held.items())
 
-    def order(self, body: OrderBody, now: float) -> int:
+    def apply_order(self, body: OrderBody, now: float) -> int:
         """Take an order in; returns the HTTP status of its answer."""
         self.complete_due_operation(now)
         if not body.holder or body.fencing_token is None or body.model not in self._sizes:
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -193,13 +193,13 @@
             task.add_done_callback(self._late.discard)
             exchange.abort()
         else:
-            status = self.holdings.order(body, self._now())
+            status = self.holdings.apply_order(body, self._now())
             await exchange.respond(status, (), b"")
 
     async def _order_late(self, body: OrderBody) -> None:
         await asyncio.sleep(self.faults.late_order_seconds)
         if self.holdings is not None:
-            self.holdings.order(body, self._now())
+            self.holdings.apply_order(body, self._now())
 
     async def _run(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header("x-request-id") or ""
