--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -87,7 +87,7 @@
         if body.expect_revision is not None and body.expect_revision != self.revision:
             return 409
         self.fence = body.fencing_token
-        status = self._adapter(body) if body.adapter else self._weights(body, now)
+        status = self._adapter(body) if body.adapter else self._apply_weight_order(body, now)
         if status in (200, 202):
             self.revision += 1
         if self.used_mb() > self._memory_mb:
@@ -96,7 +96,7 @@
             self.violations.append(f"adapters: {self.held}")
         return status
 
-    def _weights(self, body: OrderBody, now: float) -> int:
+    def _apply_weight_order(self, body: OrderBody, now: float) -> int:
         size = self._sizes[body.model]
         if body.op == "unload" and self.running[body.model]:
             self.operation = WeightOperation("unload", body.model, now)
