--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -87,7 +87,9 @@
         if body.expect_revision is not None and body.expect_revision != self.revision:
             return 409
         self.fence = body.fencing_token
-        status = self._adapter(body) if body.adapter else self._apply_weight_order(body, now)
+        status = (
+            self._apply_adapter_order(body) if body.adapter else self._apply_weight_order(body, now)
+        )
         if status in (200, 202):
             self.revision += 1
         if self.used_mb() > self._memory_mb:
@@ -112,7 +114,7 @@
         self.operation = WeightOperation("load", body.model, now + seconds)
         return 202
 
-    def _adapter(self, body: OrderBody) -> int:
+    def _apply_adapter_order(self, body: OrderBody) -> int:
         adapters = self.held.get(body.model)
         if adapters is None:
             return 400
