--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -126,7 +126,7 @@
             adapters.append(body.adapter)
         return 202
 
-    def is_leaving(self, model: str) -> bool:
+    def is_unloading(self, model: str) -> bool:
         """Whether a model is being unloaded once its runs are over."""
         return (
             self.operation is not None
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -231,7 +231,7 @@
         if self.holdings is None or not model:
             return 0
         self.holdings.complete_due_operation(self._now())
-        if self.holdings.is_leaving(model):
+        if self.holdings.is_unloading(model):
             return 503
         return 0 if self.holdings.has(model, adapter) else 421
 
