--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -134,6 +134,6 @@
             and self.operation.model == model
         )
 
-    def has(self, model: str, adapter: str) -> bool:
+    def can_run(self, model: str, adapter: str) -> bool:
         """Whether a request for a model or an adapter can run."""
         return model in self.held and (not adapter or adapter in self.held[model])
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -233,7 +233,7 @@
         self.holdings.complete_due_operation(self._now())
         if self.holdings.is_unloading(model):
             return 503
-        return 0 if self.holdings.has(model, adapter) else 421
+        return 0 if self.holdings.can_run(model, adapter) else 421
 
     async def _answer(self, exchange: Exchange, request: HttpRequest, headers: Headers) -> None:
         if self.faults.mode == "mute":
