--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -43,7 +43,7 @@
     """Models, adapters, revision and fence of one life of a server."""
 
     def __init__(self, sizes: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
-        self._sizes = {size.name: size for size in sizes}
+        self._specs = {size.name: size for size in sizes}
         self._memory_mb = memory_mb
         self._adapter_slots = adapter_slots
         self.held: dict[str, list[str]] = {}
@@ -72,13 +72,13 @@
     def used_mb(self) -> float:
         """Return the memory that is taken, a load under way included."""
         names = set(self.held) | ({self.operation.model} if self.operation else set())
-        weights = sum(self._sizes[name].weights_mb for name in names)
-        return weights + sum(self._sizes[n].adapter_mb * len(a) for n, a in self.held.items())
+        weights = sum(self._specs[name].weights_mb for name in names)
+        return weights + sum(self._specs[n].adapter_mb * len(a) for n, a in self.held.items())
 
     def apply_order(self, body: OrderBody, now: float) -> int:
         """Take an order in; returns the HTTP status of its answer."""
         self.complete_due_operation(now)
-        if not body.holder or body.fencing_token is None or body.model not in self._sizes:
+        if not body.holder or body.fencing_token is None or body.model not in self._specs:
             return 400
         if body.fencing_token < self.fence:
             return 412
@@ -99,7 +99,7 @@
         return status
 
     def _apply_weight_order(self, body: OrderBody, now: float) -> int:
-        size = self._sizes[body.model]
+        size = self._specs[body.model]
         if body.op == "unload" and self.running[body.model]:
             self.operation = WeightOperation("unload", body.model, now)
             return 202
