--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -42,8 +42,8 @@
 class Holdings:
     """Models, adapters, revision and fence of one life of a server."""
 
-    def __init__(self, sizes: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
-        self._specs = {size.name: size for size in sizes}
+    def __init__(self, specs: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
+        self._specs = {size.name: size for size in specs}
         self._memory_mb = memory_mb
         self._adapter_slots = adapter_slots
         self.held: dict[str, list[str]] = {}
--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -367,8 +367,8 @@
     holdings = None
     if models:
         with open(models, "rb") as file:
-            sizes = msgspec.json.decode(file.read(), type=list[ModelSpec])
-        holdings = Holdings(sizes, memory_mb, adapter_slots)
+            specs = msgspec.json.decode(file.read(), type=list[ModelSpec])
+        holdings = Holdings(specs, memory_mb, adapter_slots)
     server = PoolServer(service, zone, store, holdings, instance)
     asyncio.run(_serve(server, held, host, port))
 
