--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -43,7 +43,7 @@
     """Models, adapters, revision and fence of one life of a server."""
 
     def __init__(self, specs: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
-        self._specs = {size.name: size for size in specs}
+        self._specs = {spec.name: spec for spec in specs}
         self._memory_mb = memory_mb
         self._adapter_slots = adapter_slots
         self.held: dict[str, list[str]] = {}
@@ -99,7 +99,7 @@
         return status
 
     def _apply_weight_order(self, body: OrderBody, now: float) -> int:
-        size = self._specs[body.model]
+        spec = self._specs[body.model]
         if body.op == "unload" and self.running[body.model]:
             self.operation = WeightOperation("unload", body.model, now)
             return 202
@@ -110,7 +110,7 @@
             return 200
         from_disk = body.model in self.on_disk
         self.store_loads += not from_disk
-        seconds = size.disk_load_s if from_disk else size.load_time_s
+        seconds = spec.disk_load_s if from_disk else spec.load_time_s
         self.operation = WeightOperation("load", body.model, now + seconds)
         return 202
 
