--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-Key = tuple[str, str]
+RowKey = tuple[str, str]
 
 
 class Row(Struct, frozen=True):
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         self.version = 0
-        self._rows: dict[Key, Row] = {}
+        self._rows: dict[RowKey, Row] = {}
         self._history: list[Row] = []
         self._forgotten = 0
 
