--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -50,7 +50,7 @@
     remove: list[Removal] = []
 
 
-class Rows:
+class RowStore:
     """The store's contents."""
 
     def __init__(self) -> None:
--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -14,7 +14,7 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer
 from standins.faults import json_response
-from standins.pool.rows import Row, Rows, Transaction
+from standins.pool.rows import Row, RowStore, Transaction
 
 FEED_POLL_SECONDS = 0.005
 
@@ -49,7 +49,7 @@
     """A linearizable store with faults."""
 
     def __init__(self) -> None:
-        self.rows = Rows()
+        self.rows = RowStore()
         self.faults = StoreFaults()
         self.server = HttpServer(self._serve)
         self._stale: dict[str, RowsAnswer] = {}
