--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -57,7 +57,7 @@
         self.version = 0
         self._rows: dict[RowKey, Row] = {}
         self._history: list[Row] = []
-        self._forgotten = 0
+        self._discarded_version = 0
 
     def apply(self, transaction: Transaction) -> list[Row] | None:
         """Do a transaction; returns the rows as they are when an expectation does not hold."""
@@ -88,11 +88,11 @@
 
     def changes(self, table: str, after: int) -> list[Row] | None:
         """Return the changes of a table after a version; None when they are forgotten."""
-        if after < self._forgotten:
+        if after < self._discarded_version:
             return None
         return [row for row in self._history if row.table == table and row.ver > after]
 
     def discard_history(self) -> None:
         """Drop the history."""
-        self._forgotten = self.version
+        self._discarded_version = self.version
         self._history.clear()
