--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -66,16 +66,16 @@
             return [self._rows[key] for e in wrong if (key := (e.table, e.key)) in self._rows]
         self.version += 1
         for put in transaction.put:
-            self._set(Row(put.table, put.key, self.version, put.value))
+            self._write(Row(put.table, put.key, self.version, put.value))
         for removal in transaction.remove:
-            self._set(Row(removal.table, removal.key, self.version, gone=True))
+            self._write(Row(removal.table, removal.key, self.version, gone=True))
         return None
 
     def _version_of(self, expectation: Expectation) -> int:
         row = self._rows.get((expectation.table, expectation.key))
         return row.ver if row else 0
 
-    def _set(self, row: Row) -> None:
+    def _write(self, row: Row) -> None:
         self._history.append(row)
         if row.gone:
             self._rows.pop((row.table, row.key), None)
