--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -61,9 +61,9 @@
 
     def apply(self, transaction: Transaction) -> list[Row] | None:
         """Do a transaction; returns the rows as they are when an expectation does not hold."""
-        wrong = [e for e in transaction.expect_revision if self._version_of(e) != e.ver]
-        if wrong:
-            return [self._rows[key] for e in wrong if (key := (e.table, e.key)) in self._rows]
+        failed = [e for e in transaction.expect_revision if self._version_of(e) != e.ver]
+        if failed:
+            return [self._rows[key] for e in failed if (key := (e.table, e.key)) in self._rows]
         self.version += 1
         for put in transaction.put:
             self._write(Row(put.table, put.key, self.version, put.value))
