--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -83,7 +83,7 @@
 
     # The list of servers.
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """List this server, again and again."""
         while True:
             with contextlib.suppress(HttpError):
@@ -335,7 +335,7 @@
         server.holdings.on_disk = set(server.holdings.held)
     await server.server.start(host, port)
     print(f"ready {server.server.port}", flush=True)
-    await server.beat()
+    await server.send_heartbeats()
 
 
 def main(
