--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -88,10 +88,10 @@
         while True:
             with contextlib.suppress(HttpError):
                 if self.server.is_listening:
-                    await self._list()
+                    await self._register()
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def _list(self) -> None:
+    async def _register(self) -> None:
         where = {"table": "servers", "key": self.instance}
         if self.faults.listed:
             value = base64.b64encode(msgspec.json.encode(self._entry())).decode()
