--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -101,7 +101,7 @@
         request = HttpRequest("POST", "/_apply", (), msgspec.json.encode(body))
         await self._client.request(self._store, request, 1.0)
 
-    async def _unlist(self, instance: str) -> None:
+    async def _deregister(self, instance: str) -> None:
         body = {"remove": [{"table": "servers", "key": instance}]}
         request = HttpRequest("POST", "/_apply", (), msgspec.json.encode(body))
         await self._client.request(self._store, request, 1.0)
@@ -301,7 +301,7 @@
     async def _come_back(self, earlier: str, port: int) -> None:
         await asyncio.sleep(self.faults.back_after_seconds)
         with contextlib.suppress(HttpError):
-            await self._unlist(earlier)
+            await self._deregister(earlier)
         self.instance = f"i-{uuid.uuid4().hex[:10]}"
         self.born_ms = time.time_ns() // 1_000_000
         await self.server.start("127.0.0.1", port)
