--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -66,7 +66,7 @@
         self, service: str, zone: str, store: str, holdings: Holdings | None, instance: str = ""
     ) -> None:
         self.instance = instance or f"i-{uuid.uuid4().hex[:10]}"
-        self.born_ms = time.time_ns() // 1_000_000
+        self.started_at_ms = time.time_ns() // 1_000_000
         self.service = service
         self.zone = zone
         self.holdings = holdings
@@ -117,7 +117,7 @@
             "state": self.faults.state,
             "seq": holdings.revision if holdings else 0,
             "models": self._models(),
-            "born": self.born_ms,
+            "born": self.started_at_ms,
         }
 
     def _models(self) -> list[dict[str, object]]:
@@ -171,7 +171,7 @@
         holdings = self.holdings
         return {
             "stage": "both",
-            "born": self.born_ms,
+            "born": self.started_at_ms,
             "models": models,
             "busy": bool(holdings and holdings.operation),
             "seq": holdings.revision if holdings else 0,
@@ -303,7 +303,7 @@
         with contextlib.suppress(HttpError):
             await self._deregister(earlier)
         self.instance = f"i-{uuid.uuid4().hex[:10]}"
-        self.born_ms = time.time_ns() // 1_000_000
+        self.started_at_ms = time.time_ns() // 1_000_000
         await self.server.start("127.0.0.1", port)
 
     async def _stream_close_delimited(
