--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -79,7 +79,7 @@
         self._client = HttpClient(Connector())
         self.crash_times_s: list[float] = []
         self.crash_part_times_s: list[float] = []
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_tasks: set[asyncio.Task[None]] = set()
 
     # The list of servers.
 
@@ -189,8 +189,8 @@
             await exchange.respond(400, (), b"")
         elif self.faults.late_order_seconds:
             task = asyncio.get_running_loop().create_task(self._order_late(body))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._delayed_tasks.add(task)
+            task.add_done_callback(self._delayed_tasks.discard)
             exchange.abort()
         else:
             status = self.holdings.apply_order(body, self._now())
@@ -295,8 +295,8 @@
         port = self.server.port
         self.server.abort()
         task = asyncio.get_running_loop().create_task(self._come_back(self.instance, port))
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._delayed_tasks.add(task)
+        task.add_done_callback(self._delayed_tasks.discard)
 
     async def _come_back(self, earlier: str, port: int) -> None:
         await asyncio.sleep(self.faults.back_after_seconds)
