--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -144,7 +144,7 @@
         elif request.path == "/report":
             await self._json(exchange, 200, self._report())
         elif request.path == "/order":
-            await self._order(exchange, request)
+            await self._handle_order(exchange, request)
         else:
             await self._run(exchange, request)
 
@@ -182,7 +182,7 @@
             "available": {"disk-cached": sorted(holdings.on_disk) if holdings else []},
         }
 
-    async def _order(self, exchange: Exchange, request: HttpRequest) -> None:
+    async def _handle_order(self, exchange: Exchange, request: HttpRequest) -> None:
         body = msgspec.json.decode(request.body, type=OrderBody)
         self.orders.append(body)
         if self.holdings is None:
