--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -188,7 +188,7 @@
         if self.holdings is None:
             await exchange.respond(400, (), b"")
         elif self.faults.late_order_seconds:
-            task = asyncio.get_running_loop().create_task(self._order_late(body))
+            task = asyncio.get_running_loop().create_task(self._apply_order_late(body))
             self._delayed_tasks.add(task)
             task.add_done_callback(self._delayed_tasks.discard)
             exchange.abort()
@@ -196,7 +196,7 @@
             status = self.holdings.apply_order(body, self._now())
             await exchange.respond(status, (), b"")
 
-    async def _order_late(self, body: OrderBody) -> None:
+    async def _apply_order_late(self, body: OrderBody) -> None:
         await asyncio.sleep(self.faults.late_order_seconds)
         if self.holdings is not None:
             self.holdings.apply_order(body, self._now())
