--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -146,7 +146,7 @@
         elif request.path == "/order":
             await self._handle_order(exchange, request)
         else:
-            await self._run(exchange, request)
+            await self._run_request(exchange, request)
 
     async def _json(self, exchange: Exchange, status: int, value: object) -> None:
         response = json_response(value, status)
@@ -201,7 +201,7 @@
         if self.holdings is not None:
             self.holdings.apply_order(body, self._now())
 
-    async def _run(self, exchange: Exchange, request: HttpRequest) -> None:
+    async def _run_request(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header("x-request-id") or ""
         headers: Headers = (("x-request-id", request_id),)
         refusal = self._refusal(request)
