--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -204,7 +204,7 @@
     async def _run_request(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header("x-request-id") or ""
         headers: Headers = (("x-request-id", request_id),)
-        refusal = self._refusal(request)
+        refusal = self._refusal_status(request)
         if refusal:
             await exchange.respond(refusal, (*headers, ("x-not-executed", "1")), b"")
             return
@@ -223,7 +223,7 @@
         if self.holdings is not None:
             self.holdings.running[model] += change
 
-    def _refusal(self, request: HttpRequest) -> int:
+    def _refusal_status(self, request: HttpRequest) -> int:
         """Return the status of a refusal unstarted, or 0."""
         if self.faults.mode == "shed":
             return 503
