--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -204,9 +204,9 @@
     async def _run_request(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header("x-request-id") or ""
         headers: Headers = (("x-request-id", request_id),)
-        refusal = self._refusal_status(request)
-        if refusal:
-            await exchange.respond(refusal, (*headers, ("x-not-executed", "1")), b"")
+        refusal_status = self._refusal_status(request)
+        if refusal_status:
+            await exchange.respond(refusal_status, (*headers, ("x-not-executed", "1")), b"")
             return
         self.runs[request_id] += 1
         model = (request.header("x-model") or "").partition("/")[0]
