--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -212,7 +212,7 @@
         model = (request.header("x-model") or "").partition("/")[0]
         self._count_running(model, 1)
         try:
-            await self._answer(exchange, request, headers)
+            await self._respond(exchange, request, headers)
         except asyncio.CancelledError:
             self.cancelled[request_id] += 1
             raise
@@ -235,7 +235,7 @@
             return 503
         return 0 if self.holdings.can_run(model, adapter) else 421
 
-    async def _answer(self, exchange: Exchange, request: HttpRequest, headers: Headers) -> None:
+    async def _respond(self, exchange: Exchange, request: HttpRequest, headers: Headers) -> None:
         if self.faults.mode == "mute":
             await asyncio.Event().wait()
         if self.faults.mode == "reset":
