--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -135,20 +135,20 @@
             exchange.abort()
         elif request.path == "/_fault":
             self.faults = msgspec.json.decode(request.body, type=ServerFaults)
-            await self._json(exchange, 200, self.faults)
+            await self._respond_json(exchange, 200, self.faults)
         elif request.path == "/_state":
-            await self._json(exchange, 200, self._state())
+            await self._respond_json(exchange, 200, self._state())
         elif request.header("x-expect-instance") not in (None, self.instance):
             headers = (("x-instance-id", self.instance),)
             await exchange.respond(421, headers, b"")
         elif request.path == "/report":
-            await self._json(exchange, 200, self._report())
+            await self._respond_json(exchange, 200, self._report())
         elif request.path == "/order":
             await self._handle_order(exchange, request)
         else:
             await self._run_request(exchange, request)
 
-    async def _json(self, exchange: Exchange, status: int, value: object) -> None:
+    async def _respond_json(self, exchange: Exchange, status: int, value: object) -> None:
         response = json_response(value, status)
         await exchange.respond(status, response.headers, response.body)
 
