--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -294,11 +294,11 @@
         self.crash_times_s.append(time.time())
         port = self.server.port
         self.server.abort()
-        task = asyncio.get_running_loop().create_task(self._come_back(self.instance, port))
+        task = asyncio.get_running_loop().create_task(self._restart(self.instance, port))
         self._delayed_tasks.add(task)
         task.add_done_callback(self._delayed_tasks.discard)
 
-    async def _come_back(self, earlier: str, port: int) -> None:
+    async def _restart(self, earlier: str, port: int) -> None:
         await asyncio.sleep(self.faults.back_after_seconds)
         with contextlib.suppress(HttpError):
             await self._deregister(earlier)
