--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -298,10 +298,10 @@
         self._delayed_tasks.add(task)
         task.add_done_callback(self._delayed_tasks.discard)
 
-    async def _restart(self, earlier: str, port: int) -> None:
+    async def _restart(self, previous_instance: str, port: int) -> None:
         await asyncio.sleep(self.faults.back_after_seconds)
         with contextlib.suppress(HttpError):
-            await self._deregister(earlier)
+            await self._deregister(previous_instance)
         self.instance = f"i-{uuid.uuid4().hex[:10]}"
         self.started_at_ms = time.time_ns() // 1_000_000
         await self.server.start("127.0.0.1", port)
