--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -266,7 +266,7 @@
             await self._stream_close_delimited(exchange, headers, range(first, last + 1))
             return
         await exchange.start(200, headers)
-        crashes = self._has_crash_part(request)
+        crashes = self._triggers_crash(request)
         for sent, number in enumerate(range(first, last + 1)):
             await asyncio.sleep(self.faults.event_seconds)
             if crashes:
@@ -280,7 +280,7 @@
             await exchange.send(event)
         await exchange.finish()
 
-    def _has_crash_part(self, request: HttpRequest) -> bool:
+    def _triggers_crash(self, request: HttpRequest) -> bool:
         """Whether an answer to a request ends this server; counts such requests."""
         parts = (request.header("x-prompt-prefix") or "").split(",")
         names = [part.partition(":")[0] for part in parts]
