--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -92,12 +92,12 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def _register(self) -> None:
-        where = {"table": "servers", "key": self.instance}
+        row = {"table": "servers", "key": self.instance}
         if self.faults.listed:
             value = base64.b64encode(msgspec.json.encode(self._entry())).decode()
-            body: dict[str, list[dict[str, str]]] = {"put": [{**where, "value": value}]}
+            body: dict[str, list[dict[str, str]]] = {"put": [{**row, "value": value}]}
         else:
-            body = {"remove": [where]}
+            body = {"remove": [row]}
         request = HttpRequest("POST", "/_apply", (), msgspec.json.encode(body))
         await self._client.request(self._store, request, 1.0)
 
