--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -36,7 +36,7 @@
     stale: bool = False
 
 
-class RowsAnswer(Struct):
+class RowsResponse(Struct):
     """The answer of each call about rows."""
 
     ver: int
@@ -52,7 +52,7 @@
         self.rows = RowStore()
         self.faults = StoreFaults()
         self.server = HttpServer(self._serve)
-        self._stale: dict[str, RowsAnswer] = {}
+        self._stale: dict[str, RowsResponse] = {}
         self._late: set[asyncio.Task[None]] = set()
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -83,11 +83,11 @@
             return json_response(self.rows.table(_query(request, "table")))
         return json_response({"ver": self.rows.version})
 
-    def _answer(self, rows: list[Row]) -> RowsAnswer:
+    def _answer(self, rows: list[Row]) -> RowsResponse:
         now_ms = int(asyncio.get_running_loop().time() * 1000)
-        return RowsAnswer(self.rows.version, now_ms, rows)
+        return RowsResponse(self.rows.version, now_ms, rows)
 
-    def _whole(self, table: str) -> RowsAnswer:
+    def _whole(self, table: str) -> RowsResponse:
         return self._answer(self.rows.table(table))
 
     async def _act(self, exchange: Exchange, request: HttpRequest) -> None:
