--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -83,12 +83,12 @@
             return json_response(self.rows.table(_query(request, "table")))
         return json_response({"ver": self.rows.version})
 
-    def _answer(self, rows: list[Row]) -> RowsResponse:
+    def _make_response(self, rows: list[Row]) -> RowsResponse:
         now_ms = int(asyncio.get_running_loop().time() * 1000)
         return RowsResponse(self.rows.version, now_ms, rows)
 
     def _whole(self, table: str) -> RowsResponse:
-        return self._answer(self.rows.table(table))
+        return self._make_response(self.rows.table(table))
 
     async def _act(self, exchange: Exchange, request: HttpRequest) -> None:
         if request.path == "/rows-get":
@@ -111,7 +111,7 @@
             if changes is None:
                 return HttpResponse(410)
             if changes or loop.time() >= limit:
-                return json_response(self._answer(changes))
+                return json_response(self._make_response(changes))
             await asyncio.sleep(FEED_POLL_SECONDS)
 
     async def _transact(self, exchange: Exchange, request: HttpRequest) -> None:
@@ -127,7 +127,7 @@
             return
         conflict = self.rows.apply(transaction)
         status = 200 if conflict is None else 412
-        await _send(exchange, json_response(self._answer(conflict or []), status))
+        await _send(exchange, json_response(self._make_response(conflict or []), status))
 
     async def _apply_late(self, transaction: Transaction) -> None:
         await asyncio.sleep(self.faults.late_seconds)
