--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -74,7 +74,7 @@
     def _control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
             self.faults = msgspec.json.decode(request.body, type=StoreFaults)
-            self._stale = {t: self._whole(t) for t in ("op", "servers")}
+            self._stale = {t: self._read_table(t) for t in ("op", "servers")}
         elif request.path == "/_apply":
             self.rows.apply(msgspec.json.decode(request.body, type=Transaction))
         elif request.path == "/_forget":
@@ -87,14 +87,14 @@
         now_ms = int(asyncio.get_running_loop().time() * 1000)
         return RowsResponse(self.rows.version, now_ms, rows)
 
-    def _whole(self, table: str) -> RowsResponse:
+    def _read_table(self, table: str) -> RowsResponse:
         return self._make_response(self.rows.table(table))
 
     async def _act(self, exchange: Exchange, request: HttpRequest) -> None:
         if request.path == "/rows-get":
             table = _query(request, "table")
             stale = self._stale.get(table) if self.faults.stale else None
-            await _send(exchange, json_response(stale or self._whole(table)))
+            await _send(exchange, json_response(stale or self._read_table(table)))
         elif request.path == "/rows-feed":
             await _send(exchange, await self._feed(request))
         elif request.path == "/rows-tx":
