--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -69,7 +69,7 @@
             await _send(exchange, HttpResponse(429 if self.faults.mode == "throttle" else 503))
         else:
             await asyncio.sleep(self.faults.delay_seconds)
-            await self._act(exchange, request)
+            await self._handle_rows(exchange, request)
 
     def _control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
@@ -90,7 +90,7 @@
     def _read_table(self, table: str) -> RowsResponse:
         return self._make_response(self.rows.table(table))
 
-    async def _act(self, exchange: Exchange, request: HttpRequest) -> None:
+    async def _handle_rows(self, exchange: Exchange, request: HttpRequest) -> None:
         if request.path == "/rows-get":
             table = _query(request, "table")
             stale = self._stale.get(table) if self.faults.stale else None
