--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -53,7 +53,7 @@
         self.faults = StoreFaults()
         self.server = HttpServer(self._serve)
         self._stale: dict[str, RowsResponse] = {}
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_writes: set[asyncio.Task[None]] = set()
 
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
@@ -121,8 +121,8 @@
             return
         if self.faults.lose_answers:
             task = asyncio.get_running_loop().create_task(self._apply_late(transaction))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._delayed_writes.add(task)
+            task.add_done_callback(self._delayed_writes.discard)
             exchange.abort()
             return
         conflict = self.rows.apply(transaction)
