--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -52,7 +52,7 @@
         self.rows = RowStore()
         self.faults = StoreFaults()
         self.server = HttpServer(self._serve)
-        self._stale: dict[str, RowsResponse] = {}
+        self._stale_tables: dict[str, RowsResponse] = {}
         self._delayed_writes: set[asyncio.Task[None]] = set()
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -74,7 +74,7 @@
     def _control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
             self.faults = msgspec.json.decode(request.body, type=StoreFaults)
-            self._stale = {t: self._read_table(t) for t in ("op", "servers")}
+            self._stale_tables = {t: self._read_table(t) for t in ("op", "servers")}
         elif request.path == "/_apply":
             self.rows.apply(msgspec.json.decode(request.body, type=Transaction))
         elif request.path == "/_forget":
@@ -93,7 +93,7 @@
     async def _handle_rows(self, exchange: Exchange, request: HttpRequest) -> None:
         if request.path == "/rows-get":
             table = _query(request, "table")
-            stale = self._stale.get(table) if self.faults.stale else None
+            stale = self._stale_tables.get(table) if self.faults.stale else None
             await _send(exchange, json_response(stale or self._read_table(table)))
         elif request.path == "/rows-feed":
             await _send(exchange, await self._feed(request))
