--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -105,12 +105,12 @@
     async def _feed(self, request: HttpRequest) -> HttpResponse:
         table, after = _query(request, "table"), int(_query(request, "after"))
         loop = asyncio.get_running_loop()
-        limit = loop.time() + int(_query(request, "wait-ms") or 0) / 1000
+        deadline = loop.time() + int(_query(request, "wait-ms") or 0) / 1000
         while True:
             changes = self.rows.changes(table, after)
             if changes is None:
                 return HttpResponse(410)
-            if changes or loop.time() >= limit:
+            if changes or loop.time() >= deadline:
                 return json_response(self._make_response(changes))
             await asyncio.sleep(FEED_POLL_SECONDS)
 
