--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -60,13 +60,13 @@
         if request is None:
             exchange.abort()
         elif request.path.startswith("/_"):
-            await _send(exchange, self._control(request))
+            await _respond(exchange, self._control(request))
         elif self.faults.mode == "silent":
             await asyncio.Event().wait()
         elif self.faults.mode == "reset":
             exchange.abort()
         elif self.faults.mode:
-            await _send(exchange, HttpResponse(429 if self.faults.mode == "throttle" else 503))
+            await _respond(exchange, HttpResponse(429 if self.faults.mode == "throttle" else 503))
         else:
             await asyncio.sleep(self.faults.delay_seconds)
             await self._handle_rows(exchange, request)
@@ -94,13 +94,13 @@
         if request.path == "/rows-get":
             table = _query(request, "table")
             stale = self._stale_tables.get(table) if self.faults.stale else None
-            await _send(exchange, json_response(stale or self._read_table(table)))
+            await _respond(exchange, json_response(stale or self._read_table(table)))
         elif request.path == "/rows-feed":
-            await _send(exchange, await self._feed(request))
+            await _respond(exchange, await self._feed(request))
         elif request.path == "/rows-tx":
             await self._transact(exchange, request)
         else:
-            await _send(exchange, HttpResponse(404))
+            await _respond(exchange, HttpResponse(404))
 
     async def _feed(self, request: HttpRequest) -> HttpResponse:
         table, after = _query(request, "table"), int(_query(request, "after"))
@@ -117,7 +117,7 @@
     async def _transact(self, exchange: Exchange, request: HttpRequest) -> None:
         transaction = msgspec.json.decode(request.body, type=Transaction)
         if any(put.table == "servers" for put in transaction.put):
-            await _send(exchange, HttpResponse(403))
+            await _respond(exchange, HttpResponse(403))
             return
         if self.faults.lose_answers:
             task = asyncio.get_running_loop().create_task(self._apply_late(transaction))
@@ -127,7 +127,7 @@
             return
         conflict = self.rows.apply(transaction)
         status = 200 if conflict is None else 412
-        await _send(exchange, json_response(self._make_response(conflict or []), status))
+        await _respond(exchange, json_response(self._make_response(conflict or []), status))
 
     async def _apply_late(self, transaction: Transaction) -> None:
         await asyncio.sleep(self.faults.late_seconds)
@@ -139,7 +139,7 @@
     return values[0] if values else ""
 
 
-async def _send(exchange: Exchange, response: HttpResponse) -> None:
+async def _respond(exchange: Exchange, response: HttpResponse) -> None:
     await exchange.respond(response.status, response.headers, response.body)
 
 
