--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -16,7 +16,7 @@
 from standins.faults import json_response
 from standins.pool.rows import Row, RowStore, Transaction
 
-FEED_POLL_SECONDS = 0.005
+FEED_POLL_INTERVAL_SECONDS = 0.005
 
 
 class StoreFaults(Struct):
@@ -112,7 +112,7 @@
                 return HttpResponse(410)
             if changes or loop.time() >= deadline:
                 return json_response(self._make_response(changes))
-            await asyncio.sleep(FEED_POLL_SECONDS)
+            await asyncio.sleep(FEED_POLL_INTERVAL_SECONDS)
 
     async def _transact(self, exchange: Exchange, request: HttpRequest) -> None:
         transaction = msgspec.json.decode(request.body, type=Transaction)
