--- a/standins/engine.py
+++ b/standins/engine.py
@@ -124,7 +124,7 @@
         self._token_seconds = token_seconds
         self._generations: OrderedDict[str, Generation] = OrderedDict()
         self._running: dict[str, asyncio.Task[Any]] = {}
-        self._published_status = StatusReport(self.replicas.instance, False)
+        self._report = StatusReport(self.replicas.instance, False)
         self._cache_events: list[CacheEvent] = []
         self._cache_event_count = 0
         self._random = random.Random(name)
@@ -165,7 +165,7 @@
             return json_response(await asyncio.shield(execution))
         if path == "/v1/status":
             self._schedule_status()
-            return json_response(self._published_status)
+            return json_response(self._report)
         if path == "/v1/cache-events":
             after = int(request.target.partition("after=")[2] or 0)
             events = tuple(event for event in self._cache_events if event.sequence > after)
@@ -200,8 +200,8 @@
         )
         loop = asyncio.get_running_loop()
         loop.call_later(STATUS_LAG_SECONDS, setattr, self, "_report", report)
-        if report.leaving != self._published_status.leaving:
-            self._published_status = report
+        if report.leaving != self._report.leaving:
+            self._report = report
 
     async def _chat(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header(REQUEST_ID_HEADER) or uuid.uuid4().hex
