--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -11,7 +11,7 @@
 from loomwind.messages.serving import ConfigurationCopy
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.peers import PeerTable
@@ -51,7 +51,7 @@
 
 async def _fetch(context: Any) -> None:
     replicated_state = ReplicatedState(
-        PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
+        PlatformDocumentParser(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
     row = StoredRow("config", context.version, configuration_document(context.version))
     replicated_state.on_configuration_rows(Snapshot((row,), context.version), True)
--- a/features/steps/departure_notice_steps.py
+++ b/features/steps/departure_notice_steps.py
@@ -12,7 +12,7 @@
 from loomwind.messages.serving import ServerDeparture, ServerDepartures
 from loomwind.metrics import Metrics
 from loomwind.platform.dialect import PlatformDialect
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.errors import SendFailed
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.forwarder import Forwarder, OutgoingRequest
@@ -27,7 +27,7 @@
 def step_listed(context: Any, name: str, version: int) -> None:
     context.health = StoreHealth()
     context.replicated_state = ReplicatedState(
-        PlatformDocuments(), "config", ServerPool(BoundSettings()), context.health, Metrics()
+        PlatformDocumentParser(), "config", ServerPool(BoundSettings()), context.health, Metrics()
     )
     context.forwarded = []
     context.replicated_state.on_departures = context.forwarded.append
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -16,7 +16,7 @@
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.peers import PeerEntry, PeerTable
@@ -43,7 +43,7 @@
 def replicated_state() -> ReplicatedState:
     """Return the empty state of a new daemon."""
     return ReplicatedState(
-        PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
+        PlatformDocumentParser(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
 
 
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -30,7 +30,7 @@
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.anti_entropy import AntiEntropy
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_polling import ConfigurationPolling
@@ -169,7 +169,7 @@
         self.name = name
         health = StoreHealth()
         self.replicated_state = ReplicatedState(
-            PlatformDocuments(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
+            PlatformDocumentParser(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
         )
         self._server_table = TableFollower(
             cast(Store, DaemonStoreClient(tables.servers, name)),
--- a/loomwind/platform/deployment.py
+++ b/loomwind/platform/deployment.py
@@ -3,7 +3,7 @@
 from loomwind import constants
 from loomwind.http.client import Connector, HttpClient
 from loomwind.platform.dialect import PlatformDialect
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.platform.engine import PlatformEngineControl
 from loomwind.platform.store import PlatformStore
 from loomwind.serving.daemon import Deployment, PoolDaemon
@@ -16,7 +16,7 @@
     client = HttpClient(connector)
     deployment = Deployment(
         store=PlatformStore(client, store.address, store.timeout_seconds),
-        documents=PlatformDocuments(),
+        documents=PlatformDocumentParser(),
         dialect=PlatformDialect(),
         engine_control=PlatformEngineControl(client),
     )
--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -153,7 +153,7 @@
     born: int | None = None
 
 
-class PlatformDocuments(DocumentParser):
+class PlatformDocumentParser(DocumentParser):
     """Decodes the platform's JSON documents."""
 
     def parse_configuration(self, value: bytes) -> Configuration:
