--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -111,18 +111,20 @@
     if not own:
         return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
     end = own[-1]
-    before = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
+    recent_lines = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
         line
-        for line in before
+        for line in recent_lines
         if line.kind == "loomwind:order"
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    states = tuple(_latest_states(before, end.daemon))
-    return RequestHistory(request_id, _find_cause(own, states, orders, before), own, states, orders)
+    states = tuple(_latest_states(recent_lines, end.daemon))
+    return RequestHistory(
+        request_id, _find_cause(own, states, orders, recent_lines), own, states, orders
+    )
 
 
 def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
@@ -138,7 +140,7 @@
     own: Sequence[LogLine],
     states: Sequence[LogLine],
     orders: Sequence[LogLine],
-    before: Sequence[LogLine],
+    recent_lines: Sequence[LogLine],
 ) -> Cause:
     """Return the likely cause: that of the first rule that matches."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
@@ -153,7 +155,7 @@
     if ended and ended.get("decision") == "caller-left":
         return Cause.CALLER_LEFT
     if ended and ended.get("waiting"):
-        return _find_wait_cause(own, orders, before)
+        return _find_wait_cause(own, orders, recent_lines)
     if "no server of the service" in reason:
         return Cause.NO_SERVER
     failure = next((line for line in reversed(own) if line.get("decision") == "send-failed"), None)
@@ -169,17 +171,17 @@
 
 
 def _find_wait_cause(
-    own: Sequence[LogLine], orders: Sequence[LogLine], before: Sequence[LogLine]
+    own: Sequence[LogLine], orders: Sequence[LogLine], recent_lines: Sequence[LogLine]
 ) -> Cause:
     if any(line.get("state") == "unknown" for line in orders):
         return Cause.ORDERS_UNANSWERED
-    election_lines = [line for line in before if line.kind == "loomwind:election"]
+    election_lines = [line for line in recent_lines if line.kind == "loomwind:election"]
     is_leader: dict[str, bool] = {}
     for line in election_lines:
         if line.get("state") in ("leader", "follower"):
             is_leader[line.daemon] = line.get("state") == "leader"
     store_lost = any(
-        line.kind == "loomwind:store" and line.get("state") == "lost" for line in before
+        line.kind == "loomwind:store" and line.get("state") == "lost" for line in recent_lines
     )
     if not orders and (not any(is_leader.values()) or store_lost):
         return Cause.NO_LEADER
