--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -43,7 +43,7 @@
     UNKNOWN = "the lines do not tell"
 
 
-# The causes that a decision about a waiting request names itself.
+# The cause that is implied by the decision to refuse a waiting request.
 WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
@@ -110,8 +110,10 @@
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
         return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
-    end = own[-1]
-    recent_lines = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
+    last = own[-1]
+    recent_lines = [
+        line for line in lines if last.time - LOOKBACK_SECONDS <= line.time <= last.time
+    ]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
@@ -121,7 +123,7 @@
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    states = tuple(_latest_states(recent_lines, end.daemon))
+    states = tuple(_latest_states(recent_lines, last.daemon))
     return RequestHistory(
         request_id, _find_cause(own, states, orders, recent_lines), own, states, orders
     )
