--- a/loomwind/platform/dialect.py
+++ b/loomwind/platform/dialect.py
@@ -16,9 +16,13 @@
 LAST_EVENT_ID = "last-event-id"
 # Set by servers on their own responses, so that those of intermediaries can be told apart.
 RESPONSE_STAMP = "x-response-stamp"
+# The name of the server that a request is meant for; it is the same after a restart.
 EXPECT_INSTANCE = "x-expect-instance"
+# The name of the server that responds.
 INSTANCE = "x-instance-id"
+# Present when the server rejected the request without running it.
 NOT_EXECUTED = "x-not-executed"
+# 0 is the most urgent.
 PRIORITY = "x-request-priority"
 MISDIRECTED_STATUS = 421
 MAX_PRIORITY_VALUE = 9
@@ -121,9 +125,9 @@
 
 def _parse_token_usage(text: str | None) -> tuple[int, int]:
     """Return the prompt tokens and the maximum of new tokens; zeros when malformed."""
-    first, _, second = (text or "").partition(",")
+    prompt_tokens, _, max_new_tokens = (text or "").partition(",")
     try:
-        return int(first or 0), int(second or 0)
+        return int(prompt_tokens or 0), int(max_new_tokens or 0)
     except ValueError:
         return 0, 0
 
