--- a/bench/detection.py
+++ b/bench/detection.py
@@ -77,7 +77,7 @@
                 variant.indirect_probes,
             )
         )
-        self.detector.heard(self._subject, 0.0)
+        self.detector.record_heartbeat(self._subject, 0.0)
 
     def run(self, event: str, cut_seconds: float) -> float | None:
         """Return when the observer held the subject for gone; None if never."""
@@ -101,7 +101,7 @@
         if dead and event == "killed":
             self.detector.refused(self._subject.identity)
         elif not dead and not cut and self._random.random() > LOSS:
-            self.detector.heard(self._subject, now)
+            self.detector.record_heartbeat(self._subject, now)
         elif self.detector.state_of(self._subject.identity) is MemberState.SUSPECT:
             self._probe(now, dead)
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -325,7 +325,7 @@
 def step_detector(context: Any, suspect: float, gone: float) -> None:
     def make() -> Detector:
         detector = Detector(DetectorSettings(suspect, gone))
-        detector.heard(member(), 0.0)
+        detector.record_heartbeat(member(), 0.0)
         return detector
 
     context.detector = make
@@ -356,6 +356,6 @@
 @then("a new incarnation under the same name replaces the earlier one")
 def step_incarnation(context: Any) -> None:
     detector = context.detector()
-    detector.heard(member("2"), 1.0)
+    detector.record_heartbeat(member("2"), 1.0)
     assert detector.state_of(member("1").identity) is MemberState.GONE
     assert detector.members[member("1").identity].ended
--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -119,10 +119,10 @@
             register.on_message(Accept(CELL, accepted_value))
         self.voter_metric_set = bool(metrics.voter._value.get())
         for identity, stamp in self.peer_stamps.items():
-            membership.detector.heard(member(identity), membership.now)
+            membership.detector.record_heartbeat(member(identity), membership.now)
             register.record_peer_stamp(identity, stamp)
         for identity in self.ended:
-            membership.detector.heard(member(identity), membership.now)
+            membership.detector.record_heartbeat(member(identity), membership.now)
             membership.detector.refused(identity)
         membership.advanced_seconds = LONG_AGO_SECONDS
         membership.detector.tick(membership.now)
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -61,7 +61,7 @@
         """Return the silence after which a member is suspected, in seconds."""
         return self._settings.suspect_after_seconds
 
-    def heard(self, info: MemberInfo, now: float) -> bool:
+    def record_heartbeat(self, info: MemberInfo, now: float) -> bool:
         """Take in a sign of life.
 
         :returns: whether the member is new here or came back.
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -219,7 +219,7 @@
         if leader is not None and leader.identity.name == info.identity.name:
             # A leader whose name is heard under another incarnation has ended.
             self.leader = leader if leader.identity == info.identity else None
-        if self.detector.heard(info, self.now):
+        if self.detector.record_heartbeat(info, self.now):
             log_state("member", "alive", name=info.identity.name, zone=info.zone)
             self.on_change()
             self._transport.send(info.address, MemberList(tuple(self.alive())))
