--- a/bench/detection.py
+++ b/bench/detection.py
@@ -99,7 +99,7 @@
 
     def _beat(self, now: float, dead: bool, cut: bool, event: str) -> None:
         if dead and event == "killed":
-            self.detector.refused(self._subject.identity)
+            self.detector.record_connection_refused(self._subject.identity)
         elif not dead and not cut and self._random.random() > LOSS:
             self.detector.record_heartbeat(self._subject, now)
         elif self.detector.state_of(self._subject.identity) is MemberState.SUSPECT:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -341,7 +341,7 @@
 @then("a refused connection marks a member as gone immediately")
 def step_refused(context: Any) -> None:
     detector = context.detector()
-    detector.refused(member().identity)
+    detector.record_connection_refused(member().identity)
     assert state_after(detector, 0.1, member().identity) is MemberState.GONE
 
 
--- a/features/steps/voter_change_steps.py
+++ b/features/steps/voter_change_steps.py
@@ -123,7 +123,7 @@
             register.record_peer_stamp(identity, stamp)
         for identity in self.ended:
             membership.detector.record_heartbeat(member(identity), membership.now)
-            membership.detector.refused(identity)
+            membership.detector.record_connection_refused(identity)
         membership.advanced_seconds = LONG_AGO_SECONDS
         membership.detector.tick(membership.now)
         return register
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -90,7 +90,7 @@
         if not newer:
             self.members[info.identity] = Member(info, MemberState.SUSPECT, now)
 
-    def refused(self, identity: VoterId) -> None:
+    def record_connection_refused(self, identity: VoterId) -> None:
         """Note that the member's host refused a connection."""
         member = self.members.get(identity)
         if member is not None:
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -149,7 +149,7 @@
             answer = await self._transport.call(info.address, message)
         except PeerUnreachable as error:
             if error.refused:
-                self.detector.refused(info.identity)
+                self.detector.record_connection_refused(info.identity)
                 self._judge(self.now)
             elif self.detector.state_of(info.identity) is MemberState.SUSPECT:
                 await self._ask_neighbour(info)
