--- a/bench/detection.py
+++ b/bench/detection.py
@@ -110,7 +110,7 @@
         if self._variant.indirect_probes:
             self.probes += 1
             if not dead and self._random.random() > LOSS:
-                self.detector.reached_by_peer(self._subject.identity, now)
+                self.detector.record_reached_by_peer(self._subject.identity, now)
 
 
 def _measure(variant: Variant, runs: int, seed: int) -> DetectionResult:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -349,7 +349,7 @@
 def step_reached(context: Any) -> None:
     detector = context.detector()
     detector.tick(3.0)
-    detector.reached_by_peer(member().identity, 3.0)
+    detector.record_reached_by_peer(member().identity, 3.0)
     assert state_after(detector, 5.0, member().identity) is MemberState.SUSPECT
 
 
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -97,7 +97,7 @@
             ended = member.ended or self._settings.trust_refusals
             self.members[identity] = structs.replace(member, refused=True, ended=ended)
 
-    def reached_by_peer(self, identity: VoterId, now: float) -> None:
+    def record_reached_by_peer(self, identity: VoterId, now: float) -> None:
         """Note that a peer near a suspect reached it: the link is at fault, not the member."""
         member = self.members.get(identity)
         if self._settings.indirect_probes and member is not None:
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -283,7 +283,7 @@
             except PeerUnreachable:
                 return
             if isinstance(answer, ProbeAnswer) and answer.reached:
-                self.detector.reached_by_peer(suspect.identity, self.now)
+                self.detector.record_reached_by_peer(suspect.identity, self.now)
 
     def announce_leading(self) -> None:
         """Tell all peers at once that this daemon leads, so that none campaigns against it."""
