--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -149,7 +149,7 @@
                 self.fleet.watch(machine.name, machine.address, machine.zone, leaving)
         for machine in self._machines.in_role(MachineRole.DAEMON):
             if machine.state is MachineState.GONE:
-                self._membership.detector.listed_gone(machine.name)
+                self._membership.detector.mark_gone(machine.name)
 
     async def _step(self) -> None:
         """Publish routes, make a plan, commit its intents and send the orders."""
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -298,7 +298,7 @@
     def _on_machines_change(self) -> None:
         for machine in self.machines.in_role(MachineRole.DAEMON):
             if machine.state is MachineState.GONE:
-                self.membership.detector.listed_gone(machine.name)
+                self.membership.detector.mark_gone(machine.name)
         self._wake_controller()
 
     def _send_routing(self, member: MemberInfo, update: RoutingUpdate) -> None:
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -103,7 +103,7 @@
         if self._settings.indirect_probes and member is not None:
             self.members[identity] = structs.replace(member, heard_at=now)
 
-    def listed_gone(self, name: str) -> None:
+    def mark_gone(self, name: str) -> None:
         """Note that the machine list has a daemon as gone."""
         for identity, member in self.members.items():
             if identity.name == name:
