--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -79,7 +79,7 @@
             if same_name and identity != info.identity:
                 self.members[identity] = structs.replace(member, state=MemberState.GONE, ended=True)
 
-    def introduce(self, info: MemberInfo, now: float) -> None:
+    def add_unconfirmed(self, info: MemberInfo, now: float) -> None:
         """Take in a member that a peer named, without evidence that it is alive."""
         if info.identity in self.members:
             return
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -245,7 +245,7 @@
             if info.identity == self.own.identity:
                 continue
             if info.cell == self.own.cell:
-                self.detector.introduce(info, self.now)
+                self.detector.add_unconfirmed(info, self.now)
             elif len(self.remote) < MAX_REMOTE_CONTACTS:
                 self.remote.setdefault(info.identity, info)
 
