--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -31,7 +31,7 @@
 
     info: MemberInfo
     state: MemberState
-    heard_at: float
+    last_heard_at: float
     refused: bool = False
     ended: bool = False
 
@@ -101,7 +101,7 @@
         """Note that a peer near a suspect reached it: the link is at fault, not the member."""
         member = self.members.get(identity)
         if self._settings.indirect_probes and member is not None:
-            self.members[identity] = structs.replace(member, heard_at=now)
+            self.members[identity] = structs.replace(member, last_heard_at=now)
 
     def mark_gone(self, name: str) -> None:
         """Note that the machine list has a daemon as gone."""
@@ -123,7 +123,7 @@
         return changed
 
     def _judge(self, member: Member, now: float) -> MemberState:
-        silent = now - member.heard_at
+        silent = now - member.last_heard_at
         if member.state is MemberState.GONE:
             return MemberState.GONE
         if member.refused and self._settings.trust_refusals:
@@ -139,7 +139,7 @@
     def prune(self, now: float, after_seconds: float) -> None:
         """Forget members that have been gone for long."""
         for identity, member in list(self.members.items()):
-            if member.state is MemberState.GONE and now - member.heard_at > after_seconds:
+            if member.state is MemberState.GONE and now - member.last_heard_at > after_seconds:
                 del self.members[identity]
 
     def in_state(self, *states: MemberState) -> list[Member]:
