--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -358,4 +358,4 @@
     detector = context.detector()
     detector.record_heartbeat(member("2"), 1.0)
     assert detector.state_of(member("1").identity) is MemberState.GONE
-    assert detector.members[member("1").identity].ended
+    assert detector.members[member("1").identity].process_ended
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -218,7 +218,7 @@
 
     def _has_ended(self, voter: VoterId) -> bool:
         member = self._membership.detector.members.get(voter)
-        return voter in self._ended_voters or (member is not None and member.ended)
+        return voter in self._ended_voters or (member is not None and member.process_ended)
 
     async def _create_next_generation(self) -> bool:
         """Create the next generation, unless another daemon already did."""
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -26,14 +26,14 @@
 
     :param heard_at: when it was last heard, directly or through a peer that reached it.
     :param refused: whether its host refused a connection since.
-    :param ended: whether its process is known to have ended, rather than just silent.
+    :param process_ended: whether its process is known to have ended, rather than just silent.
     """
 
     info: MemberInfo
     state: MemberState
     last_heard_at: float
     refused: bool = False
-    ended: bool = False
+    process_ended: bool = False
 
 
 class DetectorSettings(Struct, frozen=True):
@@ -77,7 +77,9 @@
         for identity, member in self.members.items():
             same_name = identity.name == info.identity.name
             if same_name and identity != info.identity:
-                self.members[identity] = structs.replace(member, state=MemberState.GONE, ended=True)
+                self.members[identity] = structs.replace(
+                    member, state=MemberState.GONE, process_ended=True
+                )
 
     def add_unconfirmed(self, info: MemberInfo, now: float) -> None:
         """Take in a member that a peer named, without evidence that it is alive."""
@@ -94,8 +96,10 @@
         """Note that the member's host refused a connection."""
         member = self.members.get(identity)
         if member is not None:
-            ended = member.ended or self._settings.trust_refusals
-            self.members[identity] = structs.replace(member, refused=True, ended=ended)
+            process_ended = member.process_ended or self._settings.trust_refusals
+            self.members[identity] = structs.replace(
+                member, refused=True, process_ended=process_ended
+            )
 
     def record_reached_by_peer(self, identity: VoterId, now: float) -> None:
         """Note that a peer near a suspect reached it: the link is at fault, not the member."""
@@ -107,7 +111,9 @@
         """Note that the machine list has a daemon as gone."""
         for identity, member in self.members.items():
             if identity.name == name:
-                self.members[identity] = structs.replace(member, state=MemberState.GONE, ended=True)
+                self.members[identity] = structs.replace(
+                    member, state=MemberState.GONE, process_ended=True
+                )
 
     def tick(self, now: float) -> list[Member]:
         """Let time pass.
