--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -25,14 +25,14 @@
     """A member and the evidence about it.
 
     :param heard_at: when it was last heard, directly or through a peer that reached it.
-    :param refused: whether its host refused a connection since.
+    :param connection_refused: whether its host refused a connection since.
     :param process_ended: whether its process is known to have ended, rather than just silent.
     """
 
     info: MemberInfo
     state: MemberState
     last_heard_at: float
-    refused: bool = False
+    connection_refused: bool = False
     process_ended: bool = False
 
 
@@ -98,7 +98,7 @@
         if member is not None:
             process_ended = member.process_ended or self._settings.trust_refusals
             self.members[identity] = structs.replace(
-                member, refused=True, process_ended=process_ended
+                member, connection_refused=True, process_ended=process_ended
             )
 
     def record_reached_by_peer(self, identity: VoterId, now: float) -> None:
@@ -132,7 +132,7 @@
         silent = now - member.last_heard_at
         if member.state is MemberState.GONE:
             return MemberState.GONE
-        if member.refused and self._settings.trust_refusals:
+        if member.connection_refused and self._settings.trust_refusals:
             return MemberState.GONE
         if silent >= self._settings.gone_after_seconds:
             return MemberState.GONE
