--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -69,10 +69,10 @@
         known = self.members.get(info.identity)
         state = MemberState.LEAVING if info.leaving else MemberState.ALIVE
         self.members[info.identity] = Member(info, state, now)
-        self._retire_earlier_lives(info)
+        self._mark_earlier_incarnations_gone(info)
         return known is None or known.state is MemberState.GONE
 
-    def _retire_earlier_lives(self, info: MemberInfo) -> None:
+    def _mark_earlier_incarnations_gone(self, info: MemberInfo) -> None:
         """A name that is heard under a new incarnation has ended its earlier one."""
         for identity, member in self.members.items():
             same_name = identity.name == info.identity.name
