--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -122,13 +122,13 @@
         """
         changed = []
         for identity, member in list(self.members.items()):
-            state = self._judge(member, now)
+            state = self._next_state(member, now)
             if state is not member.state:
                 self.members[identity] = structs.replace(member, state=state)
                 changed.append(self.members[identity])
         return changed
 
-    def _judge(self, member: Member, now: float) -> MemberState:
+    def _next_state(self, member: Member, now: float) -> MemberState:
         silent = now - member.last_heard_at
         if member.state is MemberState.GONE:
             return MemberState.GONE
