--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -129,16 +129,16 @@
         return changed
 
     def _next_state(self, member: Member, now: float) -> MemberState:
-        silent = now - member.last_heard_at
+        silent_seconds = now - member.last_heard_at
         if member.state is MemberState.GONE:
             return MemberState.GONE
         if member.connection_refused and self._settings.trust_refusals:
             return MemberState.GONE
-        if silent >= self._settings.gone_after_seconds:
+        if silent_seconds >= self._settings.gone_after_seconds:
             return MemberState.GONE
         if member.state is MemberState.LEAVING:
             return MemberState.LEAVING
-        if silent >= self._settings.suspect_after_seconds:
+        if silent_seconds >= self._settings.suspect_after_seconds:
             return MemberState.SUSPECT
         return member.state
 
