--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -124,7 +124,7 @@
             if now >= next_gossip:
                 self._gossip()
                 next_gossip = now + constants.MEMBER_GOSSIP_INTERVAL_SECONDS
-            self._judge(now)
+            self._update_states(now)
             await asyncio.sleep(self._settings.heartbeat_seconds)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
@@ -150,7 +150,7 @@
         except PeerUnreachable as error:
             if error.refused:
                 self.detector.record_connection_refused(info.identity)
-                self._judge(self.now)
+                self._update_states(self.now)
             elif self.detector.state_of(info.identity) is MemberState.SUSPECT:
                 await self._ask_neighbour(info)
             return
@@ -257,7 +257,7 @@
             return ProbeAnswer(reached=False, refused=error.refused)
         return ProbeAnswer(reached=True, refused=False)
 
-    def _judge(self, now: float) -> None:
+    def _update_states(self, now: float) -> None:
         changed = self.detector.tick(now)
         if changed:
             self.on_change()
