--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -120,7 +120,7 @@
         next_gossip = 0.0
         while True:
             now = self.now
-            self._beat()
+            self._send_heartbeats()
             if now >= next_gossip:
                 self._gossip()
                 next_gossip = now + constants.MEMBER_GOSSIP_INTERVAL_SECONDS
@@ -137,7 +137,7 @@
         """Return the heartbeat to send now."""
         return Heartbeat(self.own, self.digest(), self.is_leader())
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         message = self.heartbeat()
         for info in self.reachable():
             running = self._heartbeats.get(info.identity)
@@ -289,9 +289,9 @@
         """Tell all peers at once that this daemon leads, so that none campaigns against it."""
         self.hear_leader(self.own, self.digest().register)
         self._heartbeats.clear()
-        self._beat()
+        self._send_heartbeats()
 
     def announce_leaving(self) -> None:
         """Tell all peers that this daemon is leaving."""
         self.own = msgspec.structs.replace(self.own, leaving=True)
-        self._beat()
+        self._send_heartbeats()
