--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -142,9 +142,9 @@
         for info in self.reachable():
             running = self._heartbeats.get(info.identity)
             if running is None or running.done():
-                self._heartbeats[info.identity] = self._spawn(self._beat_one(info, message))
+                self._heartbeats[info.identity] = self._spawn(self._send_heartbeat(info, message))
 
-    async def _beat_one(self, info: MemberInfo, message: Heartbeat) -> None:
+    async def _send_heartbeat(self, info: MemberInfo, message: Heartbeat) -> None:
         try:
             answer = await self._transport.call(info.address, message)
         except PeerUnreachable as error:
