--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -162,19 +162,19 @@
         known = {info.address for info in self.reachable()} | {self.own.address}
         for address in self._seeds:
             if address not in known:
-                self._spawn(self._greet(address))
+                self._spawn(self._contact(address))
         targets = self.reachable()
         message = MemberList((*self.alive(), *self._sample_remote()))
         for info in self._random.sample(targets, min(GOSSIP_PEERS, len(targets))):
             self._transport.send(info.address, message)
         for info in self._sample_remote()[:1]:
-            self._spawn(self._greet(info.address))
+            self._spawn(self._contact(info.address))
 
     def _sample_remote(self) -> list[MemberInfo]:
         remote = sorted(self.remote.values())
         return self._random.sample(remote, min(GOSSIP_PEERS, len(remote)))
 
-    async def _greet(self, address: str) -> None:
+    async def _contact(self, address: str) -> None:
         try:
             answer = await self._transport.call(address, self.heartbeat())
         except PeerUnreachable:
