--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -152,7 +152,7 @@
                 self.detector.record_connection_refused(info.identity)
                 self._update_states(self.now)
             elif self.detector.state_of(info.identity) is MemberState.SUSPECT:
-                await self._ask_neighbour(info)
+                await self._probe_indirectly(info)
             return
         if isinstance(answer, HeartbeatAnswer):
             self._hear(answer.sender, answer.digest)
@@ -264,7 +264,7 @@
         for member in changed:
             log_state("member", member.state.value, name=member.info.identity.name)
             if member.state is MemberState.SUSPECT:
-                self._spawn(self._ask_neighbour(member.info))
+                self._spawn(self._probe_indirectly(member.info))
             if member.state is MemberState.GONE:
                 self._transport.disconnect(member.info.address)
                 if self.leader is not None and self.leader.identity == member.info.identity:
@@ -273,7 +273,7 @@
         for state in MemberState:
             self._metrics.members.labels(state.value).set(len(self.detector.in_state(state)))
 
-    async def _ask_neighbour(self, suspect: MemberInfo) -> None:
+    async def _probe_indirectly(self, suspect: MemberInfo) -> None:
         """Ask a daemon of the suspect's zone, or any other, to probe it."""
         others = [info for info in self.alive() if info not in (self.own, suspect)]
         others.sort(key=lambda info: info.zone != suspect.zone)
