--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -188,10 +188,10 @@
         """Take in a heartbeat and answer with the own state."""
         self._hear(message.sender, message.digest)
         if message.leader and message.sender.cell == self.own.cell:
-            self.hear_leader(message.sender, message.digest.register)
+            self.record_leader(message.sender, message.digest.register)
         return HeartbeatAnswer(self.own, self.digest())
 
-    def hear_leader(self, info: MemberInfo, register: Stamp) -> None:
+    def record_leader(self, info: MemberInfo, register: Stamp) -> None:
         """Note who leads the cell; one of a lower ballot was replaced and does not know it yet.
 
         :param register: the newest register value that the leader knows.
@@ -287,7 +287,7 @@
 
     def announce_leading(self) -> None:
         """Tell all peers at once that this daemon leads, so that none campaigns against it."""
-        self.hear_leader(self.own, self.digest().register)
+        self.record_leader(self.own, self.digest().register)
         self._heartbeats.clear()
         self._send_heartbeats()
 
