--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -242,7 +242,7 @@
             return
         self._metrics.elections.inc()
         self._observe_committed()
-        self._membership.announce_leading()
+        self._membership.announce_leadership()
         log_state("controller", "leading", generation=self.generation)
         try:
             # An unfinished voter change may have stopped voters from granting claims in the present
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -285,7 +285,7 @@
             if isinstance(answer, ProbeAnswer) and answer.reached:
                 self.detector.record_reached_by_peer(suspect.identity, self.now)
 
-    def announce_leading(self) -> None:
+    def announce_leadership(self) -> None:
         """Tell all peers at once that this daemon leads, so that none campaigns against it."""
         self.record_leader(self.own, self.digest().register)
         self._heartbeats.clear()
