--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -155,7 +155,7 @@
                 await self._probe_indirectly(info)
             return
         if isinstance(answer, HeartbeatAnswer):
-            self._hear(answer.sender, answer.digest)
+            self._record_sender(answer.sender, answer.digest)
 
     def _gossip(self) -> None:
         """Tell a few daemons about the members, and find new ones through the seeds."""
@@ -181,12 +181,12 @@
             self.remote = {k: v for k, v in self.remote.items() if v.address != address}
             return
         if isinstance(answer, HeartbeatAnswer):
-            self._hear(answer.sender, answer.digest)
+            self._record_sender(answer.sender, answer.digest)
             self._transport.send(address, MemberList((self.own, *self.alive())))
 
     def on_heartbeat(self, message: Heartbeat) -> HeartbeatAnswer:
         """Take in a heartbeat and answer with the own state."""
-        self._hear(message.sender, message.digest)
+        self._record_sender(message.sender, message.digest)
         if message.leader and message.sender.cell == self.own.cell:
             self.record_leader(message.sender, message.digest.register)
         return HeartbeatAnswer(self.own, self.digest())
@@ -205,7 +205,7 @@
         self.leader = info
         self.leader_heard_at = self.now
 
-    def _hear(self, info: MemberInfo, digest: Digest) -> None:
+    def _record_sender(self, info: MemberInfo, digest: Digest) -> None:
         if info.identity == self.own.identity:
             return
         if info.cell == self.own.cell:
