--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -209,12 +209,12 @@
         if info.identity == self.own.identity:
             return
         if info.cell == self.own.cell:
-            self._hear_mate(info, digest)
+            self._record_cell_member(info, digest)
         else:
             self._hear_remote(info)
         self.on_digest(info, digest)
 
-    def _hear_mate(self, info: MemberInfo, digest: Digest) -> None:
+    def _record_cell_member(self, info: MemberInfo, digest: Digest) -> None:
         leader = self.leader
         if leader is not None and leader.identity.name == info.identity.name:
             # A leader whose name is heard under another incarnation has ended.
