--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -211,7 +211,7 @@
         if info.cell == self.own.cell:
             self._record_cell_member(info, digest)
         else:
-            self._hear_remote(info)
+            self._record_remote_daemon(info)
         self.on_digest(info, digest)
 
     def _record_cell_member(self, info: MemberInfo, digest: Digest) -> None:
@@ -227,7 +227,7 @@
             self._relay = info
             self._relay_heard_at = self.now
 
-    def _hear_remote(self, info: MemberInfo) -> None:
+    def _record_remote_daemon(self, info: MemberInfo) -> None:
         same_name = [k for k in self.remote if k.name == info.identity.name]
         for identity in same_name:
             del self.remote[identity]
