--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -231,9 +231,9 @@
         same_name = [k for k in self.remote if k.name == info.identity.name]
         for identity in same_name:
             del self.remote[identity]
-        self._keep_remote(info)
+        self._add_remote_contact(info)
 
-    def _keep_remote(self, info: MemberInfo) -> None:
+    def _add_remote_contact(self, info: MemberInfo) -> None:
         """Keep a daemon of another cell as a contact; their number does not grow with the fleet."""
         if len(self.remote) >= MAX_REMOTE_CONTACTS and info.identity not in self.remote:
             del self.remote[self._random.choice(sorted(self.remote))]
