--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -151,7 +151,7 @@
         for info in cell:
             if info.identity not in voters:
                 self._transport.send(info.address, message)
-        for info in list(self._membership.remote.values())[:REMOTE_PUSH_COUNT]:
+        for info in list(self._membership.remote_contacts.values())[:REMOTE_PUSH_COUNT]:
             self._transport.send(info.address, message)
         if acknowledged:
             await asyncio.wait(acknowledged, timeout=SETTLE_SECONDS)
@@ -167,7 +167,7 @@
         before = self.catalog.version
         self._take_changes(message.changes)
         if self.catalog.version > before:
-            for info in list(self._membership.remote.values())[:1]:
+            for info in list(self._membership.remote_contacts.values())[:1]:
                 self._transport.send(info.address, message)
         return Acknowledgement()
 
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -57,7 +57,7 @@
         self.is_leader: Callable[[], bool] = bool
         self.on_digest: DigestListener = lambda member, digest: None
         self.on_change: Callable[[], None] = lambda: None
-        self.remote: dict[VoterId, MemberInfo] = {}
+        self.remote_contacts: dict[VoterId, MemberInfo] = {}
         self._seeds = seeds
         self._settings = settings
         self._transport = transport
@@ -171,14 +171,16 @@
             self._spawn(self._contact(info.address))
 
     def _sample_remote(self) -> list[MemberInfo]:
-        remote = sorted(self.remote.values())
-        return self._random.sample(remote, min(GOSSIP_PEERS, len(remote)))
+        remote_contacts = sorted(self.remote_contacts.values())
+        return self._random.sample(remote_contacts, min(GOSSIP_PEERS, len(remote_contacts)))
 
     async def _contact(self, address: str) -> None:
         try:
             answer = await self._transport.call(address, self.heartbeat())
         except PeerUnreachable:
-            self.remote = {k: v for k, v in self.remote.items() if v.address != address}
+            self.remote_contacts = {
+                k: v for k, v in self.remote_contacts.items() if v.address != address
+            }
             return
         if isinstance(answer, HeartbeatAnswer):
             self._record_sender(answer.sender, answer.digest)
@@ -228,16 +230,19 @@
             self._relay_heard_at = self.now
 
     def _record_remote_daemon(self, info: MemberInfo) -> None:
-        same_name = [k for k in self.remote if k.name == info.identity.name]
+        same_name = [k for k in self.remote_contacts if k.name == info.identity.name]
         for identity in same_name:
-            del self.remote[identity]
+            del self.remote_contacts[identity]
         self._add_remote_contact(info)
 
     def _add_remote_contact(self, info: MemberInfo) -> None:
         """Keep a daemon of another cell as a contact; their number does not grow with the fleet."""
-        if len(self.remote) >= MAX_REMOTE_CONTACTS and info.identity not in self.remote:
-            del self.remote[self._random.choice(sorted(self.remote))]
-        self.remote[info.identity] = info
+        if (
+            len(self.remote_contacts) >= MAX_REMOTE_CONTACTS
+            and info.identity not in self.remote_contacts
+        ):
+            del self.remote_contacts[self._random.choice(sorted(self.remote_contacts))]
+        self.remote_contacts[info.identity] = info
 
     def on_member_list(self, message: MemberList) -> None:
         """Take in members that a peer knows."""
@@ -246,8 +251,8 @@
                 continue
             if info.cell == self.own.cell:
                 self.detector.add_unconfirmed(info, self.now)
-            elif len(self.remote) < MAX_REMOTE_CONTACTS:
-                self.remote.setdefault(info.identity, info)
+            elif len(self.remote_contacts) < MAX_REMOTE_CONTACTS:
+                self.remote_contacts.setdefault(info.identity, info)
 
     async def on_probe(self, message: ProbeRequest) -> ProbeAnswer:
         """Try to reach a suspect for a peer."""
