--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -27,7 +27,7 @@
 
 DigestListener = Callable[[MemberInfo, Digest], None]
 
-FORGET_AFTER_SECONDS = 60.0
+GONE_RETENTION_SECONDS = 60.0
 GOSSIP_PEERS = 2
 MAX_REMOTE_CONTACTS = 16
 
@@ -274,7 +274,7 @@
                 self._transport.disconnect(member.info.address)
                 if self.leader is not None and self.leader.identity == member.info.identity:
                     self.leader = None
-        self.detector.prune(now, FORGET_AFTER_SECONDS)
+        self.detector.prune(now, GONE_RETENTION_SECONDS)
         for state in MemberState:
             self._metrics.members.labels(state.value).set(len(self.detector.in_state(state)))
 
