--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -28,7 +28,7 @@
 DigestListener = Callable[[MemberInfo, Digest], None]
 
 GONE_RETENTION_SECONDS = 60.0
-GOSSIP_PEERS = 2
+GOSSIP_FANOUT = 2
 MAX_REMOTE_CONTACTS = 16
 
 
@@ -165,14 +165,14 @@
                 self._spawn(self._contact(address))
         targets = self.reachable()
         message = MemberList((*self.alive(), *self._sample_remote()))
-        for info in self._random.sample(targets, min(GOSSIP_PEERS, len(targets))):
+        for info in self._random.sample(targets, min(GOSSIP_FANOUT, len(targets))):
             self._transport.send(info.address, message)
         for info in self._sample_remote()[:1]:
             self._spawn(self._contact(info.address))
 
     def _sample_remote(self) -> list[MemberInfo]:
         remote_contacts = sorted(self.remote_contacts.values())
-        return self._random.sample(remote_contacts, min(GOSSIP_PEERS, len(remote_contacts)))
+        return self._random.sample(remote_contacts, min(GOSSIP_FANOUT, len(remote_contacts)))
 
     async def _contact(self, address: str) -> None:
         try:
