--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -51,7 +51,7 @@
         self.leader: MemberInfo | None = None
         self.leader_heard_at = float("-inf")
         self._leader_term = Stamp()
-        self._relay: MemberInfo | None = None
+        self._leader_relay: MemberInfo | None = None
         self._relay_heard_at = float("-inf")
         self.digest: Callable[[], Digest] = Digest
         self.is_leader: Callable[[], bool] = bool
@@ -104,9 +104,9 @@
 
     def controller_contact(self) -> MemberInfo | None:
         """Return whom to tell what is for the controller: it, or a peer that hears it."""
-        if self.hears_leader() or self._relay is None:
+        if self.hears_leader() or self._leader_relay is None:
             return self.leader
-        return self._relay
+        return self._leader_relay
 
     def find(self, identity: VoterId) -> MemberInfo | None:
         """Return a member by identity, whatever its state."""
@@ -226,7 +226,7 @@
             self.on_change()
             self._transport.send(info.address, MemberList(tuple(self.alive())))
         if digest.hears_leader:
-            self._relay = info
+            self._leader_relay = info
             self._relay_heard_at = self.now
 
     def _record_remote_daemon(self, info: MemberInfo) -> None:
