--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -52,7 +52,7 @@
         self.leader_heard_at = float("-inf")
         self._leader_term = Stamp()
         self._leader_relay: MemberInfo | None = None
-        self._relay_heard_at = float("-inf")
+        self._leader_relay_heard_at = float("-inf")
         self.digest: Callable[[], Digest] = Digest
         self.is_leader: Callable[[], bool] = bool
         self.on_digest: DigestListener = lambda member, digest: None
@@ -100,7 +100,7 @@
         """Return how long no leader was heard, directly or of through a peer that hears it."""
         if self.is_leader():
             return 0.0
-        return self.now - max(self.leader_heard_at, self._relay_heard_at)
+        return self.now - max(self.leader_heard_at, self._leader_relay_heard_at)
 
     def controller_contact(self) -> MemberInfo | None:
         """Return whom to tell what is for the controller: it, or a peer that hears it."""
@@ -227,7 +227,7 @@
             self._transport.send(info.address, MemberList(tuple(self.alive())))
         if digest.hears_leader:
             self._leader_relay = info
-            self._relay_heard_at = self.now
+            self._leader_relay_heard_at = self.now
 
     def _record_remote_daemon(self, info: MemberInfo) -> None:
         same_name = [k for k in self.remote_contacts if k.name == info.identity.name]
