--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -50,10 +50,10 @@
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            await asyncio.gather(*(self._probe(backend) for backend in self._mine()))
+            await asyncio.gather(*(self._probe(backend) for backend in self._assigned_backends()))
             await asyncio.sleep(constants.ENGINE_PROBE_INTERVAL_SECONDS)
 
-    def _mine(self) -> list[WatchedBackend]:
+    def _assigned_backends(self) -> list[WatchedBackend]:
         backends = {backend.name: backend for backend in self._backends()}
         daemons = [info.identity.name for info in self._membership.alive()]
         own = self._membership.own.identity.name
