--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -71,9 +71,9 @@
                 self._reporter.report(backend.name, self._leaving.get(backend.name, False), True)
             return
         self._failures[backend.name] = 0
-        earlier = self._instances.get(backend.name, status.instance)
+        previous_instance = self._instances.get(backend.name, status.instance)
         self._instances[backend.name] = status.instance
-        if earlier != status.instance:
+        if previous_instance != status.instance:
             self._reporter.report(backend.name, status.leaving, True)
         if status.leaving != self._leaving.get(backend.name, False):
             self._leaving[backend.name] = status.leaving
