--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -24,7 +24,7 @@
         self.on_change: Callable[[], None] = lambda: None
         self._source = machine_list
         self._cell = cell
-        self._wanted = wanted
+        self._should_read = wanted
         self.machines: dict[str, Machine] = {
             backend.name: _machine(backend, cell) for backend in backends
         }
@@ -33,7 +33,7 @@
     async def run(self) -> None:
         """Read the list at a steady interval while it is wanted, until cancelled."""
         while self._source is not None:
-            if self._wanted() or not self.machines:
+            if self._should_read() or not self.machines:
                 await self._read(self._source)
             await asyncio.sleep(constants.MACHINE_LIST_INTERVAL_SECONDS)
 
