--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -19,12 +19,12 @@
         machine_list: MachineList | None,
         backends: tuple[BackendSettings, ...],
         cell: str,
-        wanted: Callable[[], bool],
+        should_read: Callable[[], bool],
     ) -> None:
         self.on_change: Callable[[], None] = lambda: None
         self._source = machine_list
         self._cell = cell
-        self._should_read = wanted
+        self._should_read = should_read
         self.machines: dict[str, Machine] = {
             backend.name: _machine(backend, cell) for backend in backends
         }
