--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -42,12 +42,12 @@
             listed = {m.name: m for m in await source.machines(self._cell)}
         except PlatformUnavailable:
             return
-        before = dict(self.machines)
-        for name, machine in before.items():
+        previous = dict(self.machines)
+        for name, machine in previous.items():
             if name not in listed and name not in self._static:
                 self.machines[name] = structs.replace(machine, state=MachineState.GONE)
         self.machines.update(listed)
-        if self.machines != before:
+        if self.machines != previous:
             self.on_change()
 
     def in_role(self, role: MachineRole) -> list[Machine]:
