--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -13,7 +13,7 @@
 from loomwind.engines.client import EngineClient
 from loomwind.engines.errors import EngineError
 from loomwind.membership.service import Membership
-from loomwind.membership.watch import watched_by
+from loomwind.membership.watch import assigned_backends
 
 
 class WatchedBackend(Struct, frozen=True):
@@ -57,7 +57,7 @@
         backends = {backend.name: backend for backend in self._backends()}
         daemons = [info.identity.name for info in self._membership.alive()]
         own = self._membership.own.identity.name
-        names = watched_by(own, sorted(backends), daemons, constants.WATCHERS_PER_ENGINE)
+        names = assigned_backends(own, sorted(backends), daemons, constants.WATCHERS_PER_ENGINE)
         return [backends[name] for name in names]
 
     async def _probe(self, backend: WatchedBackend) -> None:
--- a/loomwind/membership/watch.py
+++ b/loomwind/membership/watch.py
@@ -14,6 +14,8 @@
     )[:count]
 
 
-def watched_by(daemon: str, backends: list[str], daemons: list[str], count: int) -> list[str]:
+def assigned_backends(
+    daemon: str, backends: list[str], daemons: list[str], count: int
+) -> list[str]:
     """Return the back ends that one daemon watches."""
     return [backend for backend in backends if daemon in watchers(backend, daemons, count)]
