--- a/loomwind/membership/watch.py
+++ b/loomwind/membership/watch.py
@@ -3,7 +3,7 @@
 import xxhash
 
 
-def watchers(backend: str, daemons: list[str], count: int) -> list[str]:
+def assigned_watchers(backend: str, daemons: list[str], count: int) -> list[str]:
     """Return the daemons that watch a back end.
 
     :param daemons: names of the live daemons.
@@ -18,4 +18,4 @@
     daemon: str, backends: list[str], daemons: list[str], count: int
 ) -> list[str]:
     """Return the back ends that one daemon watches."""
-    return [backend for backend in backends if daemon in watchers(backend, daemons, count)]
+    return [backend for backend in backends if daemon in assigned_watchers(backend, daemons, count)]
