--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -13,7 +13,7 @@
 from loomwind.engines.client import EngineClient
 from loomwind.engines.errors import EngineError
 from loomwind.membership.service import Membership
-from loomwind.membership.watch import assigned_backends
+from loomwind.membership.watch_assignment import assigned_backends
 
 
 class WatchedBackend(Struct, frozen=True):
