--- a/loomwind/membership/__init__.py
+++ b/loomwind/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: who is in the cell, who is suspected, leaving or gone, and who watches what."""
+"""Cell membership: failure detection, member gossip, and probes of back ends."""
