--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -1,7 +1,7 @@
-"""Probes the back ends that this daemon watches, and reports changes of their state.
+"""Probes the back ends assigned to this daemon, and reports changes of their state.
 
-A back end that was restarted answers as another instance; that is reported as a failure, too, so
-that the controller reads it anew.
+A restarted back end answers with another instance ID. This is reported as a failure too, so that
+the controller reads its inventory again.
 """
 
 import asyncio
@@ -17,20 +17,23 @@
 
 
 class WatchedBackend(Struct, frozen=True):
-    """A back end to watch."""
+    """The name and address of a back end to watch."""
 
     name: str
     address: str
 
 
 class BackendReporter(Struct, frozen=True):
-    """What to call when a back end's state changes, with name, leaving and failed."""
+    """Receives changes of a back end's state.
+
+    :param report: called with the back end's name, whether it is leaving, and whether it failed.
+    """
 
     report: Callable[[str, bool, bool], None]
 
 
 class BackendWatch:
-    """Watches this daemon's part of the cell's back ends."""
+    """Probes the back ends of the cell that are assigned to this daemon."""
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self._instances: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe the assigned back ends periodically until cancelled."""
         while True:
             await asyncio.gather(*(self._probe(backend) for backend in self._assigned_backends()))
             await asyncio.sleep(constants.ENGINE_PROBE_INTERVAL_SECONDS)
