--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -1,4 +1,4 @@
-"""The platform's machine list as one daemon sees it. It lags, and the service may be down."""
+"""A daemon's copy of the platform's machine list, which lags and may be unavailable."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,10 @@
 
 
 class MachineWatcher:
-    """Keeps the newest machine list; a machine that was listed and no longer is, is gone."""
+    """Polls the machine list. A machine that is no longer listed counts as gone.
+
+    Back ends from the settings are always present, whether they are listed or not.
+    """
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         self._static = set(self.machines)
 
     async def run(self) -> None:
-        """Read the list at a steady interval while it is wanted, until cancelled."""
+        """Poll the list until cancelled, while ``should_read`` returns true or no machine is known."""
         while self._source is not None:
             if self._should_read() or not self.machines:
                 await self._read(self._source)
@@ -51,7 +54,7 @@
             self.on_change()
 
     def in_role(self, role: MachineRole) -> list[Machine]:
-        """Return the machines of a role, whatever their state."""
+        """Return the machines of a role in any state, by name."""
         return [machine for _, machine in sorted(self.machines.items()) if machine.role is role]
 
 
