--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -1,8 +1,8 @@
-"""Failure detection of daemons: a state machine without I/O. Times in seconds, passed in.
+"""Failure detector for daemons: a state machine without I/O. Callers pass the time in seconds.
 
-Three kinds of evidence: heartbeats heard, connections refused (the host is up and the process is
-gone), and what peers near a suspect found when they probed it. The latter two follow "World Wide
-Failures" (Vogels, 1996); docs/DESIGN.md gives the measurement that speaks for each.
+It uses three kinds of evidence: received heartbeats, refused connections (the host is up, but the
+process has ended), and indirect probes of a suspect by peers near it. The latter two follow "World
+Wide Failures" (Vogels, 1996); docs/DESIGN.md gives the measurements that support each of them.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class MemberState(enum.Enum):
-    """What is believed of a member."""
+    """The state of a member according to the available evidence."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -24,9 +24,9 @@
 class Member(Struct, frozen=True):
     """A member and the evidence about it.
 
-    :param heard_at: when it was last heard, directly or through a peer that reached it.
-    :param connection_refused: whether its host refused a connection since.
-    :param process_ended: whether its process is known to have ended, rather than just silent.
+    :param last_heard_at: the time of its last message, or of the last successful indirect probe.
+    :param connection_refused: whether its host has refused a connection since its last message.
+    :param process_ended: whether its process is known to have ended; silence alone is no proof.
     """
 
     info: MemberInfo
@@ -37,10 +37,10 @@
 
 
 class DetectorSettings(Struct, frozen=True):
-    """Times of the detector.
+    """Timeouts of the detector, and the evidence that it uses.
 
-    :param trust_refusals: whether a refused connection counts as proof that a process is gone.
-    :param indirect_probes: whether a peer's success in reaching a suspect keeps it from gone.
+    :param trust_refusals: whether a refused connection proves that the process has ended.
+    :param indirect_probes: whether a successful probe by a peer keeps a suspect from being gone.
     """
 
     suspect_after_seconds: float
@@ -50,7 +50,7 @@
 
 
 class Detector:
-    """The members of one cell as one daemon sees them."""
+    """Tracks the state of the other daemons of a cell, as observed by this daemon."""
 
     def __init__(self, settings: DetectorSettings) -> None:
         self._settings = settings
@@ -58,13 +58,13 @@
 
     @property
     def suspect_after_seconds(self) -> float:
-        """Return the silence after which a member is suspected, in seconds."""
+        """Return the time without a heartbeat after which a member is suspected, in seconds."""
         return self._settings.suspect_after_seconds
 
     def record_heartbeat(self, info: MemberInfo, now: float) -> bool:
-        """Take in a sign of life.
+        """Record a heartbeat, or its answer, from a member.
 
-        :returns: whether the member is new here or came back.
+        :returns: whether the member is new or was gone.
         """
         known = self.members.get(info.identity)
         state = MemberState.LEAVING if info.leaving else MemberState.ALIVE
@@ -73,7 +73,7 @@
         return known is None or known.state is MemberState.GONE
 
     def _mark_earlier_incarnations_gone(self, info: MemberInfo) -> None:
-        """A name that is heard under a new incarnation has ended its earlier one."""
+        """Mark other incarnations of the name as gone: a newer process has replaced them."""
         for identity, member in self.members.items():
             same_name = identity.name == info.identity.name
             if same_name and identity != info.identity:
@@ -82,7 +82,7 @@
                 )
 
     def add_unconfirmed(self, info: MemberInfo, now: float) -> None:
-        """Take in a member that a peer named, without evidence that it is alive."""
+        """Add a member reported by a peer as a suspect, as nothing shows yet that it is alive."""
         if info.identity in self.members:
             return
         newer = any(
@@ -93,7 +93,7 @@
             self.members[info.identity] = Member(info, MemberState.SUSPECT, now)
 
     def record_connection_refused(self, identity: VoterId) -> None:
-        """Note that the member's host refused a connection."""
+        """Record that the member's host refused a connection."""
         member = self.members.get(identity)
         if member is not None:
             process_ended = member.process_ended or self._settings.trust_refusals
@@ -102,13 +102,13 @@
             )
 
     def record_reached_by_peer(self, identity: VoterId, now: float) -> None:
-        """Note that a peer near a suspect reached it: the link is at fault, not the member."""
+        """Record that a peer reached a suspect, so only the connection to it has failed."""
         member = self.members.get(identity)
         if self._settings.indirect_probes and member is not None:
             self.members[identity] = structs.replace(member, last_heard_at=now)
 
     def mark_gone(self, name: str) -> None:
-        """Note that the machine list has a daemon as gone."""
+        """Mark a daemon as gone because the machine list says so."""
         for identity, member in self.members.items():
             if identity.name == name:
                 self.members[identity] = structs.replace(
@@ -116,7 +116,7 @@
                 )
 
     def tick(self, now: float) -> list[Member]:
-        """Let time pass.
+        """Update the state of all members for the current time.
 
         :returns: the members whose state changed.
         """
@@ -143,7 +143,7 @@
         return member.state
 
     def prune(self, now: float, after_seconds: float) -> None:
-        """Forget members that have been gone for long."""
+        """Remove gone members that were last heard more than ``after_seconds`` ago."""
         for identity, member in list(self.members.items()):
             if member.state is MemberState.GONE and now - member.last_heard_at > after_seconds:
                 del self.members[identity]
@@ -153,6 +153,6 @@
         return [m for _, m in sorted(self.members.items()) if m.state in states]
 
     def state_of(self, identity: VoterId) -> MemberState | None:
-        """Return what is believed of a member; None when it is not known."""
+        """Return the state of a member, or None when it is unknown."""
         member = self.members.get(identity)
         return member.state if member else None
