--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership service of a daemon: heartbeats, gossip of members, and probes of suspects."""
+"""Membership service of a daemon: heartbeats, member gossip and indirect probes of suspects."""
 
 import asyncio
 import random
@@ -29,14 +29,15 @@
 
 GONE_RETENTION_SECONDS = 60.0
 GOSSIP_FANOUT = 2
+# Fixed, so that the contacts in other cells do not grow in number with the fleet.
 MAX_REMOTE_CONTACTS = 16
 
 
 class Membership:
-    """Keeps the member view of one daemon.
+    """Maintains a daemon's view of the members of its cell.
 
-    Heartbeats go to all daemons of the own cell; to other cells only a rare one, to a single
-    daemon, so that the work of a daemon does not grow with the number of cells.
+    Heartbeats go to all daemons of the cell. Other cells are contacted only at the gossip interval,
+    one daemon at a time, so that the load on a daemon does not grow with the number of cells.
     """
 
     def __init__(
@@ -71,16 +72,16 @@
 
     @property
     def has_seeds(self) -> bool:
-        """Return whether other daemons are expected."""
+        """Return whether seed addresses of other daemons are configured."""
         return bool(self._seeds)
 
     @property
     def now(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return the time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     def alive(self) -> list[MemberInfo]:
-        """Return the daemons of the cell that are alive, this one among them."""
+        """Return the live daemons of the cell, including this one unless it is leaving."""
         others = [member.info for member in self.detector.in_state(MemberState.ALIVE)]
         own = [] if self.own.leaving else [self.own]
         return sorted([*own, *others])
@@ -91,32 +92,32 @@
         return [member.info for member in self.detector.in_state(*states)]
 
     def hears_leader(self) -> bool:
-        """Return whether this daemon leads, or hears the leader itself."""
+        """Return whether this daemon is the leader, or receives its heartbeats directly."""
         silence = self.now - self.leader_heard_at
         heard = self.leader is not None and silence < self._settings.suspect_after_seconds
         return self.is_leader() or heard
 
     def leader_silence_seconds(self) -> float:
-        """Return how long no leader was heard, directly or of through a peer that hears it."""
+        """Return the time since the last direct or relayed contact with a leader, in seconds."""
         if self.is_leader():
             return 0.0
         return self.now - max(self.leader_heard_at, self._leader_relay_heard_at)
 
     def controller_contact(self) -> MemberInfo | None:
-        """Return whom to tell what is for the controller: it, or a peer that hears it."""
+        """Return where to send messages for the controller: to it, or to a peer that hears it."""
         if self.hears_leader() or self._leader_relay is None:
             return self.leader
         return self._leader_relay
 
     def find(self, identity: VoterId) -> MemberInfo | None:
-        """Return a member by identity, whatever its state."""
+        """Return a member in any state by its identity, or None when it is unknown."""
         if identity == self.own.identity:
             return self.own
         member = self.detector.members.get(identity)
         return member.info if member else None
 
     async def run(self) -> None:
-        """Send heartbeats and judge members until cancelled."""
+        """Send heartbeats and gossip and update the state of members, until cancelled."""
         next_gossip = 0.0
         while True:
             now = self.now
@@ -134,7 +135,7 @@
         return task
 
     def heartbeat(self) -> Heartbeat:
-        """Return the heartbeat to send now."""
+        """Return a heartbeat with the current state of this daemon."""
         return Heartbeat(self.own, self.digest(), self.is_leader())
 
     def _send_heartbeats(self) -> None:
@@ -158,7 +159,7 @@
             self._record_sender(answer.sender, answer.digest)
 
     def _gossip(self) -> None:
-        """Tell a few daemons about the members, and find new ones through the seeds."""
+        """Send the member list to a few daemons, and contact seeds that are not yet members."""
         known = {info.address for info in self.reachable()} | {self.own.address}
         for address in self._seeds:
             if address not in known:
@@ -187,16 +188,18 @@
             self._transport.send(address, MemberList((self.own, *self.alive())))
 
     def on_heartbeat(self, message: Heartbeat) -> HeartbeatAnswer:
-        """Take in a heartbeat and answer with the own state."""
+        """Record a heartbeat and answer with the state of this daemon."""
         self._record_sender(message.sender, message.digest)
         if message.leader and message.sender.cell == self.own.cell:
             self.record_leader(message.sender, message.digest.register)
         return HeartbeatAnswer(self.own, self.digest())
 
     def record_leader(self, info: MemberInfo, register: Stamp) -> None:
-        """Note who leads the cell; one of a lower ballot was replaced and does not know it yet.
+        """Record the leader of the cell. An announcement from an earlier term is ignored.
 
-        :param register: the newest register value that the leader knows.
+        A leader with a lower ballot was replaced and has not noticed it yet.
+
+        :param register: the stamp of the newest register value that the leader has.
         """
         term = Stamp(register.generation, register.ballot)
         if term < self._leader_term:
@@ -219,7 +222,7 @@
     def _record_cell_member(self, info: MemberInfo, digest: Digest) -> None:
         leader = self.leader
         if leader is not None and leader.identity.name == info.identity.name:
-            # A leader whose name is heard under another incarnation has ended.
+            # Another incarnation under the leader's name means that the leader's process has ended.
             self.leader = leader if leader.identity == info.identity else None
         if self.detector.record_heartbeat(info, self.now):
             log_state("member", "alive", name=info.identity.name, zone=info.zone)
@@ -236,7 +239,7 @@
         self._add_remote_contact(info)
 
     def _add_remote_contact(self, info: MemberInfo) -> None:
-        """Keep a daemon of another cell as a contact; their number does not grow with the fleet."""
+        """Add a daemon of another cell as a contact, replacing a random one at the limit."""
         if (
             len(self.remote_contacts) >= MAX_REMOTE_CONTACTS
             and info.identity not in self.remote_contacts
@@ -245,7 +248,7 @@
         self.remote_contacts[info.identity] = info
 
     def on_member_list(self, message: MemberList) -> None:
-        """Take in members that a peer knows."""
+        """Add the members that a peer reports."""
         for info in message.members:
             if info.identity == self.own.identity:
                 continue
@@ -255,7 +258,7 @@
                 self.remote_contacts.setdefault(info.identity, info)
 
     async def on_probe(self, message: ProbeRequest) -> ProbeAnswer:
-        """Try to reach a suspect for a peer."""
+        """Probe a suspect on behalf of a peer."""
         try:
             await self._transport.call(message.suspect.address, self.heartbeat())
         except PeerUnreachable as error:
@@ -279,7 +282,7 @@
             self._metrics.members.labels(state.value).set(len(self.detector.in_state(state)))
 
     async def _probe_indirectly(self, suspect: MemberInfo) -> None:
-        """Ask a daemon of the suspect's zone, or any other, to probe it."""
+        """Ask another live daemon, preferably in the suspect's zone, to probe the suspect."""
         others = [info for info in self.alive() if info not in (self.own, suspect)]
         others.sort(key=lambda info: info.zone != suspect.zone)
         for info in others[:1]:
@@ -291,12 +294,12 @@
                 self.detector.record_reached_by_peer(suspect.identity, self.now)
 
     def announce_leadership(self) -> None:
-        """Tell all peers at once that this daemon leads, so that none campaigns against it."""
+        """Send heartbeats to all peers at once, so that none of them starts an election."""
         self.record_leader(self.own, self.digest().register)
         self._heartbeats.clear()
         self._send_heartbeats()
 
     def announce_leaving(self) -> None:
-        """Tell all peers that this daemon is leaving."""
+        """Mark this daemon as leaving and tell all peers."""
         self.own = msgspec.structs.replace(self.own, leaving=True)
         self._send_heartbeats()
