--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -27,11 +27,11 @@
 from loomwind.schema import Artifact, Outcome
 from loomwind.settings import LimitSettings
 
-RETRY_SOON_SECONDS = 1.0
-RETRY_BARRIER_SECONDS = 30.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
+BARRIER_RETRY_AFTER_SECONDS = 30.0
 
 
-class BackendResponse(Struct, frozen=True):
+class PreparedResponse(Struct, frozen=True):
     """A response that is ready to send: with a buffered body, or a stream if ``body`` is None.
 
     :param attempt_seconds: how long the attempt has used its slot so far.
@@ -58,8 +58,8 @@
     @property
     def outcome(self) -> Outcome:
         """Return the outcome to report if the request ends now."""
-        under_way = self.attempt is not None and self.attempt.request_sent
-        return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
+        in_progress = self.attempt is not None and self.attempt.request_sent
+        return Outcome.UNKNOWN if in_progress or self.may_have_run else Outcome.NOT_RUN
 
 
 class RequestHandler:
@@ -87,7 +87,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._claims = claims
-        self._admission = admission
+        self._admission_view = admission
         self._metrics = metrics
         self._budget = RetryBudget()
 
@@ -104,7 +104,7 @@
             await self._serve(exchange)
             self._metrics.answered.inc()
         except RequestRefused as refusal:
-            self._count(refusal)
+            self._count_refusal(refusal)
             await self._refuse(exchange, refusal, request_id)
         except (ConnectionBroken, asyncio.CancelledError):
             self._metrics.cancelled.inc()
@@ -112,12 +112,12 @@
         except Exception as error:
             log_state("request", "internal-error", error=repr(error))
             internal = RequestRefused(Problem.INTERNAL_ERROR, "see the log", Outcome.UNKNOWN)
-            self._count(internal)
+            self._count_refusal(internal)
             await self._refuse(exchange, internal, request_id)
         finally:
             self._metrics.waiting.dec()
 
-    def _count(self, refusal: RequestRefused) -> None:
+    def _count_refusal(self, refusal: RequestRefused) -> None:
         self._metrics.refused.labels(refusal.problem.slug, refusal.outcome.value).inc()
 
     async def _refuse(self, exchange: Exchange, refusal: RequestRefused, request_id: str) -> None:
@@ -130,22 +130,24 @@
         parsed = parse(exchange, self._limits, self._now())
         if not self.ready:
             detail = "the catalog is not known yet"
-            raise RequestRefused(Problem.NOT_READY, detail, retry_after_seconds=RETRY_SOON_SECONDS)
+            raise RequestRefused(
+                Problem.NOT_READY, detail, retry_after_seconds=DEFAULT_RETRY_AFTER_SECONDS
+            )
         identified = identify(parsed, self._catalog(), self._is_ready)
-        admitted = admit(identified, self._admission(identified), self._now())
+        admitted = admit(identified, self._admission_view(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
-        answer = await self._get_response(admitted)
-        response = answer.response
+        prepared = await self._get_response(admitted)
+        response = prepared.response
         forwarded_at = self._now()
         try:
-            if answer.body is None or not answer.body.complete:
-                prefix = answer.body.data if answer.body else b""
+            if prepared.body is None or not prepared.body.complete:
+                prefix = prepared.body.data if prepared.body else b""
                 await self._relay.stream(exchange, response, parsed.request_id, prefix)
             else:
-                data = answer.body.data
+                data = prepared.body.data
                 await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
-            slot_seconds = answer.attempt_seconds + self._now() - forwarded_at
+            slot_seconds = prepared.attempt_seconds + self._now() - forwarded_at
             self._selector.record_service_time(admitted.target, slot_seconds)
             self._release(response)
 
@@ -156,7 +158,7 @@
         self._selector.release(response.selected)
         self._queue.dispatch()
 
-    async def _get_response(self, admitted: AdmittedRequest) -> BackendResponse:
+    async def _get_response(self, admitted: AdmittedRequest) -> PreparedResponse:
         """Make attempts until one gets a response, the deadline is near or no retry is allowed."""
         self._budget.on_request()
         progress = RequestProgress()
@@ -180,18 +182,18 @@
 
         :raises RequestRefused: no retry is allowed.
         """
-        safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
-        last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if safe and not last and self._budget.try_spend():
+        retry_safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
+        is_last_attempt = attempt_number + 1 >= constants.MAX_ATTEMPTS
+        if retry_safe and not is_last_attempt and self._budget.try_spend():
             return
         not_run = failure.outcome is Outcome.NOT_RUN
         problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
-        retry_after = RETRY_SOON_SECONDS if safe else None
+        retry_after = DEFAULT_RETRY_AFTER_SECONDS if retry_safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
     async def _attempt_before_deadline(
         self, admitted: AdmittedRequest, progress: RequestProgress
-    ) -> BackendResponse:
+    ) -> PreparedResponse:
         """Wait for a slot, forward the request and read the response until it can be sent.
 
         :raises AttemptFailed: the back end sent no usable response.
@@ -210,14 +212,14 @@
 
     def _retry_after(self, admitted: AdmittedRequest) -> float:
         estimate = self._table.estimate_seconds(admitted.target)
-        return RETRY_SOON_SECONDS if estimate is None else estimate
+        return DEFAULT_RETRY_AFTER_SECONDS if estimate is None else estimate
 
     async def _attempt(
         self, admitted: AdmittedRequest, progress: RequestProgress
-    ) -> BackendResponse:
+    ) -> PreparedResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
-        began = self._now()
+        started_at = self._now()
         try:
             if progress.claim is None:
                 progress.claim = await self._claim(admitted)
@@ -228,7 +230,7 @@
             self._on_attempt_failed(attempt, progress, error)
             raise
         self._selector.circuit(selected.backend.name).record_success()
-        return BackendResponse(response, body, self._now() - began)
+        return PreparedResponse(response, body, self._now() - started_at)
 
     def _on_attempt_failed(
         self, attempt: Attempt, progress: RequestProgress, error: BaseException
@@ -255,16 +257,16 @@
         key = admitted.identified.parsed.idempotency_key
         if key is None:
             return None
-        scoped = f"{admitted.identified.group}/{key}"
+        scoped_key = f"{admitted.identified.group}/{key}"
         try:
-            return await self._claims.claim(scoped, admitted.deadline - self._now())
+            return await self._claims.claim(scoped_key, admitted.deadline - self._now())
         except ClaimTaken as error:
             raise RequestRefused(Problem.DUPLICATE_REQUEST, str(error), Outcome.UNKNOWN) from error
         except ClaimBarrier as error:
             raise RequestRefused(
-                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, RETRY_BARRIER_SECONDS
+                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, BARRIER_RETRY_AFTER_SECONDS
             ) from error
         except ClaimUnavailable as error:
             raise RequestRefused(
-                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, RETRY_SOON_SECONDS
+                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, DEFAULT_RETRY_AFTER_SECONDS
             ) from error
--- a/loomwind/pipeline/select.py
+++ b/loomwind/pipeline/select.py
@@ -16,7 +16,7 @@
     """A back end that serves the target of a request.
 
     :param running: the number of requests of this daemon that run there.
-    :param near: whether it is in the same zone as the daemon.
+    :param same_zone: whether it is in the same zone as the daemon.
     """
 
     backend: Backend
@@ -50,14 +50,14 @@
 
     def candidates(self, target: Target, now: float) -> list[Candidate]:
         """Return the back ends that serve a target and whose circuit breaker allows a request."""
-        found = []
+        candidates = []
         for backend in self._table.backends(target):
             if self.circuit(backend.name).allows(now):
                 slots = self._table.slots(backend.name) or APPLICATION_SLOTS
                 same_zone = backend.zone == self._zone
                 running = self.running[backend.name]
-                found.append(Candidate(backend, running, slots, same_zone))
-        return found
+                candidates.append(Candidate(backend, running, slots, same_zone))
+        return candidates
 
     def has_free_slot(self, target: Target, now: float) -> bool:
         """Return whether a request for a target could be sent now."""
@@ -75,8 +75,8 @@
 
     def record_service_time(self, target: Target, seconds: float) -> None:
         """Add the slot time of an answered request to the target's moving average."""
-        known = self._service_seconds.get(target, seconds)
-        self._service_seconds[target] = known + SERVICE_TIME_SMOOTHING * (seconds - known)
+        average = self._service_seconds.get(target, seconds)
+        self._service_seconds[target] = average + SERVICE_TIME_SMOOTHING * (seconds - average)
 
     def queue_seconds(self, target: Target, waiting: int, now: float) -> float:
         """Return the expected wait behind the waiting requests; 0 if no service time is known."""
