--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -34,7 +34,7 @@
         self._static = set(self.machines)
 
     async def run(self) -> None:
-        """Poll the list while ``should_read`` returns true or no machine is known, until cancelled."""
+        """Poll the list until cancelled; skip reads when not needed and machines are known."""
         while self._source is not None:
             if self._should_read() or not self.machines:
                 await self._read(self._source)
