--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -43,7 +43,7 @@
     UNKNOWN = "the lines do not tell"
 
 
-# The causes that a decision about a waiting request names itself.
+# The cause that is implied by the decision to refuse a waiting request.
 WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
@@ -110,19 +110,23 @@
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
         return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
-    end = own[-1]
-    before = [line for line in lines if end.time - LOOKBACK_SECONDS <= line.time <= end.time]
+    last = own[-1]
+    recent_lines = [
+        line for line in lines if last.time - LOOKBACK_SECONDS <= line.time <= last.time
+    ]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
         line
-        for line in before
+        for line in recent_lines
         if line.kind == "loomwind:order"
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    states = tuple(_latest_states(before, end.daemon))
-    return RequestHistory(request_id, _find_cause(own, states, orders, before), own, states, orders)
+    states = tuple(_latest_states(recent_lines, last.daemon))
+    return RequestHistory(
+        request_id, _find_cause(own, states, orders, recent_lines), own, states, orders
+    )
 
 
 def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
@@ -138,7 +142,7 @@
     own: Sequence[LogLine],
     states: Sequence[LogLine],
     orders: Sequence[LogLine],
-    before: Sequence[LogLine],
+    recent_lines: Sequence[LogLine],
 ) -> Cause:
     """Return the likely cause: that of the first rule that matches."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
@@ -153,7 +157,7 @@
     if ended and ended.get("decision") == "caller-left":
         return Cause.CALLER_LEFT
     if ended and ended.get("waiting"):
-        return _find_wait_cause(own, orders, before)
+        return _find_wait_cause(own, orders, recent_lines)
     if "no server of the service" in reason:
         return Cause.NO_SERVER
     failure = next((line for line in reversed(own) if line.get("decision") == "send-failed"), None)
@@ -169,17 +173,17 @@
 
 
 def _find_wait_cause(
-    own: Sequence[LogLine], orders: Sequence[LogLine], before: Sequence[LogLine]
+    own: Sequence[LogLine], orders: Sequence[LogLine], recent_lines: Sequence[LogLine]
 ) -> Cause:
     if any(line.get("state") == "unknown" for line in orders):
         return Cause.ORDERS_UNANSWERED
-    election_lines = [line for line in before if line.kind == "loomwind:election"]
+    election_lines = [line for line in recent_lines if line.kind == "loomwind:election"]
     is_leader: dict[str, bool] = {}
     for line in election_lines:
         if line.get("state") in ("leader", "follower"):
             is_leader[line.daemon] = line.get("state") == "leader"
     store_lost = any(
-        line.kind == "loomwind:store" and line.get("state") == "lost" for line in before
+        line.kind == "loomwind:store" and line.get("state") == "lost" for line in recent_lines
     )
     if not orders and (not any(is_leader.values()) or store_lost):
         return Cause.NO_LEADER
