--- a/loomwind/membership/backend_watch.py
+++ b/loomwind/membership/backend_watch.py
@@ -1,7 +1,7 @@
-"""Probes the back ends that this daemon watches, and reports changes of their state.
+"""Probes the back ends assigned to this daemon, and reports changes of their state.
 
-A back end that was restarted answers as another instance; that is reported as a failure, too, so
-that the controller reads it anew.
+A restarted back end answers with another instance ID. This is reported as a failure too, so that
+the controller reads its inventory again.
 """
 
 import asyncio
@@ -13,24 +13,27 @@
 from loomwind.engines.client import EngineClient
 from loomwind.engines.errors import EngineError
 from loomwind.membership.service import Membership
-from loomwind.membership.watch import watched_by
+from loomwind.membership.watch_assignment import assigned_backends
 
 
 class WatchedBackend(Struct, frozen=True):
-    """A back end to watch."""
+    """The name and address of a back end to watch."""
 
     name: str
     address: str
 
 
 class BackendReporter(Struct, frozen=True):
-    """What to call when a back end's state changes, with name, leaving and failed."""
+    """Receives changes of a back end's state.
+
+    :param report: called with the back end's name, whether it is leaving, and whether it failed.
+    """
 
     report: Callable[[str, bool, bool], None]
 
 
 class BackendWatch:
-    """Watches this daemon's part of the cell's back ends."""
+    """Probes the back ends of the cell that are assigned to this daemon."""
 
     def __init__(
         self,
@@ -48,16 +51,16 @@
         self._instances: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe the assigned back ends periodically until cancelled."""
         while True:
-            await asyncio.gather(*(self._probe(backend) for backend in self._mine()))
+            await asyncio.gather(*(self._probe(backend) for backend in self._assigned_backends()))
             await asyncio.sleep(constants.ENGINE_PROBE_INTERVAL_SECONDS)
 
-    def _mine(self) -> list[WatchedBackend]:
+    def _assigned_backends(self) -> list[WatchedBackend]:
         backends = {backend.name: backend for backend in self._backends()}
         daemons = [info.identity.name for info in self._membership.alive()]
         own = self._membership.own.identity.name
-        names = watched_by(own, sorted(backends), daemons, constants.WATCHERS_PER_ENGINE)
+        names = assigned_backends(own, sorted(backends), daemons, constants.WATCHERS_PER_ENGINE)
         return [backends[name] for name in names]
 
     async def _probe(self, backend: WatchedBackend) -> None:
@@ -71,9 +74,9 @@
                 self._reporter.report(backend.name, self._leaving.get(backend.name, False), True)
             return
         self._failures[backend.name] = 0
-        earlier = self._instances.get(backend.name, status.instance)
+        previous_instance = self._instances.get(backend.name, status.instance)
         self._instances[backend.name] = status.instance
-        if earlier != status.instance:
+        if previous_instance != status.instance:
             self._reporter.report(backend.name, status.leaving, True)
         if status.leaving != self._leaving.get(backend.name, False):
             self._leaving[backend.name] = status.leaving
