--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the systems around Loomwind, each its own process, with faults to switch on.
+"""Stand-ins for the systems that Loomwind works with; each runs as a process and can inject faults.
 
-They exist for tests, the demo and the bench; none is part of the product.
+They serve the tests, the demo and the benchmarks, and are not part of the product.
 """
