--- a/standins/application.py
+++ b/standins/application.py
@@ -1,4 +1,4 @@
-"""Stand-in for an application server: counts each request that it runs, by request id and key."""
+"""Stand-in for an application server that counts executions by idempotency key or request id."""
 
 import asyncio
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class Application:
-    """An application server with faults."""
+    """Application server with injectable faults."""
 
     def __init__(self, name: str, work_seconds: float = 0.0) -> None:
         self.name = name
@@ -81,7 +81,7 @@
 def main(
     name: str = "application", port: int = 0, host: str = "127.0.0.1", work_seconds: float = 0.0
 ) -> None:
-    """Run the application stand-in until it is killed."""
+    """Run the application stand-in until the process is killed."""
     asyncio.run(_serve(Application(name, work_seconds), host, port))
 
 
