--- a/standins/batching.py
+++ b/standins/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching of a stand-in engine: a fixed number of requests run, the rest wait."""
+"""Continuous batching of a stand-in engine: a concurrency limit with a priority queue."""
 
 import asyncio
 import heapq
@@ -8,7 +8,7 @@
 
 
 class Batch:
-    """Lets ``concurrency`` requests in at once, the highest priority first."""
+    """Runs up to ``concurrency`` requests at once and admits waiting ones by priority."""
 
     def __init__(self, concurrency: int) -> None:
         self.concurrency = concurrency
@@ -18,12 +18,12 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Number of requests that wait for a slot."""
         return sum(not future.done() for _, _, future in self._waiting)
 
     @asynccontextmanager
     async def slot(self, priority: int) -> AsyncIterator[None]:
-        """Wait for a place in the batch and hold it."""
+        """Acquire a slot in the batch for the duration of the context."""
         if self.running >= self.concurrency:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             heapq.heappush(self._waiting, (-priority, next(self._sequence), future))
