--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in for a model engine: fenced loads, batching, streams that resume, and faults.
+"""Stand-in for a model engine with fenced orders, batching, resumable streams and faults.
 
-Answers are made from the prompt, so that a test can tell whose answer it got. Control for tests:
-``POST /_fault``, ``GET /_executions`` (runs by idempotency key or request id), ``GET
-/_statistics``, ``POST /_checkpoints``.
+Responses are derived from the prompt, so that a test can match a response to its request. Test
+endpoints: ``POST /_fault``, ``GET /_executions`` (executions by idempotency key or request id),
+``GET /_statistics``, ``GET /_inventory``, ``POST /_checkpoints``.
 """
 
 import asyncio
@@ -48,14 +48,14 @@
 
 
 class ChatMessage(Struct):
-    """One message of a chat request."""
+    """A message of a chat-completions request."""
 
     role: str
     content: str
 
 
 class ChatRequest(Struct):
-    """The part of a chat-completions request that the stand-in looks at."""
+    """The fields of a chat-completions request that the stand-in reads."""
 
     model: str
     messages: list[ChatMessage] = []
@@ -64,14 +64,14 @@
 
 
 class Generation(Struct):
-    """An answer as pieces, one for each token, with the pause before each in seconds."""
+    """A response body as pieces that are sent with a pause after each."""
 
     pieces: list[bytes]
     content_type: str
 
 
 def generate(request_id: str, chat: ChatRequest) -> Generation:
-    """Return the answer to a chat request; the same for the same request."""
+    """Return the response to a chat request; equal requests get equal responses."""
     prompt = chat.messages[-1].content if chat.messages else ""
     tokens = [f"{prompt}/{index} " for index in range(chat.max_tokens)]
     if not chat.stream:
@@ -99,7 +99,7 @@
 
 
 class Engine:
-    """One life of an engine."""
+    """One instance of an engine."""
 
     def __init__(
         self,
@@ -160,7 +160,7 @@
             return json_response(self.replicas.raise_fence(fence))
         if path == "/v1/orders":
             order = msgspec.json.decode(request.body, type=Order)
-            # An order that has begun goes on when the controller that gave it goes away.
+            # A started order completes even if the controller that sent it disconnects.
             execution = asyncio.get_running_loop().create_task(self.replicas.execute_order(order))
             return json_response(await asyncio.shield(execution))
         if path == "/v1/status":
@@ -313,9 +313,9 @@
     first_token_seconds: float = 0.01,
     token_seconds: float = 0.002,
 ) -> None:
-    """Run the engine stand-in until it is killed.
+    """Run the engine stand-in until the process is killed.
 
-    :param weights: ``host:port`` of the weight store; without one a load just takes its time.
+    :param weights: ``host:port`` of the weight store; if empty, loads only sleep.
     """
     engine = Engine(name, memory_mib, concurrency, weights, first_token_seconds, token_seconds)
     asyncio.run(_serve(engine, host, port))
