--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that tests switch on in a running stand-in through ``POST /_fault``."""
+"""Faults that tests inject into a running stand-in with ``POST /_fault``."""
 
 import asyncio
 
@@ -9,13 +9,14 @@
 
 
 class Faults(Struct):
-    """The faults in force. Times in seconds.
-
-    :param down: answer nothing: connections are closed at once.
-    :param delay_seconds: wait before acting.
-    :param lose_answers: act, then close without an answer.
-    :param matches: only for paths that start with this.
-    :param unframed: streams have neither a length nor chunks; a cut one ends inside an event.
+    """The active faults.
+
+    :param down: close every connection without a response.
+    :param delay_seconds: delay before a request is processed.
+    :param lose_answers: process the request, then close the connection without a response.
+    :param matches: path prefix that limits ``down``, ``delay_seconds`` and ``lose_answers``.
+    :param unframed: streams are close-delimited: neither Content-Length nor chunked encoding. A
+        truncated one ends inside an event.
     """
 
     down: bool = False
@@ -33,17 +34,17 @@
 
 
 def decode_faults(body: bytes) -> Faults:
-    """Return the faults that a test asks for; those not named are off."""
+    """Return the faults of a request body; faults that it does not name are off."""
     return msgspec.json.decode(body, type=Faults) if body else Faults()
 
 
 async def apply_delay(faults: Faults, path: str) -> None:
-    """Wait as long as the faults say for this path."""
+    """Sleep for the injected delay if it applies to the path."""
     if faults.delay_seconds and path.startswith(faults.matches):
         await asyncio.sleep(faults.delay_seconds)
 
 
 def json_response(value: object, status: int = 200) -> HttpResponse:
-    """Return a whole JSON response."""
+    """Return a response with a JSON body."""
     headers = (("content-type", "application/json"),)
     return HttpResponse(status, headers, msgspec.json.encode(value))
