--- a/standins/link.py
+++ b/standins/link.py
@@ -1,8 +1,8 @@
-"""TCP links that tests can cut: each forwards to one address until told not to.
+"""TCP proxies that simulate network faults; each forwards to one target address.
 
 ``python -m standins.link --targets HOST:PORT,HOST:PORT`` prints ``ready``, the port of each link
-in order, and the port of the control. A line with one of the states of :class:`LinkState` on the
-control port changes all links, or those to the targets that follow it, and is echoed.
+in order, and the control port. A line ``STATE [TARGET...]`` on the control port, with a state of
+:class:`LinkState`, sets the state of the links to these targets, or of all links, and is echoed.
 """
 
 import asyncio
@@ -12,16 +12,17 @@
 import fire
 
 LISTEN_BACKLOG = 100
-# With a backlog of none, the kernel drops the opening packet once so many connections wait.
+# With a backlog of 0, the kernel drops SYN packets once this many connections are pending.
 BACKLOG_FILL_CONNECTIONS = 4
 
 
 class LinkState(enum.Enum):
-    """What the links do with connections and bytes.
+    """How a link treats connections and data.
 
-    ``cut`` accepts connections and breaks them; ``reset`` breaks those that are open and refuses
-    new ones; ``refuse_new`` lets those that are open live on; ``blackhole`` accepts and loses all
-    bytes; ``partition`` loses all bytes, and new connections hang.
+    ``heal`` forwards everything; ``cut`` aborts open connections, and new ones after accepting
+    them; ``reset`` aborts open connections and refuses new ones; ``refuse_new`` refuses new
+    connections and keeps open ones; ``blackhole`` accepts connections and drops all data;
+    ``partition`` drops all data, and new connections hang.
     """
 
     OPEN = "heal"
@@ -33,22 +34,22 @@
 
     @property
     def forwards_bytes(self) -> bool:
-        """Whether bytes of connections that are open arrive."""
+        """Whether data on open connections is forwarded."""
         return self in (LinkState.OPEN, LinkState.REFUSE_NEW)
 
     @property
     def aborts_open_connections(self) -> bool:
-        """Whether connections that are open are broken."""
+        """Whether open connections are aborted."""
         return self in (LinkState.CUT, LinkState.RESET)
 
     @property
     def refuses_new_connections(self) -> bool:
-        """Whether nothing listens."""
+        """Whether new connections are refused."""
         return self in (LinkState.RESET, LinkState.REFUSE_NEW)
 
 
 class Link:
-    """Forwards connections to one target."""
+    """TCP proxy to one target."""
 
     def __init__(self, target: str, host: str) -> None:
         self.target = target
@@ -83,7 +84,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def set_state(self, state: LinkState) -> None:
-        """Change what the link does."""
+        """Switch the link to a state."""
         await self._stop_accepting()
         self._state = state
         if state.aborts_open_connections:
@@ -110,7 +111,7 @@
         self._backlog_sockets.clear()
 
     def _fill_backlog(self) -> None:
-        """Take all room for connections that wait to be accepted, so that further ones hang."""
+        """Fill the listen backlog, so that further connections hang."""
         self._listener.listen(0)
         for _ in range(BACKLOG_FILL_CONNECTIONS):
             backlog_socket = socket.socket()
@@ -119,7 +120,7 @@
             self._backlog_sockets.append(backlog_socket)
 
     async def _forward_connection(self, client_socket: socket.socket) -> None:
-        """Forward one connection both ways."""
+        """Forward a connection in both directions."""
         reader, writer = await asyncio.open_connection(sock=client_socket)
         if self._state is LinkState.CUT:
             writer.transport.abort()
@@ -152,13 +153,13 @@
 
 
 class SimulatedNetwork:
-    """All links of the process, and their control."""
+    """The links of this process and their control connection."""
 
     def __init__(self, targets: list[str], host: str) -> None:
         self.links = [Link(target, host) for target in targets]
 
     async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take commands, one a line."""
+        """Apply commands from a control connection, one per line."""
         while line := await reader.readline():
             state, *targets = line.decode().split()
             for link in self.links:
@@ -169,18 +170,18 @@
 
 
 async def _serve(targets: list[str], host: str) -> None:
-    links = SimulatedNetwork(targets, host)
-    control = await asyncio.start_server(links.control, host, 0)
-    ports = [str(link.address[1]) for link in links.links]
+    network = SimulatedNetwork(targets, host)
+    control = await asyncio.start_server(network.control, host, 0)
+    ports = [str(link.address[1]) for link in network.links]
     ports.append(str(control.sockets[0].getsockname()[1]))
     print("ready", *ports, flush=True)
     await asyncio.Event().wait()
 
 
 def main(targets: str | tuple[str, ...], host: str = "127.0.0.1") -> None:
-    """Run links until killed.
+    """Run the links until the process is killed.
 
-    :param targets: ``host:port`` of each link's target, with commas between.
+    :param targets: comma-separated ``host:port`` of each link's target.
     """
     target_list = targets.split(",") if isinstance(targets, str) else list(targets)
     asyncio.run(_serve(target_list, host))
