--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform: table service, object store, weight store and machine list.
 
-Control for tests: ``POST /_fault`` sets faults, ``POST /_machines`` sets the machine list, which
-callers see after ``machine_lag_seconds``; ``GET /_statistics`` returns weight store figures.
+Test endpoints: ``POST /_fault`` sets faults, ``POST /_machines`` sets the machine list, which
+callers see after ``machine_lag_seconds``; ``GET /_statistics`` returns weight store statistics.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 
 
 class WeightStatistics(Struct):
-    """What the weight store was asked for.
+    """Statistics of the weight store.
 
-    :param held_back: fetches that came sooner than its rate allows and had to wait for it.
+    :param held_back: fetches that the rate limit delayed.
     """
 
     fetches: int = 0
@@ -39,7 +39,7 @@
 
 
 class WeightStore:
-    """Starts at most ``rate`` fetches a second and runs ``parallel`` of them at full speed."""
+    """Starts up to ``rate`` fetches per second; beyond ``parallel`` at once, they slow down."""
 
     def __init__(self, rate: float, parallel: int) -> None:
         self._interval = 1.0 / rate
@@ -49,7 +49,10 @@
         self.statistics = WeightStatistics()
 
     async def fetch(self, seconds: float, time_factor: float) -> None:
-        """Take as long as a fetch of ``seconds`` at full speed takes now."""
+        """Simulate a fetch that takes ``seconds`` at full speed.
+
+        :param time_factor: multiplies the duration.
+        """
         loop = asyncio.get_running_loop()
         start = max(loop.time(), self._next_start_at)
         self.statistics.held_back += start - loop.time() > THROTTLE_THRESHOLD_SECONDS
@@ -67,7 +70,7 @@
 
 
 class Platform:
-    """All of the platform's services in one process."""
+    """The platform's services in one process."""
 
     def __init__(
         self, rate: float = 2.0, parallel: int = 8, machine_lag_seconds: float = 0.5
@@ -162,10 +165,11 @@
     parallel: int = 8,
     machine_lag_seconds: float = 0.5,
 ) -> None:
-    """Run the platform stand-in until it is killed.
+    """Run the platform stand-in until the process is killed.
 
-    :param rate: fetches that the weight store starts a second.
-    :param parallel: fetches that it runs at once at full speed.
+    :param rate: fetches that the weight store starts per second.
+    :param parallel: concurrent fetches that it serves at full speed.
+    :param machine_lag_seconds: delay until a new machine list is visible.
     """
     asyncio.run(_serve(Platform(rate, parallel, machine_lag_seconds), host, port))
 
