--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine has loaded: memory, fenced orders, checkpoint tiers and their history."""
+"""Loaded artifacts of a stand-in engine: memory, fenced orders, checkpoint tiers, statistics."""
 
 import asyncio
 import time
@@ -33,9 +33,9 @@
 
 
 class ResidencyPeriod(Struct):
-    """The time that an artifact occupied memory. Times of the machine's monotonic clock, seconds.
+    """The period for which an artifact occupied memory, in seconds of the monotonic clock.
 
-    :param busy_seconds: time during which at least one request ran on it.
+    :param busy_seconds: time during which at least one request ran on the artifact.
     """
 
     artifact: str
@@ -47,7 +47,7 @@
 
 
 class EngineStatistics(Struct):
-    """What an engine was asked to do, for tests and the bench."""
+    """Statistics of an engine for tests and benchmarks."""
 
     holdings: list[ResidencyPeriod] = []
     orders_done: int = 0
@@ -58,7 +58,10 @@
 
 
 class LoadedArtifact(Struct):
-    """One artifact in memory."""
+    """An artifact in memory.
+
+    :param idle: set when the last running request ends.
+    """
 
     artifact: Artifact
     memory_mib: int
@@ -70,7 +73,7 @@
 
 
 class Replicas:
-    """The loaded artifacts of one life of an engine."""
+    """The loaded artifacts of one engine instance."""
 
     def __init__(
         self, instance: str, memory_mib: int, concurrency: int, fetch: FetchWeights
@@ -87,27 +90,27 @@
         self._disk_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
 
     def get_ready(self, name: str) -> LoadedArtifact | None:
-        """Return the ready artifact of that text form, or None."""
+        """Return the ready artifact with this name, or None."""
         for item in self._loaded.values():
             if item.state is ReplicaState.READY and str(item.artifact) == name:
                 return item
         return None
 
     def record_request_start(self, item: LoadedArtifact) -> None:
-        """Count a request that starts on an artifact."""
+        """Record that a request started on an artifact."""
         if item.running == 0:
             item.busy_since = time.monotonic()
         item.running += 1
 
     def record_request_end(self, item: LoadedArtifact) -> None:
-        """Count a request that ended."""
+        """Record that a request on an artifact ended."""
         item.running -= 1
         if item.running == 0:
             item.residency.busy_seconds += time.monotonic() - item.busy_since
             item.idle.set()
 
     def inventory(self) -> Inventory:
-        """Return all that is held."""
+        """Return the loaded artifacts, the checkpoints and the limits of this instance."""
         items = tuple(
             InventoryItem(item.artifact, item.state, item.memory_mib)
             for item in self._loaded.values()
@@ -125,12 +128,12 @@
         )
 
     def raise_fence(self, fence: Fence) -> Inventory:
-        """Refuse all that is older from now on."""
+        """Raise the fence, so that orders up to it are rejected; return the inventory."""
         self.fence = max(self.fence, fence)
         return self.inventory()
 
     async def execute_order(self, order: Order) -> OrderAnswer:
-        """Carry out an order, or refuse it unstarted."""
+        """Execute an order, or reject it if its instance or fence is outdated."""
         if order.instance != self.instance:
             return self._make_answer(OrderResult.WRONG_INSTANCE)
         if order.fence <= self.fence:
@@ -189,7 +192,7 @@
         self.cache(artifact, CheckpointTier.MEMORY)
 
     def cache(self, artifact: Artifact, tier: CheckpointTier) -> None:
-        """Keep an artifact's weights in a tier; the oldest fall to the next one."""
+        """Add a checkpoint to a tier; the oldest one beyond its capacity moves to the next tier."""
         if tier is CheckpointTier.MEMORY:
             self._disk_checkpoints.pop(artifact, None)
             self._memory_checkpoints[artifact] = None
