--- a/standins/pool/__init__.py
+++ b/standins/pool/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the users' platform's published pages: its store and its servers."""
+"""Stand-ins for the metadata store and the servers of the platform, by its published API."""
