--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -1,6 +1,6 @@
-"""What a stand-in model server holds, and what an order does to it. Pure but for the clock given.
+"""State of a stand-in model server and the effect of orders on it; callers pass the time.
 
-It notes each order that would overcommit its memory, so that tests can tell.
+It records each order that overcommits memory or adapter slots, for tests to check.
 """
 
 from collections import Counter
@@ -9,7 +9,7 @@
 
 
 class ModelSpec(Struct, rename="kebab"):
-    """A model as the configuration gives it."""
+    """A model, as the configuration describes it."""
 
     name: str
     weights_mb: float
@@ -21,7 +21,7 @@
 
 
 class OrderBody(Struct, rename="kebab"):
-    """An order as it comes."""
+    """The request body of an order."""
 
     op: str = ""
     model: str = ""
@@ -32,7 +32,7 @@
 
 
 class WeightOperation(Struct):
-    """An order for weights that is being carried out."""
+    """A load or unload of weights that is in progress."""
 
     op: str
     model: str
@@ -40,7 +40,7 @@
 
 
 class Holdings:
-    """Models, adapters, revision and fence of one life of a server."""
+    """Models, adapters, revision and fence of one server instance."""
 
     def __init__(self, specs: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
         self._specs = {spec.name: spec for spec in specs}
@@ -56,7 +56,10 @@
         self.store_loads = 0
 
     def complete_due_operation(self, now: float) -> None:
-        """Finish work that is done by now."""
+        """Complete the operation in progress if it is due.
+
+        An unload waits until the model's running requests have ended.
+        """
         operation = self.operation
         if operation is None or now < operation.done_at:
             return
@@ -70,13 +73,13 @@
             self.held.pop(operation.model, None)
 
     def used_mb(self) -> float:
-        """Return the memory that is taken, a load under way included."""
+        """Return the used memory, including that of an operation in progress."""
         names = set(self.held) | ({self.operation.model} if self.operation else set())
         weights = sum(self._specs[name].weights_mb for name in names)
         return weights + sum(self._specs[n].adapter_mb * len(a) for n, a in self.held.items())
 
     def apply_order(self, body: OrderBody, now: float) -> int:
-        """Take an order in; returns the HTTP status of its answer."""
+        """Apply an order and return the HTTP status of the response."""
         self.complete_due_operation(now)
         if not body.holder or body.fencing_token is None or body.model not in self._specs:
             return 400
@@ -127,7 +130,7 @@
         return 202
 
     def is_unloading(self, model: str) -> bool:
-        """Whether a model is being unloaded once its runs are over."""
+        """Return whether a model is being unloaded and waits for its running requests."""
         return (
             self.operation is not None
             and self.operation.op == "unload"
@@ -135,5 +138,5 @@
         )
 
     def can_run(self, model: str, adapter: str) -> bool:
-        """Whether a request for a model or an adapter can run."""
+        """Return whether a request for a model and an optional adapter can run."""
         return model in self.held and (not adapter or adapter in self.held[model])
