--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the stand-in store: tables, versions from one counter, and a history of changes. Pure."""
+"""In-memory tables of the stand-in store, with one version counter and a change history."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class Row(Struct, frozen=True):
-    """A row, or a change of one; ``value`` is base64, as on the wire."""
+    """A row or a change to one; ``value`` is base64, as on the wire."""
 
     table: str
     key: str
@@ -17,7 +17,7 @@
 
 
 class Expectation(Struct):
-    """The version that a row must have; 0 when it must not be there."""
+    """The version that a row must have; 0 if it must not exist."""
 
     table: str
     key: str
@@ -43,7 +43,7 @@
 
 
 class Transaction(Struct, rename="kebab"):
-    """All or nothing."""
+    """Writes and removals that are applied atomically if all expectations hold."""
 
     expect_revision: list[Expectation] = []
     put: list[Put] = []
@@ -51,7 +51,7 @@
 
 
 class RowStore:
-    """The store's contents."""
+    """The rows of all tables and the history of their changes."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -60,7 +60,7 @@
         self._discarded_version = 0
 
     def apply(self, transaction: Transaction) -> list[Row] | None:
-        """Do a transaction; returns the rows as they are when an expectation does not hold."""
+        """Apply a transaction; return None, or the current conflicting rows if it is rejected."""
         failed = [e for e in transaction.expect_revision if self._version_of(e) != e.ver]
         if failed:
             return [self._rows[key] for e in failed if (key := (e.table, e.key)) in self._rows]
@@ -83,16 +83,16 @@
             self._rows[(row.table, row.key)] = row
 
     def table(self, name: str) -> list[Row]:
-        """Return a table's rows, keys rising."""
+        """Return the rows of a table, sorted by key."""
         return sorted((r for r in self._rows.values() if r.table == name), key=lambda r: r.key)
 
     def changes(self, table: str, after: int) -> list[Row] | None:
-        """Return the changes of a table after a version; None when they are forgotten."""
+        """Return the changes to a table after a version, or None if the history was discarded."""
         if after < self._discarded_version:
             return None
         return [row for row in self._history if row.table == table and row.ver > after]
 
     def discard_history(self) -> None:
-        """Drop the history."""
+        """Discard the change history."""
         self._discarded_version = self.version
         self._history.clear()
