--- a/standins/pool/server.py
+++ b/standins/pool/server.py
@@ -1,7 +1,7 @@
-"""Stand-in for a server of the platform, as a process of its own: plain, or with models.
+"""Stand-in for a plain server or a model server of the platform; runs as its own process.
 
-It lists itself in the stand-in store and repeats that. Control for tests: ``POST /_fault`` sets
-faults; ``GET /_state`` shows runs by request id, orders and violations.
+It registers itself in the stand-in store at regular intervals. Test endpoints: ``POST /_fault``
+sets faults; ``GET /_state`` returns runs by request id, orders and violations.
 """
 
 import asyncio
@@ -30,19 +30,23 @@
 
 
 class ServerFaults(Struct):
-    """The faults in force.
-
-    :param mode: for requests: ``errors`` answers 500, ``mute`` runs and never answers, ``shed``
-        refuses unstarted, ``reset`` runs and closes.
-    :param surplus: a second answer follows each answer, in the place of the next one.
-    :param cut_after_events: a stream breaks off in the middle of the event after so many; 0: never.
-    :param unframed: answers have neither a length nor chunks, and end with their connection.
-    :param http_version: of the heads of unframed answers.
-    :param late_order_seconds: orders get no answer and are carried out so much later.
-    :param event_seconds: time between the events of a stream.
-    :param work_seconds: how long a plain request takes.
-    :param crash_part: a part of prompts: the server ends when it begins to answer on it.
-    :param back_after_seconds: when a server that has ended is back, under another name.
+    """The active faults.
+
+    :param mode: applies to requests: ``errors`` responds with 500, ``mute`` runs the request and
+        never responds, ``shed`` rejects it without running it, ``reset`` runs it and closes the
+        connection.
+    :param surplus: send a second response after each one, which a client could take for the
+        response to its next request.
+    :param cut_after_events: truncate a stream inside the event after this many; 0 disables it.
+    :param unframed: responses are close-delimited: neither Content-Length nor chunked encoding.
+    :param http_version: HTTP version in the head of close-delimited responses.
+    :param late_order_seconds: orders get no response and are executed after this delay.
+    :param event_seconds: time before each event of a stream.
+    :param work_seconds: duration of a plain request.
+    :param crash_part: prompt part on which the server crashes before the first event.
+    :param back_after_seconds: time until a crashed server restarts as a new instance.
+    :param state: the state in the server's row.
+    :param listed: whether the server has a row in the store.
     """
 
     mode: str = ""
@@ -60,7 +64,7 @@
 
 
 class PoolServer:
-    """One server."""
+    """A server with injectable faults."""
 
     def __init__(
         self, service: str, zone: str, store: str, holdings: Holdings | None, instance: str = ""
@@ -81,10 +85,10 @@
         self.crash_part_times_s: list[float] = []
         self._delayed_tasks: set[asyncio.Task[None]] = set()
 
-    # The list of servers.
+    # Registration in the store.
 
     async def send_heartbeats(self) -> None:
-        """List this server, again and again."""
+        """Register this server in the store at every heartbeat interval, for ever."""
         while True:
             with contextlib.suppress(HttpError):
                 if self.server.is_listening:
@@ -127,7 +131,7 @@
         held = self.holdings.held
         return [{"name": n, "version": 1, "adapters": adapters} for n, adapters in held.items()]
 
-    # Requests.
+    # Request handling.
 
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
@@ -224,7 +228,7 @@
             self.holdings.running[model] += change
 
     def _refusal_status(self, request: HttpRequest) -> int:
-        """Return the status of a refusal unstarted, or 0."""
+        """Return the status with which a request is rejected before it runs, or 0."""
         if self.faults.mode == "shed":
             return 503
         model, _, adapter = (request.header("x-model") or "").partition("/")
@@ -281,7 +285,7 @@
         await exchange.finish()
 
     def _triggers_crash(self, request: HttpRequest) -> bool:
-        """Whether an answer to a request ends this server; counts such requests."""
+        """Return whether a request crashes this server, and record the time if it does."""
         parts = (request.header("x-prompt-prefix") or "").split(",")
         names = [part.partition(":")[0] for part in parts]
         if not self.faults.crash_part or self.faults.crash_part not in names:
@@ -290,7 +294,7 @@
         return True
 
     def _crash(self) -> None:
-        """Break all connections off, take none, and be back later as another life."""
+        """Abort all connections, stop listening and schedule a restart as a new instance."""
         self.crash_times_s.append(time.time())
         port = self.server.port
         self.server.abort()
@@ -309,7 +313,7 @@
     async def _stream_close_delimited(
         self, exchange: Exchange, headers: Headers, numbers: Iterable[int]
     ) -> None:
-        """Send events whose end is told by the connection's end alone."""
+        """Stream events in a close-delimited response."""
         start_close_delimited(exchange, headers, self.faults.http_version)
         for sent, number in enumerate(numbers):
             await asyncio.sleep(self.faults.event_seconds)
@@ -350,19 +354,19 @@
     host: str = "127.0.0.1",
     instance: str = "",
 ) -> None:
-    """Run the server stand-in until it is killed.
+    """Run the server stand-in until the process is killed.
 
     Args:
-        service: the service that it belongs to.
+        service: name of its service.
         store: host:port of the stand-in store.
         zone: its zone.
-        models: path of a JSON file with the models of the service; empty for a plain server.
-        held: names of the models that it holds at the start, joined by +.
-        memory_mb: accelerator memory.
-        adapter_slots: how many adapters it can hold.
-        port: where it listens; 0 takes any free one.
-        host: its address.
-        instance: the name that it had in an earlier life; empty for a new one.
+        models: path to a JSON file with the models of the service; empty for a plain server.
+        held: names of the models that are loaded at the start, joined by +.
+        memory_mb: accelerator memory in MB.
+        adapter_slots: number of adapters that fit.
+        port: port to listen on; 0 picks a free one.
+        host: address to listen on.
+        instance: instance id to reuse; empty for a new one.
     """
     holdings = None
     if models:
