--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's metadata store, as a process of its own.
+"""Stand-in for the platform's metadata store; runs as its own process.
 
-Control for tests: ``POST /_fault`` sets faults, ``POST /_apply`` does a transaction in any table,
-``POST /_forget`` drops the history, ``GET /_rows?table=`` shows a table.
+Test endpoints: ``POST /_fault`` sets faults, ``POST /_apply`` applies a transaction to any table,
+``POST /_forget`` discards the history, ``GET /_rows?table=`` returns a table.
 """
 
 import asyncio
@@ -20,13 +20,14 @@
 
 
 class StoreFaults(Struct):
-    """The faults in force.
-
-    :param mode: ``busy`` answers 503, ``throttle`` 429, ``reset`` closes, ``silent`` never answers.
-    :param lose_answers: writes are done and not answered.
-    :param late_seconds: with lost answers: writes are done so much later.
-    :param delay_seconds: each answer takes so much longer.
-    :param stale: reads are answered as of this moment, for ever.
+    """The active faults.
+
+    :param mode: ``busy`` responds with 503, ``throttle`` with 429, ``reset`` closes the
+        connection, ``silent`` never responds.
+    :param lose_answers: apply writes without a response.
+    :param late_seconds: delay of writes under ``lose_answers``.
+    :param delay_seconds: delay before each call is processed.
+    :param stale: whole-table reads return the tables as they were when this fault was set.
     """
 
     mode: str = ""
@@ -37,7 +38,7 @@
 
 
 class RowsResponse(Struct):
-    """The answer of each call about rows."""
+    """The response body of the row calls."""
 
     ver: int
     now_ms: int
@@ -46,7 +47,7 @@
 
 
 class PoolStore:
-    """A linearizable store with faults."""
+    """A linearizable store with injectable faults."""
 
     def __init__(self) -> None:
         self.rows = RowStore()
@@ -150,7 +151,7 @@
 
 
 def main(port: int = 0, host: str = "127.0.0.1") -> None:
-    """Run the store stand-in until it is killed."""
+    """Run the store stand-in until the process is killed."""
     asyncio.run(_serve(PoolStore(), host, port))
 
 
