--- a/standins/faults.py
+++ b/standins/faults.py
@@ -14,7 +14,8 @@
     :param down: close every connection without a response.
     :param delay_seconds: delay before a request is processed.
     :param lose_answers: process the request, then close the connection without a response.
-    :param matches: path prefix that limits ``down``, ``delay_seconds`` and ``lose_answers``.
+    :param matches: path prefix of the affected requests, for delays and, except in the application
+        stand-in, lost responses; the platform stand-in also applies it to ``down``.
     :param unframed: streams are close-delimited: neither Content-Length nor chunked encoding. A
         truncated one ends inside an event.
     """
