--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -90,6 +90,7 @@
 
 
 def _parse_line(text: str) -> LogLine | None:
+    """Parse the JSON object of a line; None when there is none."""
     start = text.find("{")
     if start < 0:
         return None
@@ -175,6 +176,7 @@
 def _find_wait_cause(
     own: Sequence[LogLine], orders: Sequence[LogLine], recent_lines: Sequence[LogLine]
 ) -> Cause:
+    """Return why a request that was waiting for its model was not served."""
     if any(line.get("state") == "unknown" for line in orders):
         return Cause.ORDERS_UNANSWERED
     election_lines = [line for line in recent_lines if line.kind == "loomwind:election"]
@@ -194,6 +196,7 @@
 
 
 def _find_failure_cause(reason: str) -> Cause:
+    """Return the cause for the logged reason of a failed send."""
     if "refused unstarted" in reason:
         return Cause.SERVERS_REFUSED
     if "Connect call failed" in reason or "timed out" in reason:
@@ -206,6 +209,7 @@
 
 
 def _format_line(line: LogLine, start_time: float) -> str:
+    """Return a line as text, with its time in seconds since ``start_time``."""
     fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request_id")
     kind = line.kind.removeprefix("loomwind:")
     return f"{line.time - start_time:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
