--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -162,7 +162,7 @@
             wire = msgspec.json.decode(value, type=WireConfiguration)
             return Configuration(
                 version=wire.version,
-                routes=tuple(_route(route) for route in wire.routes),
+                routes=tuple(_convert_route(route) for route in wire.routes),
                 services=tuple(_service(service) for service in wire.services),
                 limits=CallerLimits(
                     wire.limits.max_header_bytes,
@@ -201,7 +201,7 @@
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
 
-def _route(wire: WireRoute) -> RouteRule:
+def _convert_route(wire: WireRoute) -> RouteRule:
     parts = tuple(WeightedService(part.service, part.weight) for part in wire.traffic_split)
     return RouteRule(
         name=wire.name,
