--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -163,7 +163,7 @@
             return Configuration(
                 version=wire.version,
                 routes=tuple(_convert_route(route) for route in wire.routes),
-                services=tuple(_service(service) for service in wire.services),
+                services=tuple(_convert_service(service) for service in wire.services),
                 limits=CallerLimits(
                     wire.limits.max_header_bytes,
                     wire.limits.max_body_bytes,
@@ -228,7 +228,7 @@
     return max(MIN_EVENT_TIMEOUT_MS, from_objective_ms, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
 
 
-def _service(wire: WireService) -> ServiceProfile:
+def _convert_service(wire: WireService) -> ServiceProfile:
     engine = None if wire.engine is None else _engine(wire.engine)
     return ServiceProfile(wire.name, wire.health_path, wire.max_conns, engine)
 
