--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -229,11 +229,11 @@
 
 
 def _convert_service(wire: WireService) -> ServiceProfile:
-    engine = None if wire.engine is None else _engine(wire.engine)
+    engine = None if wire.engine is None else _convert_engine(wire.engine)
     return ServiceProfile(wire.name, wire.health_path, wire.max_conns, engine)
 
 
-def _engine(wire: WireEngine) -> EngineProfile:
+def _convert_engine(wire: WireEngine) -> EngineProfile:
     return EngineProfile(
         memory_mb=wire.weights_mb,
         adapter_slots=wire.adapter_slots,
