--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -238,12 +238,12 @@
         memory_mb=wire.weights_mb,
         adapter_slots=wire.adapter_slots,
         loads_per_second=wire.loads_per_s,
-        models=tuple(_model(model) for model in wire.models),
+        models=tuple(_convert_model(model) for model in wire.models),
         slots=wire.slots,
     )
 
 
-def _model(wire: WireModel) -> ModelProfile:
+def _convert_model(wire: WireModel) -> ModelProfile:
     return ModelProfile(
         name=wire.name,
         memory_mb=wire.weights_mb,
