--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -190,13 +190,13 @@
             slots=wire.slots,
             state=ServerState(wire.state),
             revision=wire.seq,
-            held=held_models(wire.models),
+            held=convert_held_models(wire.models),
             remaining_seconds=None if wire.remaining_ms is None else wire.remaining_ms / 1000,
             started_at_ms=wire.born,
         )
 
 
-def held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
+def convert_held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
     """Convert the loaded models of an entry or a report."""
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -7,7 +7,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.platform.dialect import EXPECT_INSTANCE, INSTANCE
-from loomwind.platform.documents import WireHeldModel, held_models
+from loomwind.platform.documents import WireHeldModel, convert_held_models
 from loomwind.serving.ports import EngineControl
 from loomwind.serving.views import (
     ModelKey,
@@ -115,7 +115,7 @@
     return ServerReport(
         revision=wire.seq,
         busy=wire.busy,
-        held=held_models(wire.models),
+        held=convert_held_models(wire.models),
         waiting=wire.waiting,
         running=wire.running,
         kv_used=wire.kv_used,
