--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -75,7 +75,7 @@
             if response.status != 200 or _is_other_server(response, entry):
                 return None
             wire = msgspec.json.decode(response.body, type=WireReport)
-            return None if _was_restarted(wire, entry) else _report(wire)
+            return None if _was_restarted(wire, entry) else _convert_report(wire)
         except (HttpError, msgspec.MsgspecError):
             return None
 
@@ -111,7 +111,7 @@
     return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
 
-def _report(wire: WireReport) -> ServerReport:
+def _convert_report(wire: WireReport) -> ServerReport:
     return ServerReport(
         revision=wire.seq,
         busy=wire.busy,
