--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -37,7 +37,7 @@
 def step_explain(context: Any, cause: str) -> None:
     replies = replies_of(context)
     request_id = replies[-1].request_id if replies else context.last_request_id
-    wait_until(lambda: find_cause(context, request_id) == cause, f"explain says {cause}", 5.0)
+    wait_until(lambda: find_cause(context, request_id) == cause, f"explain reports {cause}", 5.0)
 
 
 def find_cause(context: Any, request_id: str) -> str:
