--- a/loomwind/membership/machines.py
+++ b/loomwind/membership/machines.py
@@ -1,4 +1,4 @@
-"""The platform's machine list as one daemon sees it. It lags, and the service may be down."""
+"""A daemon's copy of the platform's machine list, which lags and may be unavailable."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,28 +12,31 @@
 
 
 class MachineWatcher:
-    """Keeps the newest machine list; a machine that was listed and no longer is, is gone."""
+    """Polls the machine list. A machine that is no longer listed counts as gone.
+
+    Back ends from the settings are always present, whether they are listed or not.
+    """
 
     def __init__(
         self,
         machine_list: MachineList | None,
         backends: tuple[BackendSettings, ...],
         cell: str,
-        wanted: Callable[[], bool],
+        should_read: Callable[[], bool],
     ) -> None:
         self.on_change: Callable[[], None] = lambda: None
         self._source = machine_list
         self._cell = cell
-        self._wanted = wanted
+        self._should_read = should_read
         self.machines: dict[str, Machine] = {
             backend.name: _machine(backend, cell) for backend in backends
         }
         self._static = set(self.machines)
 
     async def run(self) -> None:
-        """Read the list at a steady interval while it is wanted, until cancelled."""
+        """Poll the list until cancelled; skip reads when not needed and machines are known."""
         while self._source is not None:
-            if self._wanted() or not self.machines:
+            if self._should_read() or not self.machines:
                 await self._read(self._source)
             await asyncio.sleep(constants.MACHINE_LIST_INTERVAL_SECONDS)
 
@@ -42,16 +45,16 @@
             listed = {m.name: m for m in await source.machines(self._cell)}
         except PlatformUnavailable:
             return
-        before = dict(self.machines)
-        for name, machine in before.items():
+        previous = dict(self.machines)
+        for name, machine in previous.items():
             if name not in listed and name not in self._static:
                 self.machines[name] = structs.replace(machine, state=MachineState.GONE)
         self.machines.update(listed)
-        if self.machines != before:
+        if self.machines != previous:
             self.on_change()
 
     def in_role(self, role: MachineRole) -> list[Machine]:
-        """Return the machines of a role, whatever their state."""
+        """Return the machines of a role in any state, by name."""
         return [machine for _, machine in sorted(self.machines.items()) if machine.role is role]
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,9 +14,9 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from loomwind.ports.base import Machine
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 
-HELD_BACK_SECONDS = 0.1
+THROTTLE_THRESHOLD_SECONDS = 0.1
 
 
 class WeightStatistics(Struct):
@@ -44,16 +44,16 @@
     def __init__(self, rate: float, parallel: int) -> None:
         self._interval = 1.0 / rate
         self._parallel = parallel
-        self._next_start = 0.0
+        self._next_start_at = 0.0
         self._active = 0
         self.statistics = WeightStatistics()
 
-    async def fetch(self, seconds: float, factor: float) -> None:
+    async def fetch(self, seconds: float, time_factor: float) -> None:
         """Take as long as a fetch of ``seconds`` at full speed takes now."""
         loop = asyncio.get_running_loop()
-        start = max(loop.time(), self._next_start)
-        self.statistics.held_back += start - loop.time() > HELD_BACK_SECONDS
-        self._next_start = start + self._interval
+        start = max(loop.time(), self._next_start_at)
+        self.statistics.held_back += start - loop.time() > THROTTLE_THRESHOLD_SECONDS
+        self._next_start_at = start + self._interval
         await asyncio.sleep(start - loop.time())
         self._active += 1
         self.statistics.fetches += 1
@@ -61,7 +61,7 @@
         try:
             slowdown = max(1.0, self._active / self._parallel)
             self.statistics.busy_seconds += seconds
-            await asyncio.sleep(seconds * slowdown * factor)
+            await asyncio.sleep(seconds * slowdown * time_factor)
         finally:
             self._active -= 1
 
@@ -77,7 +77,7 @@
         self._rows: dict[str, StoredRow] = {}
         self._objects: dict[str, bytes] = {}
         self._machines: tuple[Machine, ...] = ()
-        self._lag_seconds = machine_lag_seconds
+        self._machine_lag_seconds = machine_lag_seconds
         self.server = HttpServer(self._serve, ServerLimits(max_body_bytes=64 << 20))
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -87,36 +87,38 @@
             return
         if request.path == "/_fault":
             self.faults = decode_faults(request.body)
-            await self._answer(exchange, json_response(self.faults))
+            await self._respond(exchange, json_response(self.faults))
             return
         affected = request.path.startswith(self.faults.matches)
         if self.faults.down and affected and not request.path.startswith("/_"):
             exchange.abort()
             return
-        await pause(self.faults, request.path)
-        response = await self._act(request)
+        await apply_delay(self.faults, request.path)
+        response = await self._handle(request)
         if self.faults.lose_answers and affected:
             exchange.abort()
             return
-        await self._answer(exchange, response)
+        await self._respond(exchange, response)
 
     @staticmethod
-    async def _answer(exchange: Exchange, response: HttpResponse) -> None:
+    async def _respond(exchange: Exchange, response: HttpResponse) -> None:
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _act(self, request: HttpRequest) -> HttpResponse:
+    async def _handle(self, request: HttpRequest) -> HttpResponse:
         _, _, rest = request.target[1:].partition("/")
         name = unquote(rest)
         if request.path.startswith("/table/"):
-            return self._table(request, name)
+            return self._handle_table(request, name)
         if request.path.startswith("/objects/"):
-            return self._object(request, name)
+            return self._handle_object(request, name)
         if request.path == "/machines":
             cell = unquote(request.target.partition("cell=")[2])
             return json_response([m for m in self._machines if m.cell == cell])
         if request.path == "/_machines":
             machines = msgspec.json.decode(request.body, type=tuple[Machine, ...])
-            asyncio.get_running_loop().call_later(self._lag_seconds, self._set_machines, machines)
+            asyncio.get_running_loop().call_later(
+                self._machine_lag_seconds, self._set_machines, machines
+            )
             return json_response(machines)
         if request.path == "/weights":
             seconds = msgspec.json.decode(request.body, type=float)
@@ -129,7 +131,7 @@
     def _set_machines(self, machines: tuple[Machine, ...]) -> None:
         self._machines = machines
 
-    def _table(self, request: HttpRequest, name: str) -> HttpResponse:
+    def _handle_table(self, request: HttpRequest, name: str) -> HttpResponse:
         row = self._rows.setdefault(name, StoredRow())
         if request.method == "PUT":
             if int(request.header("if-match") or 0) != row.version:
@@ -138,7 +140,7 @@
             row.value = request.body
         return HttpResponse(200, (("etag", str(row.version)),), row.value)
 
-    def _object(self, request: HttpRequest, name: str) -> HttpResponse:
+    def _handle_object(self, request: HttpRequest, name: str) -> HttpResponse:
         if request.method == "PUT":
             self._objects[name] = request.body
             return HttpResponse(200)
