--- a/loomwind/platform/documents.py
+++ b/loomwind/platform/documents.py
@@ -162,8 +162,8 @@
             wire = msgspec.json.decode(value, type=WireConfiguration)
             return Configuration(
                 version=wire.version,
-                routes=tuple(_route(route) for route in wire.routes),
-                services=tuple(_service(service) for service in wire.services),
+                routes=tuple(_convert_route(route) for route in wire.routes),
+                services=tuple(_convert_service(service) for service in wire.services),
                 limits=CallerLimits(
                     wire.limits.max_header_bytes,
                     wire.limits.max_body_bytes,
@@ -190,18 +190,18 @@
             slots=wire.slots,
             state=ServerState(wire.state),
             revision=wire.seq,
-            held=held_models(wire.models),
+            held=convert_held_models(wire.models),
             remaining_seconds=None if wire.remaining_ms is None else wire.remaining_ms / 1000,
             started_at_ms=wire.born,
         )
 
 
-def held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
+def convert_held_models(models: list[WireHeldModel]) -> tuple[HeldModel, ...]:
     """Convert the loaded models of an entry or a report."""
     return tuple(HeldModel(model.name, tuple(model.adapters)) for model in models)
 
 
-def _route(wire: WireRoute) -> RouteRule:
+def _convert_route(wire: WireRoute) -> RouteRule:
     parts = tuple(WeightedService(part.service, part.weight) for part in wire.traffic_split)
     return RouteRule(
         name=wire.name,
@@ -228,22 +228,22 @@
     return max(MIN_EVENT_TIMEOUT_MS, from_objective_ms, EVENT_TIMEOUT_GAP_FACTOR * wire.gap_aim_ms)
 
 
-def _service(wire: WireService) -> ServiceProfile:
-    engine = None if wire.engine is None else _engine(wire.engine)
+def _convert_service(wire: WireService) -> ServiceProfile:
+    engine = None if wire.engine is None else _convert_engine(wire.engine)
     return ServiceProfile(wire.name, wire.health_path, wire.max_conns, engine)
 
 
-def _engine(wire: WireEngine) -> EngineProfile:
+def _convert_engine(wire: WireEngine) -> EngineProfile:
     return EngineProfile(
         memory_mb=wire.weights_mb,
         adapter_slots=wire.adapter_slots,
         loads_per_second=wire.loads_per_s,
-        models=tuple(_model(model) for model in wire.models),
+        models=tuple(_convert_model(model) for model in wire.models),
         slots=wire.slots,
     )
 
 
-def _model(wire: WireModel) -> ModelProfile:
+def _convert_model(wire: WireModel) -> ModelProfile:
     return ModelProfile(
         name=wire.name,
         memory_mb=wire.weights_mb,
