--- a/loomwind/pipeline/fair_queue.py
+++ b/loomwind/pipeline/fair_queue.py
@@ -55,8 +55,8 @@
                 return item
             self._order.rotate(-1)
             if name in eligible_groups:
-                heaviest = max(self.groups[other].weight for other in eligible_groups)
-                queue.deficit += queue.weight / heaviest
+                max_weight = max(self.groups[other].weight for other in eligible_groups)
+                queue.deficit += queue.weight / max_weight
         return None
 
     def _drop_if_empty(self, name: str) -> None:
