--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -44,5 +44,7 @@
     :param joint: the previous voter set until a change is committed; it needs a majority as well.
     """
     return any(
-        2 * sum(v not in ended for v in each) <= len(each) for each in (voters, joint) if each
+        2 * sum(v not in ended for v in voter_set) <= len(voter_set)
+        for voter_set in (voters, joint)
+        if voter_set
     )
