--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -10,19 +10,19 @@
     """
 
     def __init__(self) -> None:
-        self._failures = 0
+        self._consecutive_failures = 0
         self._open_until = 0.0
         self._probing = False
 
     def allows(self, now: float) -> bool:
         """Return whether a request may be sent to the back end."""
-        if self._failures < constants.CIRCUIT_FAILURE_THRESHOLD:
+        if self._consecutive_failures < constants.CIRCUIT_FAILURE_THRESHOLD:
             return True
         return now >= self._open_until and not self._probing
 
     def record_sent(self) -> None:
         """Record that a request is sent."""
-        self._probing = self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD
+        self._probing = self._consecutive_failures >= constants.CIRCUIT_FAILURE_THRESHOLD
 
     def record_ended(self) -> None:
         """Record that a request ended without a result that tells the back end's health."""
@@ -30,16 +30,16 @@
 
     def record_success(self) -> None:
         """Record a success and close the circuit."""
-        self._failures = 0
+        self._consecutive_failures = 0
         self._probing = False
 
     def record_failure(self, now: float) -> bool:
         """Record a failure, and return whether it opened the circuit."""
-        self._failures += 1
+        self._consecutive_failures += 1
         self._probing = False
-        if self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD:
+        if self._consecutive_failures >= constants.CIRCUIT_FAILURE_THRESHOLD:
             self._open_until = now + constants.CIRCUIT_OPEN_SECONDS
-        return self._failures == constants.CIRCUIT_FAILURE_THRESHOLD
+        return self._consecutive_failures == constants.CIRCUIT_FAILURE_THRESHOLD
 
 
 class RetryBudget:
