--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -325,7 +325,7 @@
 def step_detector(context: Any, suspect: float, gone: float) -> None:
     def make() -> Detector:
         detector = Detector(DetectorSettings(suspect, gone))
-        detector.heard(member(), 0.0)
+        detector.record_heartbeat(member(), 0.0)
         return detector
 
     context.detector = make
@@ -341,7 +341,7 @@
 @then("a refused connection marks a member as gone immediately")
 def step_refused(context: Any) -> None:
     detector = context.detector()
-    detector.refused(member().identity)
+    detector.record_connection_refused(member().identity)
     assert state_after(detector, 0.1, member().identity) is MemberState.GONE
 
 
@@ -349,13 +349,13 @@
 def step_reached(context: Any) -> None:
     detector = context.detector()
     detector.tick(3.0)
-    detector.reached_by_peer(member().identity, 3.0)
+    detector.record_reached_by_peer(member().identity, 3.0)
     assert state_after(detector, 5.0, member().identity) is MemberState.SUSPECT
 
 
 @then("a new incarnation under the same name replaces the earlier one")
 def step_incarnation(context: Any) -> None:
     detector = context.detector()
-    detector.heard(member("2"), 1.0)
+    detector.record_heartbeat(member("2"), 1.0)
     assert detector.state_of(member("1").identity) is MemberState.GONE
-    assert detector.members[member("1").identity].ended
+    assert detector.members[member("1").identity].process_ended
--- a/loomwind/control/register_service.py
+++ b/loomwind/control/register_service.py
@@ -218,7 +218,7 @@
 
     def _has_ended(self, voter: VoterId) -> bool:
         member = self._membership.detector.members.get(voter)
-        return voter in self._ended_voters or (member is not None and member.ended)
+        return voter in self._ended_voters or (member is not None and member.process_ended)
 
     async def _create_next_generation(self) -> bool:
         """Create the next generation, unless another daemon already did."""
@@ -242,7 +242,7 @@
             return
         self._metrics.elections.inc()
         self._observe_committed()
-        self._membership.announce_leading()
+        self._membership.announce_leadership()
         log_state("controller", "leading", generation=self.generation)
         try:
             # An unfinished voter change may have stopped voters from granting claims in the present
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -35,15 +35,15 @@
 from loomwind.http.messages import Headers, HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer, ServerLimits
 from standins.batching import Batch
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.close_delimited import start_close_delimited
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 from standins.replicas import Replicas
-from standins.unframed import start_unframed
 
-LOAD_REPORT_LAG_SECONDS = 0.3
+STATUS_LAG_SECONDS = 0.3
 CACHE_EVENT_LAG_SECONDS = 0.5
-CACHE_EVENT_LOSS = 0.1
-PREFIX_CHARACTERS = 64
-REMEMBERED_REQUESTS = 4096
+CACHE_EVENT_LOSS_RATE = 0.1
+PREFIX_BYTES = 64
+MAX_STORED_GENERATIONS = 4096
 WEIGHT_FETCH_TIMEOUT_SECONDS = 120.0
 
 
@@ -113,26 +113,28 @@
         self.name = name
         self.faults = Faults()
         self.executions: Counter[str] = Counter()
-        self.replicas = Replicas(uuid.uuid4().hex[:12], memory_mib, concurrency, self._fetch)
+        self.replicas = Replicas(
+            uuid.uuid4().hex[:12], memory_mib, concurrency, self._fetch_weights
+        )
         self.server = HttpServer(self._serve, ServerLimits(max_body_bytes=8 << 20))
-        self._weights = weights
+        self._weight_store = weights
         self._http = HttpClient(Connector())
         self._batch = Batch(concurrency)
         self._first_token_seconds = first_token_seconds
         self._token_seconds = token_seconds
-        self._known: OrderedDict[str, Generation] = OrderedDict()
+        self._generations: OrderedDict[str, Generation] = OrderedDict()
         self._running: dict[str, asyncio.Task[Any]] = {}
         self._report = StatusReport(self.replicas.instance, False)
-        self._events: list[CacheEvent] = []
-        self._event_count = 0
+        self._cache_events: list[CacheEvent] = []
+        self._cache_event_count = 0
         self._random = random.Random(name)
 
-    async def _fetch(self, seconds: float) -> None:
-        if not self._weights:
+    async def _fetch_weights(self, seconds: float) -> None:
+        if not self._weight_store:
             await asyncio.sleep(seconds * self.faults.load_factor)
             return
         request = HttpRequest("POST", "/weights", (), msgspec.json.encode(seconds))
-        await self._http.request(self._weights, request, WEIGHT_FETCH_TIMEOUT_SECONDS)
+        await self._http.request(self._weight_store, request, WEIGHT_FETCH_TIMEOUT_SECONDS)
 
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
@@ -143,15 +145,15 @@
             await self._chat(exchange, request)
             return
         if not request.path.startswith("/_"):
-            await pause(self.faults, request.path)
-        response = await self._control(request)
-        lost = self.faults.lose_answers and request.path.startswith(self.faults.matches)
-        if lost and not request.path.startswith("/_"):
+            await apply_delay(self.faults, request.path)
+        response = await self._handle_control(request)
+        drops_response = self.faults.lose_answers and request.path.startswith(self.faults.matches)
+        if drops_response and not request.path.startswith("/_"):
             exchange.abort()
             return
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _control(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_control(self, request: HttpRequest) -> HttpResponse:
         path = request.path
         if path == "/v1/fence":
             fence = msgspec.json.decode(request.body, type=FenceRequest).fence
@@ -159,23 +161,23 @@
         if path == "/v1/orders":
             order = msgspec.json.decode(request.body, type=Order)
             # An order that has begun goes on when the controller that gave it goes away.
-            carrying = asyncio.get_running_loop().create_task(self.replicas.carry_out(order))
-            return json_response(await asyncio.shield(carrying))
+            execution = asyncio.get_running_loop().create_task(self.replicas.execute_order(order))
+            return json_response(await asyncio.shield(execution))
         if path == "/v1/status":
-            self._schedule_report()
+            self._schedule_status()
             return json_response(self._report)
         if path == "/v1/cache-events":
             after = int(request.target.partition("after=")[2] or 0)
-            events = tuple(event for event in self._events if event.sequence > after)
+            events = tuple(event for event in self._cache_events if event.sequence > after)
             return json_response(CacheEvents(events))
         if request.method == "DELETE" and path.startswith("/v1/requests/"):
             task = self._running.get(path.rpartition("/")[2])
             if task is not None:
                 task.cancel()
             return json_response(task is not None)
-        return self._test_control(request)
+        return self._handle_test_control(request)
 
-    def _test_control(self, request: HttpRequest) -> HttpResponse:
+    def _handle_test_control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
             self.faults = decode_faults(request.body)
             self.replicas.leaving = self.faults.leaving
@@ -192,50 +194,52 @@
             return json_response(None)
         return HttpResponse(404)
 
-    def _schedule_report(self) -> None:
+    def _schedule_status(self) -> None:
         report = StatusReport(
             self.replicas.instance, self.faults.leaving, self._batch.running, self._batch.waiting
         )
         loop = asyncio.get_running_loop()
-        loop.call_later(LOAD_REPORT_LAG_SECONDS, setattr, self, "_report", report)
+        loop.call_later(STATUS_LAG_SECONDS, setattr, self, "_report", report)
         if report.leaving != self._report.leaving:
             self._report = report
 
     async def _chat(self, exchange: Exchange, request: HttpRequest) -> None:
         request_id = request.header(REQUEST_ID_HEADER) or uuid.uuid4().hex
-        echoed = "someone-else" if self.faults.wrong_request_id else request_id
-        headers: Headers = ((REQUEST_ID_HEADER, echoed),)
+        echoed_id = "someone-else" if self.faults.wrong_request_id else request_id
+        headers: Headers = ((REQUEST_ID_HEADER, echoed_id),)
         if self.faults.leaving:
             headers += ((STATE_HEADER, LEAVING),)
-        replica = self.replicas.ready(request.header(ARTIFACT_HEADER) or "")
-        resumed = int(request.header(RESUME_HEADER) or -1)
-        known = self._known.get(request_id)
-        unresumable = resumed >= 0 and (known is None or self.faults.cannot_resume)
+        replica = self.replicas.get_ready(request.header(ARTIFACT_HEADER) or "")
+        resume_offset = int(request.header(RESUME_HEADER) or -1)
+        generation = self._generations.get(request_id)
+        unresumable = resume_offset >= 0 and (generation is None or self.faults.cannot_resume)
         refused = self.faults.refuse or self.faults.leaving or replica is None or unresumable
         if refused or replica is None:
             status = 503 if self.faults.refuse or self.faults.leaving else 409
             await exchange.respond(status, (*headers, (OUTCOME_HEADER, NOT_RUN)), b"")
             return
-        if known is None or resumed < 0:
+        if generation is None or resume_offset < 0:
             self.executions[request.header("idempotency-key") or request_id] += 1
-            known = generate(request_id, msgspec.json.decode(request.body, type=ChatRequest))
-            self._remember(request_id, known)
-            self._note_prefix(request)
+            generation = generate(request_id, msgspec.json.decode(request.body, type=ChatRequest))
+            self._store_generation(request_id, generation)
+            self._emit_cache_event(request)
         task = asyncio.current_task()
         assert task is not None
         self._running[request_id] = task
-        self.replicas.begin(replica)
+        self.replicas.record_request_start(replica)
         try:
             async with self._batch.slot(int(request.header(PRIORITY_HEADER) or 0)):
-                await self._stream(exchange, known, headers, max(resumed, 0), resumed >= 0)
+                await self._stream(
+                    exchange, generation, headers, max(resume_offset, 0), resume_offset >= 0
+                )
         finally:
-            self.replicas.end(replica)
+            self.replicas.record_request_end(replica)
             self._running.pop(request_id, None)
 
-    def _remember(self, request_id: str, generation: Generation) -> None:
-        self._known[request_id] = generation
-        if len(self._known) > REMEMBERED_REQUESTS:
-            self._known.popitem(last=False)
+    def _store_generation(self, request_id: str, generation: Generation) -> None:
+        self._generations[request_id] = generation
+        if len(self._generations) > MAX_STORED_GENERATIONS:
+            self._generations.popitem(last=False)
 
     async def _stream(
         self,
@@ -245,24 +249,26 @@
         skip_bytes: int,
         resumed: bool,
     ) -> None:
-        cut = self.faults.cut_after_bytes if not resumed else 0
-        await pause(self.faults, "/v1/chat/completions")
+        cut_after_bytes = self.faults.cut_after_bytes if not resumed else 0
+        await apply_delay(self.faults, "/v1/chat/completions")
         await asyncio.sleep(self._first_token_seconds)
         if self.faults.lose_answers and "/v1/chat/completions".startswith(self.faults.matches):
             exchange.abort()
             return
         headers = (*headers, ("content-type", generation.content_type))
         if self.faults.unframed:
-            await self._stream_unframed(exchange, generation, headers, skip_bytes, cut)
+            await self._stream_close_delimited(
+                exchange, generation, headers, skip_bytes, cut_after_bytes
+            )
             return
         await exchange.start(200, headers)
         sent = 0
         for piece in generation.pieces:
-            fresh = piece[max(0, skip_bytes - sent) :]
+            unsent = piece[max(0, skip_bytes - sent) :]
             sent += len(piece)
-            if fresh:
-                await exchange.send(fresh)
-            if cut and sent >= cut:
+            if unsent:
+                await exchange.send(unsent)
+            if cut_after_bytes and sent >= cut_after_bytes:
                 exchange.abort()
                 return
             pause_seconds = self.faults.token_seconds or self._token_seconds
@@ -270,25 +276,25 @@
                 await asyncio.sleep(pause_seconds)
         await exchange.finish()
 
-    async def _stream_unframed(
+    async def _stream_close_delimited(
         self,
         exchange: Exchange,
         generation: Generation,
         headers: Headers,
         skip_bytes: int,
-        cut: int,
+        cut_after_bytes: int,
     ) -> None:
-        whole = b"".join(generation.pieces)
-        start_unframed(exchange, headers)
-        exchange.send_raw(whole[skip_bytes : cut or len(whole)])
+        body = b"".join(generation.pieces)
+        start_close_delimited(exchange, headers)
+        exchange.send_raw(body[skip_bytes : cut_after_bytes or len(body)])
         exchange.abort()
 
-    def _note_prefix(self, request: HttpRequest) -> None:
-        self._event_count += 1
-        event = CacheEvent(self._event_count, request.body[:PREFIX_CHARACTERS].hex(), True)
-        if self._random.random() >= CACHE_EVENT_LOSS:
+    def _emit_cache_event(self, request: HttpRequest) -> None:
+        self._cache_event_count += 1
+        event = CacheEvent(self._cache_event_count, request.body[:PREFIX_BYTES].hex(), True)
+        if self._random.random() >= CACHE_EVENT_LOSS_RATE:
             loop = asyncio.get_running_loop()
-            loop.call_later(CACHE_EVENT_LAG_SECONDS, self._events.append, event)
+            loop.call_later(CACHE_EVENT_LAG_SECONDS, self._cache_events.append, event)
 
 
 async def _serve(engine: Engine, host: str, port: int) -> None:
--- a/standins/link.py
+++ b/standins/link.py
@@ -11,9 +11,9 @@
 
 import fire
 
-BACKLOG = 100
+LISTEN_BACKLOG = 100
 # With a backlog of none, the kernel drops the opening packet once so many connections wait.
-FILLING_CONNECTIONS = 4
+BACKLOG_FILL_CONNECTIONS = 4
 
 
 class LinkState(enum.Enum):
@@ -32,17 +32,17 @@
     PARTITION = "partition"
 
     @property
-    def passes_bytes(self) -> bool:
+    def forwards_bytes(self) -> bool:
         """Whether bytes of connections that are open arrive."""
         return self in (LinkState.OPEN, LinkState.REFUSE_NEW)
 
     @property
-    def breaks_open(self) -> bool:
+    def aborts_open_connections(self) -> bool:
         """Whether connections that are open are broken."""
         return self in (LinkState.CUT, LinkState.RESET)
 
     @property
-    def refuses(self) -> bool:
+    def refuses_new_connections(self) -> bool:
         """Whether nothing listens."""
         return self in (LinkState.RESET, LinkState.REFUSE_NEW)
 
@@ -57,8 +57,8 @@
         self._state = LinkState.OPEN
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._fillers: list[socket.socket] = []
-        self._accepting: asyncio.Task[None] | None = None
+        self._backlog_sockets: list[socket.socket] = []
+        self._accept_task: asyncio.Task[None] | None = None
         self._listener = self._listen((host, 0))
         self.address: tuple[str, int] = self._listener.getsockname()
         self._start_accepting()
@@ -69,16 +69,16 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(address)
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
         return listener
 
     def _start_accepting(self) -> None:
-        self._accepting = asyncio.get_running_loop().create_task(self._accept_all())
+        self._accept_task = asyncio.get_running_loop().create_task(self._accept_connections())
 
-    async def _accept_all(self) -> None:
+    async def _accept_connections(self) -> None:
         while True:
-            raw, _ = await asyncio.get_running_loop().sock_accept(self._listener)
-            task = asyncio.get_running_loop().create_task(self._carry(raw))
+            client_socket, _ = await asyncio.get_running_loop().sock_accept(self._listener)
+            task = asyncio.get_running_loop().create_task(self._forward_connection(client_socket))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -86,65 +86,65 @@
         """Change what the link does."""
         await self._stop_accepting()
         self._state = state
-        if state.breaks_open:
+        if state.aborts_open_connections:
             for writer in list(self._writers):
                 writer.transport.abort()
-        if state.refuses:
+        if state.refuses_new_connections:
             self._listener.close()
             return
         if self._listener.fileno() < 0:
             self._listener = self._listen(self.address)
         if state is LinkState.PARTITION:
-            self._fill()
+            self._fill_backlog()
         else:
-            self._listener.listen(BACKLOG)
+            self._listener.listen(LISTEN_BACKLOG)
             self._start_accepting()
 
     async def _stop_accepting(self) -> None:
-        if self._accepting is not None:
-            self._accepting.cancel()
-            await asyncio.wait([self._accepting])
-            self._accepting = None
-        for filler in self._fillers:
-            filler.close()
-        self._fillers.clear()
-
-    def _fill(self) -> None:
+        if self._accept_task is not None:
+            self._accept_task.cancel()
+            await asyncio.wait([self._accept_task])
+            self._accept_task = None
+        for backlog_socket in self._backlog_sockets:
+            backlog_socket.close()
+        self._backlog_sockets.clear()
+
+    def _fill_backlog(self) -> None:
         """Take all room for connections that wait to be accepted, so that further ones hang."""
         self._listener.listen(0)
-        for _ in range(FILLING_CONNECTIONS):
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex(self.address)
-            self._fillers.append(filler)
+        for _ in range(BACKLOG_FILL_CONNECTIONS):
+            backlog_socket = socket.socket()
+            backlog_socket.setblocking(False)
+            backlog_socket.connect_ex(self.address)
+            self._backlog_sockets.append(backlog_socket)
 
-    async def _carry(self, raw: socket.socket) -> None:
+    async def _forward_connection(self, client_socket: socket.socket) -> None:
         """Forward one connection both ways."""
-        reader, writer = await asyncio.open_connection(sock=raw)
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         if self._state is LinkState.CUT:
             writer.transport.abort()
             return
         try:
-            onward_reader, onward = await asyncio.open_connection(*self._target_address)
+            target_reader, target_writer = await asyncio.open_connection(*self._target_address)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, onward}
+        self._writers |= {writer, target_writer}
         tasks = [
-            asyncio.create_task(self._forward(reader, onward)),
-            asyncio.create_task(self._forward(onward_reader, writer)),
+            asyncio.create_task(self._forward(reader, target_writer)),
+            asyncio.create_task(self._forward(target_reader, writer)),
         ]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             task.cancel()
-        self._writers -= {writer, onward}
-        onward.transport.abort()
+        self._writers -= {writer, target_writer}
+        target_writer.transport.abort()
         writer.transport.abort()
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while data := await reader.read(65536):
-                if self._state.passes_bytes:
+                if self._state.forwards_bytes:
                     writer.write(data)
                     await writer.drain()
         except OSError:
@@ -182,8 +182,8 @@
 
     :param targets: ``host:port`` of each link's target, with commas between.
     """
-    listed = targets.split(",") if isinstance(targets, str) else list(targets)
-    asyncio.run(_serve(listed, host))
+    target_list = targets.split(",") if isinstance(targets, str) else list(targets)
+    asyncio.run(_serve(target_list, host))
 
 
 if __name__ == "__main__":
--- a/standins/pool/store.py
+++ b/standins/pool/store.py
@@ -14,9 +14,9 @@
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.http.server import Exchange, HttpServer
 from standins.faults import json_response
-from standins.pool.rows import Row, Rows, Transaction
+from standins.pool.rows import Row, RowStore, Transaction
 
-FEED_POLL_SECONDS = 0.005
+FEED_POLL_INTERVAL_SECONDS = 0.005
 
 
 class StoreFaults(Struct):
@@ -36,7 +36,7 @@
     stale: bool = False
 
 
-class RowsAnswer(Struct):
+class RowsResponse(Struct):
     """The answer of each call about rows."""
 
     ver: int
@@ -49,32 +49,32 @@
     """A linearizable store with faults."""
 
     def __init__(self) -> None:
-        self.rows = Rows()
+        self.rows = RowStore()
         self.faults = StoreFaults()
         self.server = HttpServer(self._serve)
-        self._stale: dict[str, RowsAnswer] = {}
-        self._late: set[asyncio.Task[None]] = set()
+        self._stale_tables: dict[str, RowsResponse] = {}
+        self._delayed_writes: set[asyncio.Task[None]] = set()
 
     async def _serve(self, exchange: Exchange) -> None:
         request = exchange.request
         if request is None:
             exchange.abort()
         elif request.path.startswith("/_"):
-            await _send(exchange, self._control(request))
+            await _respond(exchange, self._control(request))
         elif self.faults.mode == "silent":
             await asyncio.Event().wait()
         elif self.faults.mode == "reset":
             exchange.abort()
         elif self.faults.mode:
-            await _send(exchange, HttpResponse(429 if self.faults.mode == "throttle" else 503))
+            await _respond(exchange, HttpResponse(429 if self.faults.mode == "throttle" else 503))
         else:
             await asyncio.sleep(self.faults.delay_seconds)
-            await self._act(exchange, request)
+            await self._handle_rows(exchange, request)
 
     def _control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/_fault":
             self.faults = msgspec.json.decode(request.body, type=StoreFaults)
-            self._stale = {t: self._whole(t) for t in ("op", "servers")}
+            self._stale_tables = {t: self._read_table(t) for t in ("op", "servers")}
         elif request.path == "/_apply":
             self.rows.apply(msgspec.json.decode(request.body, type=Transaction))
         elif request.path == "/_forget":
@@ -83,51 +83,51 @@
             return json_response(self.rows.table(_query(request, "table")))
         return json_response({"ver": self.rows.version})
 
-    def _answer(self, rows: list[Row]) -> RowsAnswer:
+    def _make_response(self, rows: list[Row]) -> RowsResponse:
         now_ms = int(asyncio.get_running_loop().time() * 1000)
-        return RowsAnswer(self.rows.version, now_ms, rows)
+        return RowsResponse(self.rows.version, now_ms, rows)
 
-    def _whole(self, table: str) -> RowsAnswer:
-        return self._answer(self.rows.table(table))
+    def _read_table(self, table: str) -> RowsResponse:
+        return self._make_response(self.rows.table(table))
 
-    async def _act(self, exchange: Exchange, request: HttpRequest) -> None:
+    async def _handle_rows(self, exchange: Exchange, request: HttpRequest) -> None:
         if request.path == "/rows-get":
             table = _query(request, "table")
-            stale = self._stale.get(table) if self.faults.stale else None
-            await _send(exchange, json_response(stale or self._whole(table)))
+            stale = self._stale_tables.get(table) if self.faults.stale else None
+            await _respond(exchange, json_response(stale or self._read_table(table)))
         elif request.path == "/rows-feed":
-            await _send(exchange, await self._feed(request))
+            await _respond(exchange, await self._feed(request))
         elif request.path == "/rows-tx":
             await self._transact(exchange, request)
         else:
-            await _send(exchange, HttpResponse(404))
+            await _respond(exchange, HttpResponse(404))
 
     async def _feed(self, request: HttpRequest) -> HttpResponse:
         table, after = _query(request, "table"), int(_query(request, "after"))
         loop = asyncio.get_running_loop()
-        limit = loop.time() + int(_query(request, "wait-ms") or 0) / 1000
+        deadline = loop.time() + int(_query(request, "wait-ms") or 0) / 1000
         while True:
             changes = self.rows.changes(table, after)
             if changes is None:
                 return HttpResponse(410)
-            if changes or loop.time() >= limit:
-                return json_response(self._answer(changes))
-            await asyncio.sleep(FEED_POLL_SECONDS)
+            if changes or loop.time() >= deadline:
+                return json_response(self._make_response(changes))
+            await asyncio.sleep(FEED_POLL_INTERVAL_SECONDS)
 
     async def _transact(self, exchange: Exchange, request: HttpRequest) -> None:
         transaction = msgspec.json.decode(request.body, type=Transaction)
         if any(put.table == "servers" for put in transaction.put):
-            await _send(exchange, HttpResponse(403))
+            await _respond(exchange, HttpResponse(403))
             return
         if self.faults.lose_answers:
             task = asyncio.get_running_loop().create_task(self._apply_late(transaction))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._delayed_writes.add(task)
+            task.add_done_callback(self._delayed_writes.discard)
             exchange.abort()
             return
         conflict = self.rows.apply(transaction)
         status = 200 if conflict is None else 412
-        await _send(exchange, json_response(self._answer(conflict or []), status))
+        await _respond(exchange, json_response(self._make_response(conflict or []), status))
 
     async def _apply_late(self, transaction: Transaction) -> None:
         await asyncio.sleep(self.faults.late_seconds)
@@ -139,7 +139,7 @@
     return values[0] if values else ""
 
 
-async def _send(exchange: Exchange, response: HttpResponse) -> None:
+async def _respond(exchange: Exchange, response: HttpResponse) -> None:
     await exchange.respond(response.status, response.headers, response.body)
 
 
