--- a/loomwind/platform/engine.py
+++ b/loomwind/platform/engine.py
@@ -7,7 +7,7 @@
 from loomwind.http.errors import ConnectFailed, HttpError
 from loomwind.http.messages import HttpRequest, HttpResponse
 from loomwind.platform.dialect import EXPECT_INSTANCE, INSTANCE
-from loomwind.platform.documents import WireHeldModel, held_models
+from loomwind.platform.documents import WireHeldModel, convert_held_models
 from loomwind.serving.ports import EngineControl
 from loomwind.serving.views import (
     ModelKey,
@@ -75,7 +75,7 @@
             if response.status != 200 or _is_other_server(response, entry):
                 return None
             wire = msgspec.json.decode(response.body, type=WireReport)
-            return None if _was_restarted(wire, entry) else _report(wire)
+            return None if _was_restarted(wire, entry) else _convert_report(wire)
         except (HttpError, msgspec.MsgspecError):
             return None
 
@@ -111,11 +111,11 @@
     return None not in (wire.born, entry.started_at_ms) and wire.born != entry.started_at_ms
 
 
-def _report(wire: WireReport) -> ServerReport:
+def _convert_report(wire: WireReport) -> ServerReport:
     return ServerReport(
         revision=wire.seq,
         busy=wire.busy,
-        held=held_models(wire.models),
+        held=convert_held_models(wire.models),
         waiting=wire.waiting,
         running=wire.running,
         kv_used=wire.kv_used,
