--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -28,13 +28,13 @@
     Given a spare daemon daemon-4 in zone-a
     When 10 bookings are sent through daemon-1, each with its own key
     And a voter that is not the controller is killed
-    And daemon-4 votes in its place
+    And daemon-4 becomes a voter in its place
     And another voter is killed
     And the same bookings are sent again through daemon-4
     Then nothing ran twice
 
   Scenario: all voters are replaced one after the other between two tries
-    When the voters are whole again
+    When all voter seats are filled again
     And 10 bookings are sent through daemon-1, each with its own key
     And every daemon is killed and started again, one after the other
     And the same bookings are sent again through daemon-1
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -38,7 +38,7 @@
     Given a site of 3 daemons and 3 engines whose zone-c can be cut off
     When zone-c is cut off
     And an operator creates 3 groups through daemon-1
-    And zone-c is healed
+    And zone-c is reconnected
     Then all daemons have the same catalog version, at least 3 higher
     And no daemon ever showed a lower catalog version
 
--- a/features/membership.feature
+++ b/features/membership.feature
@@ -1,6 +1,6 @@
-Feature: The cell goes on when daemons and zones fail
+Feature: A cell continues to serve when daemons and zones fail
 
-  Scenario: a controller that is killed is replaced, and orders go on
+  Scenario: a killed controller is replaced, and engines still get orders
     Given model tutor of 4000 MiB that loads in 0.1 s, at most 1 replicas
     And model other of 4000 MiB that loads in 0.1 s, at most 1 replicas
     And a site of 3 daemons and 2 engines
@@ -10,14 +10,14 @@
     And 2 callers ask each daemon that runs for other
     Then every reply has status 200
 
-  Scenario: the controller itself goes on taking cold requests
+  Scenario: the controller itself continues to accept requests for cold models
     Given model tutor of 4000 MiB that loads in 0.1 s, at most 1 replicas
     And a site of 2 daemons and 1 engines
     When the controller has led for 15 heartbeats
     And 2 callers ask each daemon for tutor
     Then every reply has status 200
 
-  Scenario: a zone with the controller is cut off
+  Scenario: the zone of the controller is cut off
     Given model tutor of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And a site of 3 daemons and 3 engines whose zone-a can be cut off
     When the daemon daemon-1 leads
@@ -25,33 +25,33 @@
     And 5 callers ask daemon-2 and daemon-3 for tutor
     Then every reply has status 200
     And at most 1 replicas of tutor@v1 were loaded at once
-    When zone-a is healed
+    When zone-a is reconnected
     And 5 callers ask each daemon for tutor
     Then every reply has status 200
     And at most 1 replicas of tutor@v1 were loaded at once
 
-  Scenario: two daemons lose each other, but not the third
+  Scenario: two daemons lose contact with each other, but not with the third
     Given model tutor of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And a site of 3 daemons and 2 engines where daemon-1 and daemon-2 can lose each other
     When the daemon daemon-1 leads
     And daemon-1 and daemon-2 lose each other
     And both suspect each other for 20 heartbeats
     Then the controller has changed at most once since
-    And neither holds the other for gone
+    And neither considers the other gone
     When 3 callers ask each daemon for tutor
     Then every reply has status 200
 
-  Scenario: a daemon is replaced by a new identity under its old name
+  Scenario: a daemon restarts with a new identity under its old name
     Given model tutor of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And a site of 3 daemons and 2 engines
     When a voter that is not the controller is killed
     And the killed daemon is started again
-    And the voters are whole again
+    And all voter seats are filled again
     And another voter is killed
     And 3 callers ask each daemon that runs for tutor
     Then every reply has status 200
 
-  Scenario: most voters are lost at once, and a new generation begins
+  Scenario: a majority of the voters fails at once, and a new generation starts
     Given model tutor of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And a site of 3 daemons and 2 engines
     When 3 callers ask each daemon for tutor
@@ -62,7 +62,7 @@
     And at most 1 replicas of tutor@v1 were loaded at once
     And the generation is 2
 
-  Scenario: most voters and the table service are lost at once
+  Scenario: a majority of the voters and the table service fail at once
     Given model tutor of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And model cold of 4000 MiB that loads in 0.2 s, at most 1 replicas
     And a site of 3 daemons and 2 engines
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps about daemons that die, stop, come back, or are cut off."""
+"""Steps about daemons that fail, stop, restart, or are cut off."""
 
 import signal
 from typing import Any
@@ -47,7 +47,7 @@
     for daemon in site.daemons.values():
         daemon.kill()
         site.start_daemon(daemon)
-        wait_until(lambda: bool(daemon.metric("loomwind_voter") == 1.0), "it votes again")  # noqa: B023
+        wait_until(lambda: bool(daemon.metric("loomwind_voter") == 1.0), "it is a voter again")  # noqa: B023
         site.wait_ready()
 
 
@@ -57,15 +57,15 @@
     wait_until(lambda: bool(context.killed.ready), "the daemon is ready again")
 
 
-@when("{name} votes in its place")
+@when("{name} becomes a voter in its place")
 def step_votes(context: Any, name: str) -> None:
     daemon = context.site.daemons[name]
-    wait_until(lambda: bool(daemon.metric("loomwind_voter") == 1.0), f"{name} votes")
+    wait_until(lambda: bool(daemon.metric("loomwind_voter") == 1.0), f"{name} is a voter")
 
 
-@when("the voters are whole again")
+@when("all voter seats are filled again")
 def step_whole(context: Any) -> None:
-    wait_until(lambda: len(voters(context.site)) == CELL_VOTERS, "all seats are taken")
+    wait_until(lambda: len(voters(context.site)) == CELL_VOTERS, "all voter seats are filled")
 
 
 @when("all daemons but one are killed")
@@ -91,14 +91,14 @@
 
 @when("the remaining daemon notices that there is no controller")
 def step_notices(context: Any) -> None:
-    """Ask until the refusal comes at once; the daemon gives a new controller some seconds."""
+    """Send requests until one is refused at once: a daemon first waits for a new controller."""
     daemon = running(context.site)[0]
 
     def refused() -> bool:
         reply = send(chat(daemon.address, "cold", timeout_seconds=1.0))
         return reply.status == 503
 
-    wait_until(refused, "the daemon notices")
+    wait_until(refused, "the daemon refuses requests")
 
 
 @when("{count:d} callers ask each daemon that runs for {model}")
@@ -128,7 +128,7 @@
             "another daemon leads",
         )
         controller.signal(signal.SIGCONT)
-        wait_until(lambda: not controller.leading, "the paused daemon steps down")  # noqa: B023
+        wait_until(lambda: not controller.leading, "the old leader steps down")  # noqa: B023
     raise AssertionError(f"{name} never led")
 
 
@@ -141,7 +141,7 @@
         return controller.metric("loomwind_peer_messages_total", type="Heartbeat")
 
     until = beats() + count
-    wait_until(lambda: beats() >= until, "the controller has led for a while")
+    wait_until(lambda: beats() >= until, f"the controller has sent {count} more heartbeats")
 
 
 @when("{zone} is cut off")
@@ -158,7 +158,7 @@
 
 
 def terms(site: Site) -> float:
-    """Return how often any daemon became controller."""
+    """Return the number of terms of all controllers together."""
     counts: list[float] = [
         daemon.metric("loomwind_controller_terms_total") for daemon in site.daemons.values()
     ]
@@ -179,7 +179,7 @@
     def suspects(daemon: DaemonProcess) -> bool:
         return daemon.metric("loomwind_members", state="alive") == 1
 
-    wait_until(lambda: all(suspects(d) for d in context.lost), "both lost each other")
+    wait_until(lambda: all(suspects(d) for d in context.lost), "both daemons suspect each other")
     third = next(d for d in context.site.daemons.values() if d not in context.lost)
 
     def beats() -> float:
@@ -196,13 +196,13 @@
     wait_until(lambda: site.controller() is not None, "one daemon leads")
 
 
-@then("neither holds the other for gone")
+@then("neither considers the other gone")
 def step_not_gone(context: Any) -> None:
     for daemon in context.lost:
         assert daemon.metric("loomwind_members", state="gone") == 0, daemon.name
 
 
-@when("{zone} is healed")
+@when("{zone} is reconnected")
 def step_heal(context: Any, zone: str) -> None:
     assert context.site.links is not None
     context.site.links.set_state("heal")
@@ -212,7 +212,7 @@
         lambda: all(
             d.metric("loomwind_members", state="alive") == others for d in site.daemons.values()
         ),
-        "all daemons know each other again",
+        "every daemon considers all others alive",
     )
     wait_until(lambda: site.controller() is not None, "one daemon leads")
 
