--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -157,7 +157,7 @@
     )
 
 
-def terms(site: Site) -> float:
+def count_controller_terms(site: Site) -> float:
     """Return the number of terms of all controllers together."""
     counts: list[float] = [
         daemon.metric("loomwind_controller_terms_total") for daemon in site.daemons.values()
@@ -169,9 +169,9 @@
 def step_lose_each_other(context: Any, one: str, other: str) -> None:
     site: Site = context.site
     assert site.links is not None
-    context.terms = terms(site)
+    context.controller_terms = count_controller_terms(site)
     site.links.set_state("blackhole")
-    context.lost = [site.daemons[one], site.daemons[other]]
+    context.disconnected = [site.daemons[one], site.daemons[other]]
 
 
 @when("both suspect each other for {count:d} heartbeats")
@@ -179,8 +179,10 @@
     def suspects(daemon: DaemonProcess) -> bool:
         return daemon.metric("loomwind_members", state="alive") == 1
 
-    wait_until(lambda: all(suspects(d) for d in context.lost), "both daemons suspect each other")
-    third = next(d for d in context.site.daemons.values() if d not in context.lost)
+    wait_until(
+        lambda: all(suspects(d) for d in context.disconnected), "both daemons suspect each other"
+    )
+    third = next(d for d in context.site.daemons.values() if d not in context.disconnected)
 
     def beats() -> float:
         return float(third.metric("loomwind_peer_messages_total", type="Heartbeat"))
@@ -192,13 +194,16 @@
 @then("the controller has changed at most once since")
 def step_changed_once(context: Any) -> None:
     site: Site = context.site
-    assert terms(site) <= context.terms + 1, (terms(site), context.terms)
+    assert count_controller_terms(site) <= context.controller_terms + 1, (
+        count_controller_terms(site),
+        context.controller_terms,
+    )
     wait_until(lambda: site.controller() is not None, "one daemon leads")
 
 
 @then("neither considers the other gone")
 def step_not_gone(context: Any) -> None:
-    for daemon in context.lost:
+    for daemon in context.disconnected:
         assert daemon.metric("loomwind_members", state="gone") == 0, daemon.name
 
 
