--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -137,11 +137,13 @@
 def step_led(context: Any, count: int) -> None:
     controller = controller_of(context)
 
-    def beats() -> float:
+    def heartbeats_sent() -> float:
         return controller.metric("loomwind_peer_messages_total", type="Heartbeat")
 
-    until = beats() + count
-    wait_until(lambda: beats() >= until, f"the controller has sent {count} more heartbeats")
+    until = heartbeats_sent() + count
+    wait_until(
+        lambda: heartbeats_sent() >= until, f"the controller has sent {count} more heartbeats"
+    )
 
 
 @when("{zone} is cut off")
@@ -184,11 +186,11 @@
     )
     third = next(d for d in context.site.daemons.values() if d not in context.disconnected)
 
-    def beats() -> float:
+    def heartbeats_sent() -> float:
         return float(third.metric("loomwind_peer_messages_total", type="Heartbeat"))
 
-    until = beats() + count * 2
-    wait_until(lambda: beats() >= until, "heartbeats were sent")
+    until = heartbeats_sent() + count * 2
+    wait_until(lambda: heartbeats_sent() >= until, "heartbeats were sent")
 
 
 @then("the controller has changed at most once since")
