--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -178,11 +178,12 @@
 
 @when("both suspect each other for {count:d} heartbeats")
 def step_suspect(context: Any, count: int) -> None:
-    def suspects(daemon: DaemonProcess) -> bool:
+    def sees_one_daemon_alive(daemon: DaemonProcess) -> bool:
         return daemon.metric("loomwind_members", state="alive") == 1
 
     wait_until(
-        lambda: all(suspects(d) for d in context.disconnected), "both daemons suspect each other"
+        lambda: all(sees_one_daemon_alive(d) for d in context.disconnected),
+        "both daemons suspect each other",
     )
     third = next(d for d in context.site.daemons.values() if d not in context.disconnected)
 
