--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -64,7 +64,7 @@
 
 
 @when("all voter seats are filled again")
-def step_whole(context: Any) -> None:
+def step_voters_filled(context: Any) -> None:
     wait_until(lambda: len(voters(context.site)) == CELL_VOTERS, "all voter seats are filled")
 
 
