--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -211,7 +211,7 @@
 
 
 @when("{zone} is reconnected")
-def step_heal(context: Any, zone: str) -> None:
+def step_reconnect(context: Any, zone: str) -> None:
     assert context.site.links is not None
     context.site.links.set_state("heal")
     site: Site = context.site
