--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -58,7 +58,7 @@
 
 
 @when("{name} becomes a voter in its place")
-def step_votes(context: Any, name: str) -> None:
+def step_becomes_voter(context: Any, name: str) -> None:
     daemon = context.site.daemons[name]
     wait_until(lambda: bool(daemon.metric("loomwind_voter") == 1.0), f"{name} is a voter")
 
