--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -140,9 +140,10 @@
     def heartbeats_sent() -> float:
         return controller.metric("loomwind_peer_messages_total", type="Heartbeat")
 
-    until = heartbeats_sent() + count
+    target_count = heartbeats_sent() + count
     wait_until(
-        lambda: heartbeats_sent() >= until, f"the controller has sent {count} more heartbeats"
+        lambda: heartbeats_sent() >= target_count,
+        f"the controller has sent {count} more heartbeats",
     )
 
 
@@ -190,8 +191,8 @@
     def heartbeats_sent() -> float:
         return float(third.metric("loomwind_peer_messages_total", type="Heartbeat"))
 
-    until = heartbeats_sent() + count * 2
-    wait_until(lambda: heartbeats_sent() >= until, "heartbeats were sent")
+    target_count = heartbeats_sent() + count * 2
+    wait_until(lambda: heartbeats_sent() >= target_count, "heartbeats were sent")
 
 
 @then("the controller has changed at most once since")
