--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from loomwind.catalog.changes import Kind, ObjectKey
+from loomwind.catalog.changes import ObjectKind, ObjectKey
 from loomwind.catalog.model import Entry, SnapshotEntry
 from loomwind.control.claims import ClaimStore
 from loomwind.control.engine_tracker import EngineRecord
@@ -53,14 +53,16 @@
 def _entry(number: int) -> SnapshotEntry:
     name = f"adapter-{number:04}"
     adapter = Adapter(name=name, group="school", model="model-0001", version="v1")
-    return SnapshotEntry(ObjectKey(Kind.ADAPTER, name), Entry(version=number, adapter=adapter))
+    return SnapshotEntry(
+        ObjectKey(ObjectKind.ADAPTER, name), Entry(version=number, adapter=adapter)
+    )
 
 
 def _model(number: int) -> SnapshotEntry:
     name = f"model-{number:04}"
     version = Version(name="v1", memory_mib=8000)
     model = Model(name=name, group="school", versions=(version,), current="v1")
-    return SnapshotEntry(ObjectKey(Kind.MODEL, name), Entry(version=number, model=model))
+    return SnapshotEntry(ObjectKey(ObjectKind.MODEL, name), Entry(version=number, model=model))
 
 
 def _route(number: int) -> EngineRoute:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -6,7 +6,7 @@
 from msgspec import structs
 
 from loomwind import constants
-from loomwind.catalog.changes import Kind, ObjectKey
+from loomwind.catalog.changes import ObjectKind, ObjectKey
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
 from loomwind.control.engine_tracker import EngineTracker
@@ -79,8 +79,8 @@
             max_replicas=int(row["replicas"]),
         )
         group = Group(name=row["group"], share=context.shares.get(row["group"], 1.0))
-        entries[ObjectKey(Kind.MODEL, model.name)] = Entry(version=1, model=model)
-        entries[ObjectKey(Kind.GROUP, group.name)] = Entry(version=1, group=group)
+        entries[ObjectKey(ObjectKind.MODEL, model.name)] = Entry(version=1, model=model)
+        entries[ObjectKey(ObjectKind.GROUP, group.name)] = Entry(version=1, group=group)
     return Catalog(1, entries)
 
 
--- a/loomwind/catalog/changes.py
+++ b/loomwind/catalog/changes.py
@@ -9,7 +9,7 @@
 CatalogObject = Group | Model | Adapter | Route | Drain
 
 
-class Kind(enum.Enum):
+class ObjectKind(enum.Enum):
     """What an object of the catalog is."""
 
     GROUP = "group"
@@ -22,7 +22,7 @@
 class ObjectKey(Struct, frozen=True, array_like=True):
     """The kind and name that identify an object."""
 
-    kind: Kind
+    kind: ObjectKind
     name: str
 
 
--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, structs
 
-from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, Kind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKind, ObjectKey
 from loomwind.catalog.errors import Conflict, InvalidChange, NotFound
 from loomwind.schema import Adapter, Artifact, Drain, Group, Model, Route
 
@@ -49,42 +49,42 @@
     version: int = 0
     entries: dict[ObjectKey, Entry] = {}
 
-    def entry(self, kind: Kind, name: str) -> Entry | None:
+    def entry(self, kind: ObjectKind, name: str) -> Entry | None:
         """Return the entry, or None."""
         return self.entries.get(ObjectKey(kind, name))
 
     def group(self, name: str) -> Group | None:
         """Return the group of that name, or None."""
-        entry = self.entry(Kind.GROUP, name)
+        entry = self.entry(ObjectKind.GROUP, name)
         return entry.group if entry else None
 
     def model(self, name: str) -> Model | None:
         """Return the model of that name, or None."""
-        entry = self.entry(Kind.MODEL, name)
+        entry = self.entry(ObjectKind.MODEL, name)
         return entry.model if entry else None
 
     def previous_version(self, model: str) -> str:
         """Return the version that was current before the present one; empty if there was none."""
-        entry = self.entry(Kind.MODEL, model)
+        entry = self.entry(ObjectKind.MODEL, model)
         return entry.previous if entry else ""
 
     def adapter(self, name: str) -> Adapter | None:
         """Return the adapter of that name, or None."""
-        entry = self.entry(Kind.ADAPTER, name)
+        entry = self.entry(ObjectKind.ADAPTER, name)
         return entry.adapter if entry else None
 
-    def values(self, kind: Kind) -> list[Entry]:
+    def values(self, kind: ObjectKind) -> list[Entry]:
         """Return all entries of a kind, by name."""
         return [entry for key, entry in ordered_entries(self) if key.kind is kind]
 
     def routes(self) -> list[Route]:
         """Return all routes, the longest prefix first."""
-        routes = [entry.route for entry in self.values(Kind.ROUTE) if entry.route is not None]
+        routes = [entry.route for entry in self.values(ObjectKind.ROUTE) if entry.route is not None]
         return sorted(routes, key=lambda route: -len(route.prefix))
 
     def is_drained(self, backend: str) -> bool:
         """Return whether an operator wants a back end to get no new work."""
-        return self.entry(Kind.DRAIN, backend) is not None
+        return self.entry(ObjectKind.DRAIN, backend) is not None
 
     def memory_mib(self, artifact: Artifact) -> int | None:
         """Return the memory that an artifact takes, or None when it is not in the catalog."""
@@ -211,8 +211,8 @@
     for other, entry in catalog.entries.items():
         value = entry.value
         owned = not isinstance(value, Group | Drain) and value.group == key.name
-        if key.kind is Kind.GROUP and owned:
+        if key.kind is ObjectKind.GROUP and owned:
             raise InvalidChange(f"{other.kind.value} {other.name} belongs to the group")
         based = isinstance(value, Adapter) and value.model == key.name
-        if key.kind is Kind.MODEL and based:
+        if key.kind is ObjectKind.MODEL and based:
             raise InvalidChange(f"adapter {other.name} is based on the model")
--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from loomwind import constants
-from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, Kind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKind, ObjectKey
 from loomwind.catalog.errors import CatalogError, CatalogUnavailable
 from loomwind.catalog.model import Catalog, apply, restore, snapshot
 from loomwind.catalog.store import CatalogStore
@@ -226,14 +226,14 @@
 def object_key(value: CatalogObject) -> ObjectKey:
     """Return the key of an object."""
     if isinstance(value, Group):
-        return ObjectKey(Kind.GROUP, value.name)
+        return ObjectKey(ObjectKind.GROUP, value.name)
     if isinstance(value, Model):
-        return ObjectKey(Kind.MODEL, value.name)
+        return ObjectKey(ObjectKind.MODEL, value.name)
     if isinstance(value, Adapter):
-        return ObjectKey(Kind.ADAPTER, value.name)
+        return ObjectKey(ObjectKind.ADAPTER, value.name)
     if isinstance(value, Drain):
-        return ObjectKey(Kind.DRAIN, value.name)
-    return ObjectKey(Kind.ROUTE, value.prefix)
+        return ObjectKey(ObjectKind.DRAIN, value.name)
+    return ObjectKey(ObjectKind.ROUTE, value.prefix)
 
 
 def make_change(
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.catalog.changes import Kind
+from loomwind.catalog.changes import ObjectKind
 from loomwind.catalog.model import Catalog
 from loomwind.control.cluster_view import (
     cluster_view,
@@ -230,7 +230,7 @@
             self._send_routing(router, update)
 
     def _shares(self) -> dict[str, float]:
-        entries = self._catalog().values(Kind.GROUP)
+        entries = self._catalog().values(ObjectKind.GROUP)
         return {entry.group.name: entry.group.share for entry in entries if entry.group}
 
     def _applications(self) -> tuple[ApplicationRoute, ...]:
--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -5,7 +5,7 @@
 import msgspec
 from google.protobuf.json_format import MessageToDict, ParseDict
 
-from loomwind.catalog.changes import CatalogObject, Kind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, ObjectKind, ObjectKey
 from loomwind.catalog.errors import InvalidChange
 from loomwind.catalog.model import Entry
 from loomwind.operator import operator_pb2 as pb
@@ -19,16 +19,16 @@
 }
 
 
-def kind_of(value: "pb.Kind.ValueType") -> Kind:
+def kind_of(value: "pb.Kind.ValueType") -> ObjectKind:
     """Return the catalog's kind of a schema's one.
 
     :raises InvalidChange: none is given.
     """
     names = {
-        pb.KIND_GROUP: Kind.GROUP,
-        pb.KIND_MODEL: Kind.MODEL,
-        pb.KIND_ADAPTER: Kind.ADAPTER,
-        pb.KIND_ROUTE: Kind.ROUTE,
+        pb.KIND_GROUP: ObjectKind.GROUP,
+        pb.KIND_MODEL: ObjectKind.MODEL,
+        pb.KIND_ADAPTER: ObjectKind.ADAPTER,
+        pb.KIND_ROUTE: ObjectKind.ROUTE,
     }
     if value not in names:
         raise InvalidChange("no kind is given")
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server, Stream
 
-from loomwind.catalog.changes import Change, Kind, ObjectKey
+from loomwind.catalog.changes import Change, ObjectKind, ObjectKey
 from loomwind.catalog.errors import (
     CatalogError,
     CatalogUnavailable,
@@ -121,7 +121,7 @@
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
     async def _drain(self, request: pb.DrainRequest) -> pb.DrainReply:
-        key = ObjectKey(Kind.DRAIN, request.backend)
+        key = ObjectKey(ObjectKind.DRAIN, request.backend)
         entry = self._catalog.catalog.entries.get(key)
         if (entry is not None) == request.leaving:
             return pb.DrainReply()
@@ -138,7 +138,9 @@
             for artifact in route.replicas
         ]
         groups = [
-            entry.group.name for entry in self._catalog.catalog.values(Kind.GROUP) if entry.group
+            entry.group.name
+            for entry in self._catalog.catalog.values(ObjectKind.GROUP)
+            if entry.group
         ]
         queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_in_group(g)) for g in groups]
         return pb.StatusReply(
