--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -73,13 +73,17 @@
         entry = self.entry(ObjectKind.ADAPTER, name)
         return entry.adapter if entry else None
 
-    def values(self, kind: ObjectKind) -> list[Entry]:
+    def entries_of_kind(self, kind: ObjectKind) -> list[Entry]:
         """Return all entries of a kind, by name."""
         return [entry for key, entry in ordered_entries(self) if key.kind is kind]
 
     def routes(self) -> list[Route]:
         """Return all routes, the longest prefix first."""
-        routes = [entry.route for entry in self.values(ObjectKind.ROUTE) if entry.route is not None]
+        routes = [
+            entry.route
+            for entry in self.entries_of_kind(ObjectKind.ROUTE)
+            if entry.route is not None
+        ]
         return sorted(routes, key=lambda route: -len(route.prefix))
 
     def is_drained(self, backend: str) -> bool:
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -116,7 +116,7 @@
 
     async def _list(self, request: pb.ListRequest) -> pb.ListReply:
         catalog = self._catalog.catalog
-        entries = catalog.values(kind_of(request.kind))
+        entries = catalog.entries_of_kind(kind_of(request.kind))
         objects = [message_of(entry) for entry in entries]
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
@@ -139,7 +139,7 @@
         ]
         groups = [
             entry.group.name
-            for entry in self._catalog.catalog.values(ObjectKind.GROUP)
+            for entry in self._catalog.catalog.entries_of_kind(ObjectKind.GROUP)
             if entry.group
         ]
         queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_in_group(g)) for g in groups]
