--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -214,8 +214,8 @@
 def _validate_delete(catalog: Catalog, key: ObjectKey) -> None:
     for other, entry in catalog.entries.items():
         value = entry.value
-        owned = not isinstance(value, Group | Drain) and value.group == key.name
-        if key.kind is ObjectKind.GROUP and owned:
+        belongs_to_group = not isinstance(value, Group | Drain) and value.group == key.name
+        if key.kind is ObjectKind.GROUP and belongs_to_group:
             raise InvalidChange(f"{other.kind.value} {other.name} belongs to the group")
         based = isinstance(value, Adapter) and value.model == key.name
         if key.kind is ObjectKind.MODEL and based:
