--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -217,6 +217,6 @@
         belongs_to_group = not isinstance(value, Group | Drain) and value.group == key.name
         if key.kind is ObjectKind.GROUP and belongs_to_group:
             raise InvalidChange(f"{other.kind.value} {other.name} belongs to the group")
-        based = isinstance(value, Adapter) and value.model == key.name
-        if key.kind is ObjectKind.MODEL and based:
+        uses_model = isinstance(value, Adapter) and value.model == key.name
+        if key.kind is ObjectKind.MODEL and uses_model:
             raise InvalidChange(f"adapter {other.name} is based on the model")
