--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -71,7 +71,7 @@
         while len(self._change_ids) > REMEMBERED_CHANGE_IDS:
             del self._change_ids[next(iter(self._change_ids))]
 
-    async def learn_from_store(self) -> None:
+    async def catch_up_with_store(self) -> None:
         """Read the durable catalog.
 
         :raises CatalogUnavailable: the store does not answer.
@@ -91,7 +91,7 @@
             await asyncio.sleep(constants.CATALOG_POLL_INTERVAL_SECONDS)
             if wanted():
                 try:
-                    await self.learn_from_store()
+                    await self.catch_up_with_store()
                 except CatalogUnavailable:
                     continue
 
@@ -200,7 +200,7 @@
         :returns: whether the catalog is known to be as new as the last accepted change.
         """
         try:
-            await self.learn_from_store()
+            await self.catch_up_with_store()
             return True
         except CatalogUnavailable:
             pass
