--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -95,7 +95,7 @@
                 except CatalogUnavailable:
                     continue
 
-    async def learn_from(self, peer: MemberInfo) -> bool:
+    async def fetch_from(self, peer: MemberInfo) -> bool:
         """Fetch what a peer has beyond the own version; False when it did not answer."""
         request = CatalogRequest(self.catalog.version)
         try:
@@ -190,7 +190,7 @@
 
     async def _pull(self, peer: MemberInfo) -> None:
         try:
-            await self.learn_from(peer)
+            await self.fetch_from(peer)
         finally:
             self._pulling = False
 
@@ -207,7 +207,7 @@
         voters = self.voters()
         if not voters:
             return False
-        answers = await asyncio.gather(*(self.learn_from(info) for info in voters))
+        answers = await asyncio.gather(*(self.fetch_from(info) for info in voters))
         return 2 * sum(answers) > len(voters)
 
     async def seed(self, objects: list[CatalogObject]) -> None:
