--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -194,7 +194,7 @@
         finally:
             self._pulling = False
 
-    async def learn_at_start(self) -> bool:
+    async def load_at_start(self) -> bool:
         """Learn the accepted catalog from the store, or else from a majority of the voters.
 
         :returns: whether the catalog is known to be as new as the last accepted change.
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -233,7 +233,7 @@
 
     async def _load_catalog(self) -> None:
         """Accept requests once the catalog is loaded and the settings' objects are added to it."""
-        while not await self.catalog.learn_at_start():
+        while not await self.catalog.load_at_start():
             await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
         objects: list[CatalogObject] = [*settings.groups, *settings.models]
