--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -103,11 +103,11 @@
         except PeerUnreachable:
             return False
         if isinstance(answer, CatalogAnswer):
-            self._take_answer(answer)
+            self._apply_answer(answer)
             return True
         return False
 
-    def _take_answer(self, answer: CatalogAnswer) -> None:
+    def _apply_answer(self, answer: CatalogAnswer) -> None:
         if answer.snapshot is not None:
             self._adopt(restore(answer.snapshot))
         self._take_changes(answer.changes)
