--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -110,9 +110,9 @@
     def _apply_answer(self, answer: CatalogAnswer) -> None:
         if answer.snapshot is not None:
             self._adopt(restore(answer.snapshot))
-        self._take_changes(answer.changes)
+        self._apply_changes(answer.changes)
 
-    def _take_changes(self, changes: tuple[ChangeRecord, ...]) -> None:
+    def _apply_changes(self, changes: tuple[ChangeRecord, ...]) -> None:
         catalog = self.catalog
         for record in changes:
             if record.version == catalog.version + 1:
@@ -165,7 +165,7 @@
     def on_update(self, message: CatalogUpdate) -> Acknowledgement:
         """Take in pushed changes; a gap is repaired when the next digest shows it."""
         before = self.catalog.version
-        self._take_changes(message.changes)
+        self._apply_changes(message.changes)
         if self.catalog.version > before:
             for info in list(self._membership.remote_contacts.values())[:1]:
                 self._transport.send(info.address, message)
