--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -64,7 +64,7 @@
         self._metrics.catalog_version.set(catalog.version)
         self.on_change()
 
-    def _remember(self, record: ChangeRecord) -> None:
+    def _record_change(self, record: ChangeRecord) -> None:
         self._log[record.version] = record
         self._log.pop(record.version - KEPT_CHANGES, None)
         self._change_ids[record.change.change_id] = record.version
@@ -78,7 +78,7 @@
         """
         caught_up = await self._store.catch_up(self.catalog)
         for record in caught_up.records:
-            self._remember(record)
+            self._record_change(record)
         self._adopt(caught_up.catalog)
 
     async def poll_store(self, wanted: Callable[[], bool]) -> None:
@@ -117,7 +117,7 @@
         for record in changes:
             if record.version == catalog.version + 1:
                 catalog = apply(catalog, record)
-                self._remember(record)
+                self._record_change(record)
         self._adopt(catalog)
 
     async def submit(self, change: Change) -> ChangeRecord:
@@ -131,7 +131,7 @@
                 return known
             caught_up = await self._store.append(self.catalog, change)
             for record in caught_up.records:
-                self._remember(record)
+                self._record_change(record)
             self._adopt(caught_up.catalog)
             record = caught_up.records[-1]
         log_state("catalog", "changed", version=record.version, change=change.change_id)
