--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -56,7 +56,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._lock = asyncio.Lock()
 
-    def _adopt(self, catalog: Catalog) -> None:
+    def _update_catalog(self, catalog: Catalog) -> None:
         """Take a newer catalog in force; an older one is ignored."""
         if catalog.version <= self.catalog.version:
             return
@@ -79,7 +79,7 @@
         caught_up = await self._store.catch_up(self.catalog)
         for record in caught_up.records:
             self._record_change(record)
-        self._adopt(caught_up.catalog)
+        self._update_catalog(caught_up.catalog)
 
     async def poll_store(self, wanted: Callable[[], bool]) -> None:
         """Read the durable log now and then while wanted, until cancelled.
@@ -109,7 +109,7 @@
 
     def _apply_answer(self, answer: CatalogAnswer) -> None:
         if answer.snapshot is not None:
-            self._adopt(restore(answer.snapshot))
+            self._update_catalog(restore(answer.snapshot))
         self._apply_changes(answer.changes)
 
     def _apply_changes(self, changes: tuple[ChangeRecord, ...]) -> None:
@@ -118,7 +118,7 @@
             if record.version == catalog.version + 1:
                 catalog = apply(catalog, record)
                 self._record_change(record)
-        self._adopt(catalog)
+        self._update_catalog(catalog)
 
     async def submit(self, change: Change) -> ChangeRecord:
         """Accept a change: durable first, then on a majority of the voters, then answered.
@@ -132,7 +132,7 @@
             caught_up = await self._store.append(self.catalog, change)
             for record in caught_up.records:
                 self._record_change(record)
-            self._adopt(caught_up.catalog)
+            self._update_catalog(caught_up.catalog)
             record = caught_up.records[-1]
         log_state("catalog", "changed", version=record.version, change=change.change_id)
         await self._push(record)
