--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -27,7 +27,7 @@
 from loomwind.peering.transport import PeerTransport
 from loomwind.schema import Adapter, Drain, Group, Model
 
-KEPT_CHANGES = 1024
+MAX_RECENT_CHANGES = 1024
 REMEMBERED_CHANGE_IDS = 4096
 REMOTE_PUSH_COUNT = 4
 SETTLE_SECONDS = 1.0
@@ -66,7 +66,7 @@
 
     def _record_change(self, record: ChangeRecord) -> None:
         self._log[record.version] = record
-        self._log.pop(record.version - KEPT_CHANGES, None)
+        self._log.pop(record.version - MAX_RECENT_CHANGES, None)
         self._change_ids[record.change.change_id] = record.version
         while len(self._change_ids) > REMEMBERED_CHANGE_IDS:
             del self._change_ids[next(iter(self._change_ids))]
