--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -28,7 +28,7 @@
 from loomwind.schema import Adapter, Drain, Group, Model
 
 MAX_RECENT_CHANGES = 1024
-REMEMBERED_CHANGE_IDS = 4096
+MAX_RECENT_CHANGE_IDS = 4096
 REMOTE_PUSH_COUNT = 4
 SETTLE_SECONDS = 1.0
 
@@ -68,7 +68,7 @@
         self._log[record.version] = record
         self._log.pop(record.version - MAX_RECENT_CHANGES, None)
         self._change_ids[record.change.change_id] = record.version
-        while len(self._change_ids) > REMEMBERED_CHANGE_IDS:
+        while len(self._change_ids) > MAX_RECENT_CHANGE_IDS:
             del self._change_ids[next(iter(self._change_ids))]
 
     async def catch_up_with_store(self) -> None:
