--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -30,7 +30,7 @@
 MAX_RECENT_CHANGES = 1024
 MAX_RECENT_CHANGE_IDS = 4096
 REMOTE_PUSH_COUNT = 4
-SETTLE_SECONDS = 1.0
+PUSH_TIMEOUT_SECONDS = 1.0
 
 
 class CatalogService:
@@ -154,7 +154,7 @@
         for info in list(self._membership.remote_contacts.values())[:REMOTE_PUSH_COUNT]:
             self._transport.send(info.address, message)
         if acknowledged:
-            await asyncio.wait(acknowledged, timeout=SETTLE_SECONDS)
+            await asyncio.wait(acknowledged, timeout=PUSH_TIMEOUT_SECONDS)
 
     async def _push_one(self, info: MemberInfo, message: CatalogUpdate) -> None:
         try:
