--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -50,7 +50,7 @@
         self._membership = membership
         self._transport = transport
         self._metrics = metrics
-        self._log: dict[int, ChangeRecord] = {}
+        self._recent_changes: dict[int, ChangeRecord] = {}
         self._change_ids: dict[str, int] = {}
         self._pulling = False
         self._tasks: set[asyncio.Task[None]] = set()
@@ -65,8 +65,8 @@
         self.on_change()
 
     def _record_change(self, record: ChangeRecord) -> None:
-        self._log[record.version] = record
-        self._log.pop(record.version - MAX_RECENT_CHANGES, None)
+        self._recent_changes[record.version] = record
+        self._recent_changes.pop(record.version - MAX_RECENT_CHANGES, None)
         self._change_ids[record.change.change_id] = record.version
         while len(self._change_ids) > MAX_RECENT_CHANGE_IDS:
             del self._change_ids[next(iter(self._change_ids))]
@@ -126,7 +126,7 @@
         :raises CatalogError: it was not accepted, or, when unknown, perhaps accepted.
         """
         async with self._lock:
-            known = self._log.get(self._change_ids.get(change.change_id, 0))
+            known = self._recent_changes.get(self._change_ids.get(change.change_id, 0))
             if known is not None:
                 return known
             caught_up = await self._store.append(self.catalog, change)
@@ -175,8 +175,10 @@
         """Answer with all that came after a version."""
         current = self.catalog.version
         wanted = range(message.after_version + 1, current + 1)
-        if all(version in self._log for version in wanted):
-            return CatalogAnswer(current, tuple(self._log[version] for version in wanted))
+        if all(version in self._recent_changes for version in wanted):
+            return CatalogAnswer(
+                current, tuple(self._recent_changes[version] for version in wanted)
+            )
         return CatalogAnswer(current, (), snapshot(self.catalog))
 
     def on_digest(self, peer: MemberInfo, version: int) -> None:
