--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -81,7 +81,7 @@
             self._record_change(record)
         self._update_catalog(caught_up.catalog)
 
-    async def poll_store(self, wanted: Callable[[], bool]) -> None:
+    async def poll_store(self, should_poll: Callable[[], bool]) -> None:
         """Read the durable log now and then while wanted, until cancelled.
 
         So a cell, or a daemon, that is cut off from the others but not from the table service
@@ -89,7 +89,7 @@
         """
         while True:
             await asyncio.sleep(constants.CATALOG_POLL_INTERVAL_SECONDS)
-            if wanted():
+            if should_poll():
                 try:
                     await self.catch_up_with_store()
                 except CatalogUnavailable:
