--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -174,10 +174,10 @@
     def on_request(self, message: CatalogRequest) -> CatalogAnswer:
         """Answer with all that came after a version."""
         current = self.catalog.version
-        wanted = range(message.after_version + 1, current + 1)
-        if all(version in self._recent_changes for version in wanted):
+        missing_versions = range(message.after_version + 1, current + 1)
+        if all(version in self._recent_changes for version in missing_versions):
             return CatalogAnswer(
-                current, tuple(self._recent_changes[version] for version in wanted)
+                current, tuple(self._recent_changes[version] for version in missing_versions)
             )
         return CatalogAnswer(current, (), snapshot(self.catalog))
 
