--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -144,7 +144,7 @@
         voters = {info.identity for info in self.voters()} - {self._membership.own.identity}
         cell = self._membership.reachable()
         acknowledged = [
-            asyncio.create_task(self._push_one(info, message))
+            asyncio.create_task(self._push_to(info, message))
             for info in cell
             if info.identity in voters
         ]
@@ -156,7 +156,7 @@
         if acknowledged:
             await asyncio.wait(acknowledged, timeout=PUSH_TIMEOUT_SECONDS)
 
-    async def _push_one(self, info: MemberInfo, message: CatalogUpdate) -> None:
+    async def _push_to(self, info: MemberInfo, message: CatalogUpdate) -> None:
         try:
             await self._transport.call(info.address, message)
         except PeerUnreachable:
