--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -143,7 +143,7 @@
         message = CatalogUpdate((record,))
         voters = {info.identity for info in self.voters()} - {self._membership.own.identity}
         cell = self._membership.reachable()
-        acknowledged = [
+        acknowledgements = [
             asyncio.create_task(self._push_to(info, message))
             for info in cell
             if info.identity in voters
@@ -153,8 +153,8 @@
                 self._transport.send(info.address, message)
         for info in list(self._membership.remote_contacts.values())[:REMOTE_PUSH_COUNT]:
             self._transport.send(info.address, message)
-        if acknowledged:
-            await asyncio.wait(acknowledged, timeout=PUSH_TIMEOUT_SECONDS)
+        if acknowledgements:
+            await asyncio.wait(acknowledgements, timeout=PUSH_TIMEOUT_SECONDS)
 
     async def _push_to(self, info: MemberInfo, message: CatalogUpdate) -> None:
         try:
