--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -126,9 +126,9 @@
         :raises CatalogError: it was not accepted, or, when unknown, perhaps accepted.
         """
         async with self._lock:
-            known = self._recent_changes.get(self._change_ids.get(change.change_id, 0))
-            if known is not None:
-                return known
+            existing = self._recent_changes.get(self._change_ids.get(change.change_id, 0))
+            if existing is not None:
+                return existing
             caught_up = await self._store.append(self.catalog, change)
             for record in caught_up.records:
                 self._record_change(record)
