--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -24,7 +24,7 @@
     return f"catalog/{version:012d}"
 
 
-class CaughtUp(Struct, frozen=True):
+class CatchUpResult(Struct, frozen=True):
     """A catalog, and the records that led to it."""
 
     catalog: Catalog
@@ -38,7 +38,7 @@
         self._table = table
         self._objects = objects
 
-    async def catch_up(self, catalog: Catalog) -> CaughtUp:
+    async def catch_up(self, catalog: Catalog) -> CatchUpResult:
         """Return the catalog with all that was accepted up to now.
 
         :raises CatalogUnavailable: the table service does not answer.
@@ -49,7 +49,7 @@
         while record := await self._read(catalog.version + 1):
             catalog = apply(catalog, record)
             records.append(record)
-        return CaughtUp(catalog, tuple(records))
+        return CatchUpResult(catalog, tuple(records))
 
     async def _from_snapshot(self) -> Catalog:
         if self._objects is None:
@@ -71,7 +71,7 @@
             return None
         return msgspec.msgpack.decode(row.value, type=ChangeRecord)
 
-    async def append(self, catalog: Catalog, change: Change) -> CaughtUp:
+    async def append(self, catalog: Catalog, change: Change) -> CatchUpResult:
         """Validate a change and append it.
 
         :returns: the catalog after it, and the records since ``catalog``; the last is the
@@ -86,14 +86,14 @@
                 catalog = apply(catalog, known)
                 records = (*records, known)
                 if known.change.change_id == change.change_id:
-                    return CaughtUp(catalog, records)
+                    return CatchUpResult(catalog, records)
                 continue
             validate(catalog, change)
             record = ChangeRecord(version=catalog.version + 1, change=change)
             if await self._create(record):
                 catalog = apply(catalog, record)
                 await self._maybe_snapshot(catalog)
-                return CaughtUp(catalog, (*records, record))
+                return CatchUpResult(catalog, (*records, record))
         raise CatalogUnavailable("too many operators write at once", unknown=False)
 
     async def _create(self, record: ChangeRecord) -> bool:
