--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -76,10 +76,10 @@
 
         :raises CatalogUnavailable: the store does not answer.
         """
-        caught_up = await self._store.catch_up(self.catalog)
-        for record in caught_up.records:
+        catch_up_result = await self._store.catch_up(self.catalog)
+        for record in catch_up_result.records:
             self._record_change(record)
-        self._update_catalog(caught_up.catalog)
+        self._update_catalog(catch_up_result.catalog)
 
     async def poll_store(self, should_poll: Callable[[], bool]) -> None:
         """Read the durable log now and then while wanted, until cancelled.
@@ -129,11 +129,11 @@
             existing = self._recent_changes.get(self._change_ids.get(change.change_id, 0))
             if existing is not None:
                 return existing
-            caught_up = await self._store.append(self.catalog, change)
-            for record in caught_up.records:
+            catch_up_result = await self._store.append(self.catalog, change)
+            for record in catch_up_result.records:
                 self._record_change(record)
-            self._update_catalog(caught_up.catalog)
-            record = caught_up.records[-1]
+            self._update_catalog(catch_up_result.catalog)
+            record = catch_up_result.records[-1]
         log_state("catalog", "changed", version=record.version, change=change.change_id)
         await self._push(record)
         return record
