--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -102,14 +102,14 @@
         try:
             await self._table.write(key, 0, msgspec.msgpack.encode(record))
         except RowConflict:
-            return await self._is_ours(record)
+            return await self._is_recorded(record)
         except PlatformUnavailable as error:
             if not error.unknown:
                 raise CatalogUnavailable(str(error), unknown=False) from error
             return await self._read_back(record)
         return True
 
-    async def _is_ours(self, record: ChangeRecord) -> bool:
+    async def _is_recorded(self, record: ChangeRecord) -> bool:
         known = await self._read(record.version)
         return known is not None and known.change.change_id == record.change.change_id
 
