--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -44,14 +44,14 @@
         :raises CatalogUnavailable: the table service does not answer.
         """
         if catalog.version == 0:
-            catalog = await self._from_snapshot()
+            catalog = await self._load_snapshot()
         records = []
         while record := await self._read(catalog.version + 1):
             catalog = apply(catalog, record)
             records.append(record)
         return CatchUpResult(catalog, tuple(records))
 
-    async def _from_snapshot(self) -> Catalog:
+    async def _load_snapshot(self) -> Catalog:
         if self._objects is None:
             return Catalog()
         try:
