--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -92,7 +92,7 @@
             record = ChangeRecord(version=catalog.version + 1, change=change)
             if await self._create(record):
                 catalog = apply(catalog, record)
-                await self._maybe_snapshot(catalog)
+                await self._write_snapshot_if_due(catalog)
                 return CatchUpResult(catalog, (*records, record))
         raise CatalogUnavailable("too many operators write at once", unknown=False)
 
@@ -126,7 +126,7 @@
             unknown=True,
         )
 
-    async def _maybe_snapshot(self, catalog: Catalog) -> None:
+    async def _write_snapshot_if_due(self, catalog: Catalog) -> None:
         if self._objects is None or catalog.version % SNAPSHOT_INTERVAL:
             return
         try:
