--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -15,7 +15,7 @@
 
 SNAPSHOT_INTERVAL = 256
 SNAPSHOT_NAME = "catalog-snapshot"
-WRITE_ATTEMPTS = 64
+MAX_APPEND_ATTEMPTS = 64
 READ_BACK_ATTEMPTS = 3
 
 
@@ -80,7 +80,7 @@
         :raises CatalogError: the change is invalid, or the store does not answer.
         """
         records: tuple[ChangeRecord, ...] = ()
-        for _ in range(WRITE_ATTEMPTS):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             known = await self._read(catalog.version + 1)
             if known is not None:
                 catalog = apply(catalog, known)
