--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -16,7 +16,7 @@
 SNAPSHOT_INTERVAL = 256
 SNAPSHOT_NAME = "catalog-snapshot"
 MAX_APPEND_ATTEMPTS = 64
-READ_BACK_ATTEMPTS = 3
+MAX_READ_BACK_ATTEMPTS = 3
 
 
 def row_key(version: int) -> str:
@@ -115,7 +115,7 @@
 
     async def _read_back(self, record: ChangeRecord) -> bool:
         """Settle a write whose answer was lost."""
-        for _ in range(READ_BACK_ATTEMPTS):
+        for _ in range(MAX_READ_BACK_ATTEMPTS):
             try:
                 known = await self._read(record.version)
             except CatalogUnavailable:
