--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -81,11 +81,11 @@
         """
         records: tuple[ChangeRecord, ...] = ()
         for _ in range(MAX_APPEND_ATTEMPTS):
-            known = await self._read(catalog.version + 1)
-            if known is not None:
-                catalog = apply(catalog, known)
-                records = (*records, known)
-                if known.change.change_id == change.change_id:
+            existing = await self._read(catalog.version + 1)
+            if existing is not None:
+                catalog = apply(catalog, existing)
+                records = (*records, existing)
+                if existing.change.change_id == change.change_id:
                     return CatchUpResult(catalog, records)
                 continue
             validate(catalog, change)
@@ -110,17 +110,17 @@
         return True
 
     async def _is_recorded(self, record: ChangeRecord) -> bool:
-        known = await self._read(record.version)
-        return known is not None and known.change.change_id == record.change.change_id
+        existing = await self._read(record.version)
+        return existing is not None and existing.change.change_id == record.change.change_id
 
     async def _read_back(self, record: ChangeRecord) -> bool:
         """Settle a write whose answer was lost."""
         for _ in range(MAX_READ_BACK_ATTEMPTS):
             try:
-                known = await self._read(record.version)
+                existing = await self._read(record.version)
             except CatalogUnavailable:
                 continue
-            return known is not None and known.change.change_id == record.change.change_id
+            return existing is not None and existing.change.change_id == record.change.change_id
         raise CatalogUnavailable(
             f"the answer was lost; read change id {record.change.change_id} back later",
             unknown=True,
