--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -230,7 +230,7 @@
             self._send_routing(router, update)
 
     def _shares(self) -> dict[str, float]:
-        entries = self._catalog().values(ObjectKind.GROUP)
+        entries = self._catalog().entries_of_kind(ObjectKind.GROUP)
         return {entry.group.name: entry.group.share for entry in entries if entry.group}
 
     def _applications(self) -> tuple[ApplicationRoute, ...]:
