--- a/loomwind/catalog/errors.py
+++ b/loomwind/catalog/errors.py
@@ -32,6 +32,6 @@
     :param unknown: whether the change may have been recorded.
     """
 
-    def __init__(self, detail: str, unknown: bool) -> None:
+    def __init__(self, detail: str, outcome_unknown: bool) -> None:
         super().__init__(detail)
-        self.unknown = unknown
+        self.outcome_unknown = outcome_unknown
--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -66,7 +66,7 @@
         try:
             row = await self._table.read(row_key(version))
         except PlatformUnavailable as error:
-            raise CatalogUnavailable(str(error), unknown=False) from error
+            raise CatalogUnavailable(str(error), outcome_unknown=False) from error
         if not row.version:
             return None
         return msgspec.msgpack.decode(row.value, type=ChangeRecord)
@@ -94,7 +94,7 @@
                 catalog = apply(catalog, record)
                 await self._write_snapshot_if_due(catalog)
                 return CatchUpResult(catalog, (*records, record))
-        raise CatalogUnavailable("too many operators write at once", unknown=False)
+        raise CatalogUnavailable("too many operators write at once", outcome_unknown=False)
 
     async def _create(self, record: ChangeRecord) -> bool:
         """Create the row of a record; False when another change took its version."""
@@ -104,8 +104,8 @@
         except RowConflict:
             return await self._is_recorded(record)
         except PlatformUnavailable as error:
-            if not error.unknown:
-                raise CatalogUnavailable(str(error), unknown=False) from error
+            if not error.outcome_unknown:
+                raise CatalogUnavailable(str(error), outcome_unknown=False) from error
             return await self._read_back(record)
         return True
 
@@ -123,7 +123,7 @@
             return existing is not None and existing.change.change_id == record.change.change_id
         raise CatalogUnavailable(
             f"the answer was lost; read change id {record.change.change_id} back later",
-            unknown=True,
+            outcome_unknown=True,
         )
 
     async def _write_snapshot_if_due(self, catalog: Catalog) -> None:
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -42,7 +42,7 @@
     """Return what an error says besides its text."""
     if isinstance(error, Conflict):
         return {CURRENT_VERSION_KEY: str(error.current_version)}
-    if isinstance(error, CatalogUnavailable) and error.unknown:
+    if isinstance(error, CatalogUnavailable) and error.outcome_unknown:
         return {OUTCOME_KEY: "unknown"}
     return {}
 
--- a/loomwind/ports/errors.py
+++ b/loomwind/ports/errors.py
@@ -13,9 +13,9 @@
     :param unknown: whether the action may have taken effect all the same.
     """
 
-    def __init__(self, detail: str, unknown: bool) -> None:
+    def __init__(self, detail: str, outcome_unknown: bool) -> None:
         super().__init__(detail)
-        self.unknown = unknown
+        self.outcome_unknown = outcome_unknown
 
 
 class RowConflict(PlatformError):
--- a/loomwind/ports/http.py
+++ b/loomwind/ports/http.py
@@ -30,11 +30,11 @@
         try:
             response = await self._http.request(self._address, request, self._timeout)
         except ConnectFailed as error:
-            raise PlatformUnavailable(str(error), unknown=False) from error
+            raise PlatformUnavailable(str(error), outcome_unknown=False) from error
         except HttpError as error:
-            raise PlatformUnavailable(str(error), unknown=True) from error
+            raise PlatformUnavailable(str(error), outcome_unknown=True) from error
         if response.status >= 500 or response.status == 429:
-            raise PlatformUnavailable(f"status {response.status}", unknown=False)
+            raise PlatformUnavailable(f"status {response.status}", outcome_unknown=False)
         return response
 
 
