--- a/loomwind/catalog/__init__.py
+++ b/loomwind/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""The catalog: groups, models, adapters, versions and routes, and how changes reach everyone."""
+"""The catalog of groups, models, adapters, routes and drains, and its replication to daemons."""
