--- a/loomwind/catalog/changes.py
+++ b/loomwind/catalog/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the catalog, as they are recorded and passed on."""
+"""Catalog changes, as they are stored and sent between daemons."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class ObjectKind(enum.Enum):
-    """What an object of the catalog is."""
+    """The kind of a catalog object."""
 
     GROUP = "group"
     MODEL = "model"
@@ -20,18 +20,17 @@
 
 
 class ObjectKey(Struct, frozen=True, array_like=True):
-    """The kind and name that identify an object."""
+    """Identifies a catalog object by kind and name."""
 
     kind: ObjectKind
     name: str
 
 
 class Change(Struct, frozen=True, kw_only=True):
-    """A put or a delete of one object.
+    """Puts or deletes one object. A put sets exactly one of the object fields, a delete none.
 
-    :param change_id: chosen by the operator's client; the same id is applied once.
-    :param base_version: the object's version that the change was based on; 0 to create it.
-    :param value: the new object, or None to delete it. Exactly one field of it is set.
+    :param change_id: chosen by the operator's client. A change with the same ID is applied once.
+    :param base_version: the version of the object that the change is based on; 0 to create it.
     """
 
     change_id: str
@@ -45,12 +44,12 @@
 
     @property
     def value(self) -> CatalogObject | None:
-        """Return the object that is put, or None for a delete."""
+        """Return the object to put, or None for a delete."""
         return self.group or self.model or self.adapter or self.route or self.drain
 
 
 class ChangeRecord(Struct, frozen=True, kw_only=True):
-    """An accepted change. ``version`` counts all accepted changes from 1."""
+    """An accepted change. ``version`` numbers all accepted changes consecutively from 1."""
 
     version: int
     change: Change
