--- a/loomwind/catalog/errors.py
+++ b/loomwind/catalog/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the catalog layer."""
+"""Errors of the catalog."""
 
 from loomwind.errors import LoomwindError
 
 
 class CatalogError(LoomwindError):
-    """Base class of the catalog's errors."""
+    """Base class of catalog errors."""
 
 
 class NotFound(CatalogError):
@@ -12,9 +12,9 @@
 
 
 class Conflict(CatalogError):
-    """The change was based on another version than the current one.
+    """The change is not based on the current version of the object.
 
-    :param current_version: the version of the object now; 0 when it does not exist.
+    :param current_version: the object's current version; 0 when it does not exist.
     """
 
     def __init__(self, detail: str, current_version: int) -> None:
@@ -23,13 +23,13 @@
 
 
 class InvalidChange(CatalogError):
-    """The change would leave the catalog inconsistent."""
+    """The change is malformed or would make the catalog inconsistent."""
 
 
 class CatalogUnavailable(CatalogError):
-    """The table service does not answer: nothing was changed, or the result is not known.
+    """The table service is unavailable, or too many writers compete for the next version.
 
-    :param unknown: whether the change may have been recorded.
+    :param outcome_unknown: whether the change may have been stored; otherwise it was not.
     """
 
     def __init__(self, detail: str, outcome_unknown: bool) -> None:
