--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -1,4 +1,4 @@
-"""The catalog as an immutable value, and the pure function that applies a change to it."""
+"""The catalog as an immutable value, with functions that validate and apply changes."""
 
 from msgspec import Struct, structs
 
@@ -8,9 +8,9 @@
 
 
 class Entry(Struct, frozen=True, kw_only=True):
-    """One object and the catalog version that last changed it.
+    """An object and the catalog version that last changed it.
 
-    :param previous: for a model, the version that was current before; empty when there was none.
+    :param previous: the model version that was current before the present one; empty if none was.
     """
 
     version: int
@@ -23,34 +23,34 @@
 
     @property
     def value(self) -> CatalogObject:
-        """Return the object itself."""
+        """Return the object."""
         value = self.group or self.model or self.adapter or self.route or self.drain
         assert value is not None
         return value
 
 
 class SnapshotEntry(Struct, frozen=True, array_like=True):
-    """One entry of a snapshot with its key."""
+    """An entry of a snapshot with its key."""
 
     key: ObjectKey
     entry: Entry
 
 
 class CatalogSnapshot(Struct, frozen=True):
-    """The whole catalog at one version."""
+    """The complete catalog at one version, as it is sent and stored."""
 
     version: int
     entries: tuple[SnapshotEntry, ...] = ()
 
 
 class Catalog(Struct, frozen=True):
-    """The catalog at one version. Never changed in place; :func:`apply` makes the next one."""
+    """The catalog at one version. It is immutable; :func:`apply` returns the next version."""
 
     version: int = 0
     entries: dict[ObjectKey, Entry] = {}
 
     def entry(self, kind: ObjectKind, name: str) -> Entry | None:
-        """Return the entry, or None."""
+        """Return the entry of that kind and name, or None."""
         return self.entries.get(ObjectKey(kind, name))
 
     def group(self, name: str) -> Group | None:
@@ -64,7 +64,7 @@
         return entry.model if entry else None
 
     def previous_version(self, model: str) -> str:
-        """Return the version that was current before the present one; empty if there was none."""
+        """Return the model version that was current before the present one; empty if none was."""
         entry = self.entry(ObjectKind.MODEL, model)
         return entry.previous if entry else ""
 
@@ -74,11 +74,11 @@
         return entry.adapter if entry else None
 
     def entries_of_kind(self, kind: ObjectKind) -> list[Entry]:
-        """Return all entries of a kind, by name."""
+        """Return all entries of a kind, sorted by name."""
         return [entry for key, entry in ordered_entries(self) if key.kind is kind]
 
     def routes(self) -> list[Route]:
-        """Return all routes, the longest prefix first."""
+        """Return all routes, longest prefix first."""
         routes = [
             entry.route
             for entry in self.entries_of_kind(ObjectKind.ROUTE)
@@ -87,11 +87,11 @@
         return sorted(routes, key=lambda route: -len(route.prefix))
 
     def is_drained(self, backend: str) -> bool:
-        """Return whether an operator wants a back end to get no new work."""
+        """Return whether an operator has drained a back end, so that it gets no new requests."""
         return self.entry(ObjectKind.DRAIN, backend) is not None
 
     def memory_mib(self, artifact: Artifact) -> int | None:
-        """Return the memory that an artifact takes, or None when it is not in the catalog."""
+        """Return the memory that an artifact needs in MiB, or None if it is not in the catalog."""
         if artifact.adapter:
             adapter = self.adapter(artifact.adapter)
             return adapter.memory_mib if adapter else None
@@ -100,12 +100,12 @@
         return version.memory_mib if version else None
 
     def max_replicas(self, artifact: Artifact) -> int:
-        """Return how many replicas of an artifact may be loaded; 0 when it is unknown."""
+        """Return the maximum number of loaded replicas of an artifact; 0 if it is unknown."""
         model = self.model(artifact.model)
         return model.max_replicas if model else 0
 
     def load_seconds(self, artifact: Artifact) -> float:
-        """Return the expected time of a load from the weight store, in seconds."""
+        """Return the expected load time from the weight store in seconds; 0 if it is unknown."""
         if artifact.adapter:
             adapter = self.adapter(artifact.adapter)
             return adapter.load_seconds if adapter else 0.0
@@ -114,7 +114,7 @@
         return version.load_seconds if version else 0.0
 
     def owner(self, artifact: Artifact) -> str:
-        """Return the group that owns an artifact; empty when it is unknown."""
+        """Return the group that owns an artifact; empty if it is unknown."""
         if artifact.adapter:
             adapter = self.adapter(artifact.adapter)
             return adapter.group if adapter else ""
@@ -123,25 +123,25 @@
 
 
 def ordered_entries(catalog: Catalog) -> list[tuple[ObjectKey, Entry]]:
-    """Return all entries, by kind and name."""
+    """Return all entries, sorted by kind and name."""
     return sorted(catalog.entries.items(), key=lambda item: (item[0].kind.value, item[0].name))
 
 
 def snapshot(catalog: Catalog) -> CatalogSnapshot:
-    """Return the catalog in the form that is sent and stored."""
+    """Return the catalog in the form in which it is sent and stored."""
     entries = tuple(SnapshotEntry(key, entry) for key, entry in ordered_entries(catalog))
     return CatalogSnapshot(catalog.version, entries)
 
 
 def restore(stored: CatalogSnapshot) -> Catalog:
-    """Return the catalog that a snapshot was made of."""
+    """Return the catalog that a snapshot holds."""
     return Catalog(stored.version, {item.key: item.entry for item in stored.entries})
 
 
 def apply(catalog: Catalog, record: ChangeRecord) -> Catalog:
     """Return the catalog after an accepted change.
 
-    :raises ValueError: the record is not the one that comes next.
+    :raises ValueError: the record does not have the next version.
     """
     if record.version != catalog.version + 1:
         raise ValueError(f"change {record.version} does not follow version {catalog.version}")
@@ -169,11 +169,11 @@
 
 
 def validate(catalog: Catalog, change: Change) -> None:
-    """Check that a change may be accepted on top of a catalog.
+    """Check that a change can be applied to a catalog.
 
-    :raises Conflict: it was based on another version of the object.
-    :raises NotFound: it deletes what does not exist.
-    :raises InvalidChange: it would leave a dangling reference.
+    :raises Conflict: the change is not based on the current version of the object.
+    :raises NotFound: the object to delete does not exist.
+    :raises InvalidChange: the change would leave a dangling reference or a duplicate name.
     """
     entry = catalog.entries.get(change.key)
     current_version = entry.version if entry else 0
