--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -1,6 +1,6 @@
-"""The catalog in one daemon: takes changes from operators, pushes them, and repairs gaps.
+"""A daemon's copy of the catalog: accepts changes, pushes them to peers, and fetches missed ones.
 
-A daemon never applies a version lower than the one it has, and applies changes only in order.
+A daemon never goes back to a lower version, and applies changes only in order.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class CatalogService:
-    """Keeps the catalog of one daemon in step with everyone's."""
+    """Replicates the catalog between this daemon, the store and its peers."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._lock = asyncio.Lock()
 
     def _update_catalog(self, catalog: Catalog) -> None:
-        """Take a newer catalog in force; an older one is ignored."""
+        """Switch to a newer catalog; ignore any other."""
         if catalog.version <= self.catalog.version:
             return
         self.catalog = catalog
@@ -72,7 +72,7 @@
             del self._change_ids[next(iter(self._change_ids))]
 
     async def catch_up_with_store(self) -> None:
-        """Read the durable catalog.
+        """Read the changes in the store that are missing here.
 
         :raises CatalogUnavailable: the store does not answer.
         """
@@ -82,10 +82,10 @@
         self._update_catalog(catch_up_result.catalog)
 
     async def poll_store(self, should_poll: Callable[[], bool]) -> None:
-        """Read the durable log now and then while wanted, until cancelled.
+        """Poll the store while ``should_poll`` returns true, until cancelled.
 
-        So a cell, or a daemon, that is cut off from the others but not from the table service
-        still learns of changes.
+        A cell or daemon that is cut off from the others, but not from the table service, still
+        gets changes this way.
         """
         while True:
             await asyncio.sleep(constants.CATALOG_POLL_INTERVAL_SECONDS)
@@ -96,7 +96,7 @@
                     continue
 
     async def fetch_from(self, peer: MemberInfo) -> bool:
-        """Fetch what a peer has beyond the own version; False when it did not answer."""
+        """Fetch the changes that a peer has beyond this version; return whether it answered."""
         request = CatalogRequest(self.catalog.version)
         try:
             answer = await self._transport.call(peer.address, request)
@@ -121,9 +121,12 @@
         self._update_catalog(catalog)
 
     async def submit(self, change: Change) -> ChangeRecord:
-        """Accept a change: durable first, then on a majority of the voters, then answered.
+        """Store a change, push it to the voters, and return its record.
 
-        :raises CatalogError: it was not accepted, or, when unknown, perhaps accepted.
+        Waits until the voters have answered, failed, or timed out. A change whose ID is already
+        recorded is not applied again.
+
+        :raises CatalogError: the change was not accepted; if ``outcome_unknown``, it may have been.
         """
         async with self._lock:
             existing = self._recent_changes.get(self._change_ids.get(change.change_id, 0))
@@ -139,7 +142,7 @@
         return record
 
     async def _push(self, record: ChangeRecord) -> None:
-        """Send a change to the cell and to a few daemons elsewhere; wait for most voters."""
+        """Send a change to the cell and a few remote contacts; wait for the voters or a timeout."""
         message = CatalogUpdate((record,))
         voters = {info.identity for info in self.voters()} - {self._membership.own.identity}
         cell = self._membership.reachable()
@@ -163,7 +166,7 @@
             return
 
     def on_update(self, message: CatalogUpdate) -> Acknowledgement:
-        """Take in pushed changes; a gap is repaired when the next digest shows it."""
+        """Apply pushed changes; after a gap, the next digest from a peer triggers a fetch."""
         before = self.catalog.version
         self._apply_changes(message.changes)
         if self.catalog.version > before:
@@ -172,7 +175,7 @@
         return Acknowledgement()
 
     def on_request(self, message: CatalogRequest) -> CatalogAnswer:
-        """Answer with all that came after a version."""
+        """Return all changes after a version, or a snapshot if some are no longer kept."""
         current = self.catalog.version
         missing_versions = range(message.after_version + 1, current + 1)
         if all(version in self._recent_changes for version in missing_versions):
@@ -182,7 +185,7 @@
         return CatalogAnswer(current, (), snapshot(self.catalog))
 
     def on_digest(self, peer: MemberInfo, version: int) -> None:
-        """Pull from a peer that is ahead."""
+        """Start fetching from a peer that has a newer version, unless a fetch is running."""
         if version <= self.catalog.version or self._pulling:
             return
         self._pulling = True
@@ -197,9 +200,9 @@
             self._pulling = False
 
     async def load_at_start(self) -> bool:
-        """Learn the accepted catalog from the store, or else from a majority of the voters.
+        """Read the catalog from the store, or from the voters if the store is unavailable.
 
-        :returns: whether the catalog is known to be as new as the last accepted change.
+        :returns: whether the store or a majority of the voters answered.
         """
         try:
             await self.catch_up_with_store()
@@ -213,7 +216,7 @@
         return 2 * sum(answers) > len(voters)
 
     async def seed(self, objects: list[CatalogObject]) -> None:
-        """Create the objects of a settings file that the catalog does not have yet."""
+        """Create the objects from the settings file that are missing in the catalog."""
         for value in objects:
             key = object_key(value)
             if key in self.catalog.entries:
@@ -226,7 +229,7 @@
 
 
 def object_key(value: CatalogObject) -> ObjectKey:
-    """Return the key of an object."""
+    """Return the catalog key of an object."""
     if isinstance(value, Group):
         return ObjectKey(ObjectKind.GROUP, value.name)
     if isinstance(value, Model):
@@ -241,7 +244,7 @@
 def make_change(
     change_id: str, key: ObjectKey, base_version: int, value: CatalogObject | None
 ) -> Change:
-    """Return the change that puts an object, or deletes it when ``value`` is None."""
+    """Return a change that puts an object, or deletes it if ``value`` is None."""
     change = Change(change_id=change_id, key=key, base_version=base_version)
     if value is None:
         return change
