--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -1,7 +1,7 @@
-"""The durable catalog: a log of changes in the table service, a snapshot in the object store.
+"""Persistent catalog: a log of changes in the table service, and a snapshot in the object store.
 
-Change N is the row ``catalog/N``, which only one writer can create. A write whose answer was lost
-is settled by reading the row back and comparing the change id.
+Change N is stored in the row ``catalog/N``, which only one writer can create. If the answer to a
+write is lost, the row is read back and its change ID compared.
 """
 
 import msgspec
@@ -20,26 +20,26 @@
 
 
 def row_key(version: int) -> str:
-    """Return the key of the row that holds a change."""
+    """Return the key of the row for the change with a version."""
     return f"catalog/{version:012d}"
 
 
 class CatchUpResult(Struct, frozen=True):
-    """A catalog, and the records that led to it."""
+    """An updated catalog, and the records that were applied to it."""
 
     catalog: Catalog
     records: tuple[ChangeRecord, ...]
 
 
 class CatalogStore:
-    """Reads and appends the log."""
+    """Reads and appends to the log of changes."""
 
     def __init__(self, table: TableService, objects: ObjectStore | None) -> None:
         self._table = table
         self._objects = objects
 
     async def catch_up(self, catalog: Catalog) -> CatchUpResult:
-        """Return the catalog with all that was accepted up to now.
+        """Return the catalog with all changes accepted so far, starting from a snapshot if empty.
 
         :raises CatalogUnavailable: the table service does not answer.
         """
@@ -74,10 +74,10 @@
     async def append(self, catalog: Catalog, change: Change) -> CatchUpResult:
         """Validate a change and append it.
 
-        :returns: the catalog after it, and the records since ``catalog``; the last is the
-            change's own. A change id that is already in the log returns the record of that time.
-        :raises Conflict: the object is at another version than the change is based on.
-        :raises CatalogError: the change is invalid, or the store does not answer.
+        :returns: the catalog after the change, and the records since ``catalog``. The last record
+            is that of the change; if its ID is already in the log, that of the earlier append.
+        :raises Conflict: the change is not based on the current version of the object.
+        :raises CatalogError: the change is invalid, or the store is unavailable.
         """
         records: tuple[ChangeRecord, ...] = ()
         for _ in range(MAX_APPEND_ATTEMPTS):
@@ -97,7 +97,7 @@
         raise CatalogUnavailable("too many operators write at once", outcome_unknown=False)
 
     async def _create(self, record: ChangeRecord) -> bool:
-        """Create the row of a record; False when another change took its version."""
+        """Create the row of a record; return False if another change has taken its version."""
         key = row_key(record.version)
         try:
             await self._table.write(key, 0, msgspec.msgpack.encode(record))
@@ -114,7 +114,7 @@
         return existing is not None and existing.change.change_id == record.change.change_id
 
     async def _read_back(self, record: ChangeRecord) -> bool:
-        """Settle a write whose answer was lost."""
+        """Return whether a write whose answer was lost took effect."""
         for _ in range(MAX_READ_BACK_ATTEMPTS):
             try:
                 existing = await self._read(record.version)
