--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from loomwind.catalog.changes import ObjectKind, ObjectKey
+from loomwind.catalog.changes import ObjectKey, ObjectKind
 from loomwind.catalog.model import Entry, SnapshotEntry
 from loomwind.control.claims import ClaimStore
 from loomwind.control.engine_tracker import EngineRecord
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -6,7 +6,7 @@
 from msgspec import structs
 
 from loomwind import constants
-from loomwind.catalog.changes import ObjectKind, ObjectKey
+from loomwind.catalog.changes import ObjectKey, ObjectKind
 from loomwind.catalog.model import Catalog, Entry
 from loomwind.control.cluster_view import engine_view
 from loomwind.control.engine_tracker import EngineTracker
--- a/loomwind/catalog/model.py
+++ b/loomwind/catalog/model.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, structs
 
-from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKey, ObjectKind
 from loomwind.catalog.errors import Conflict, InvalidChange, NotFound
 from loomwind.schema import Adapter, Artifact, Drain, Group, Model, Route
 
--- a/loomwind/catalog/service.py
+++ b/loomwind/catalog/service.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from loomwind import constants
-from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, Change, ChangeRecord, ObjectKey, ObjectKind
 from loomwind.catalog.errors import CatalogError, CatalogUnavailable
 from loomwind.catalog.model import Catalog, apply, restore, snapshot
 from loomwind.catalog.store import CatalogStore
--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -5,7 +5,7 @@
 import msgspec
 from google.protobuf.json_format import MessageToDict, ParseDict
 
-from loomwind.catalog.changes import CatalogObject, ObjectKind, ObjectKey
+from loomwind.catalog.changes import CatalogObject, ObjectKey, ObjectKind
 from loomwind.catalog.errors import InvalidChange
 from loomwind.catalog.model import Entry
 from loomwind.operator import operator_pb2 as pb
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server, Stream
 
-from loomwind.catalog.changes import Change, ObjectKind, ObjectKey
+from loomwind.catalog.changes import Change, ObjectKey, ObjectKind
 from loomwind.catalog.errors import (
     CatalogError,
     CatalogUnavailable,
