--- a/standins/application.py
+++ b/standins/application.py
@@ -15,7 +15,7 @@
 )
 from loomwind.http.messages import Headers
 from loomwind.http.server import Exchange, HttpServer
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 
 
 class Application:
@@ -43,11 +43,11 @@
             report = StatusReport(self.name, self.faults.leaving, self._running)
             response = json_response(report)
         else:
-            await self._work(exchange)
+            await self._run_request(exchange)
             return
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _work(self, exchange: Exchange) -> None:
+    async def _run_request(self, exchange: Exchange) -> None:
         request = exchange.request
         assert request is not None
         request_id = request.header(REQUEST_ID_HEADER) or ""
@@ -61,7 +61,7 @@
         self.executions[key] += 1
         self._running += 1
         try:
-            await pause(self.faults, request.path)
+            await apply_delay(self.faults, request.path)
             await asyncio.sleep(self._work_seconds)
         finally:
             self._running -= 1
--- a/standins/pool/holdings.py
+++ b/standins/pool/holdings.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 
-class ModelSize(Struct, rename="kebab"):
+class ModelSpec(Struct, rename="kebab"):
     """A model as the configuration gives it."""
 
     name: str
@@ -31,7 +31,7 @@
     expect_revision: int | None = None
 
 
-class Work(Struct):
+class WeightOperation(Struct):
     """An order for weights that is being carried out."""
 
     op: str
@@ -42,52 +42,54 @@
 class Holdings:
     """Models, adapters, revision and fence of one life of a server."""
 
-    def __init__(self, sizes: list[ModelSize], memory_mb: float, adapter_slots: int) -> None:
-        self._sizes = {size.name: size for size in sizes}
+    def __init__(self, specs: list[ModelSpec], memory_mb: float, adapter_slots: int) -> None:
+        self._specs = {spec.name: spec for spec in specs}
         self._memory_mb = memory_mb
         self._adapter_slots = adapter_slots
         self.held: dict[str, list[str]] = {}
         self.on_disk: set[str] = set()
         self.revision = 0
         self.fence = 0
-        self.work: Work | None = None
+        self.operation: WeightOperation | None = None
         self.running: Counter[str] = Counter()
         self.violations: list[str] = []
         self.store_loads = 0
 
-    def settle(self, now: float) -> None:
+    def complete_due_operation(self, now: float) -> None:
         """Finish work that is done by now."""
-        work = self.work
-        if work is None or now < work.done_at:
+        operation = self.operation
+        if operation is None or now < operation.done_at:
             return
-        if work.op == "unload" and self.running[work.model]:
+        if operation.op == "unload" and self.running[operation.model]:
             return
-        self.work = None
-        if work.op == "load":
-            self.held.setdefault(work.model, [])
-            self.on_disk.add(work.model)
+        self.operation = None
+        if operation.op == "load":
+            self.held.setdefault(operation.model, [])
+            self.on_disk.add(operation.model)
         else:
-            self.held.pop(work.model, None)
+            self.held.pop(operation.model, None)
 
     def used_mb(self) -> float:
         """Return the memory that is taken, a load under way included."""
-        names = set(self.held) | ({self.work.model} if self.work else set())
-        weights = sum(self._sizes[name].weights_mb for name in names)
-        return weights + sum(self._sizes[n].adapter_mb * len(a) for n, a in self.held.items())
+        names = set(self.held) | ({self.operation.model} if self.operation else set())
+        weights = sum(self._specs[name].weights_mb for name in names)
+        return weights + sum(self._specs[n].adapter_mb * len(a) for n, a in self.held.items())
 
-    def order(self, body: OrderBody, now: float) -> int:
+    def apply_order(self, body: OrderBody, now: float) -> int:
         """Take an order in; returns the HTTP status of its answer."""
-        self.settle(now)
-        if not body.holder or body.fencing_token is None or body.model not in self._sizes:
+        self.complete_due_operation(now)
+        if not body.holder or body.fencing_token is None or body.model not in self._specs:
             return 400
         if body.fencing_token < self.fence:
             return 412
-        if self.work is not None:
+        if self.operation is not None:
             return 409
         if body.expect_revision is not None and body.expect_revision != self.revision:
             return 409
         self.fence = body.fencing_token
-        status = self._adapter(body) if body.adapter else self._weights(body, now)
+        status = (
+            self._apply_adapter_order(body) if body.adapter else self._apply_weight_order(body, now)
+        )
         if status in (200, 202):
             self.revision += 1
         if self.used_mb() > self._memory_mb:
@@ -96,10 +98,10 @@
             self.violations.append(f"adapters: {self.held}")
         return status
 
-    def _weights(self, body: OrderBody, now: float) -> int:
-        size = self._sizes[body.model]
+    def _apply_weight_order(self, body: OrderBody, now: float) -> int:
+        spec = self._specs[body.model]
         if body.op == "unload" and self.running[body.model]:
-            self.work = Work("unload", body.model, now)
+            self.operation = WeightOperation("unload", body.model, now)
             return 202
         if body.op == "unload":
             self.held.pop(body.model, None)
@@ -108,11 +110,11 @@
             return 200
         from_disk = body.model in self.on_disk
         self.store_loads += not from_disk
-        seconds = size.disk_load_s if from_disk else size.load_time_s
-        self.work = Work("load", body.model, now + seconds)
+        seconds = spec.disk_load_s if from_disk else spec.load_time_s
+        self.operation = WeightOperation("load", body.model, now + seconds)
         return 202
 
-    def _adapter(self, body: OrderBody) -> int:
+    def _apply_adapter_order(self, body: OrderBody) -> int:
         adapters = self.held.get(body.model)
         if adapters is None:
             return 400
@@ -124,10 +126,14 @@
             adapters.append(body.adapter)
         return 202
 
-    def is_leaving(self, model: str) -> bool:
+    def is_unloading(self, model: str) -> bool:
         """Whether a model is being unloaded once its runs are over."""
-        return self.work is not None and self.work.op == "unload" and self.work.model == model
+        return (
+            self.operation is not None
+            and self.operation.op == "unload"
+            and self.operation.model == model
+        )
 
-    def has(self, model: str, adapter: str) -> bool:
+    def can_run(self, model: str, adapter: str) -> bool:
         """Whether a request for a model or an adapter can run."""
         return model in self.held and (not adapter or adapter in self.held[model])
--- a/standins/pool/rows.py
+++ b/standins/pool/rows.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-Key = tuple[str, str]
+RowKey = tuple[str, str]
 
 
 class Row(Struct, frozen=True):
@@ -50,32 +50,32 @@
     remove: list[Removal] = []
 
 
-class Rows:
+class RowStore:
     """The store's contents."""
 
     def __init__(self) -> None:
         self.version = 0
-        self._rows: dict[Key, Row] = {}
+        self._rows: dict[RowKey, Row] = {}
         self._history: list[Row] = []
-        self._forgotten = 0
+        self._discarded_version = 0
 
     def apply(self, transaction: Transaction) -> list[Row] | None:
         """Do a transaction; returns the rows as they are when an expectation does not hold."""
-        wrong = [e for e in transaction.expect_revision if self._version_of(e) != e.ver]
-        if wrong:
-            return [self._rows[key] for e in wrong if (key := (e.table, e.key)) in self._rows]
+        failed = [e for e in transaction.expect_revision if self._version_of(e) != e.ver]
+        if failed:
+            return [self._rows[key] for e in failed if (key := (e.table, e.key)) in self._rows]
         self.version += 1
         for put in transaction.put:
-            self._set(Row(put.table, put.key, self.version, put.value))
+            self._write(Row(put.table, put.key, self.version, put.value))
         for removal in transaction.remove:
-            self._set(Row(removal.table, removal.key, self.version, gone=True))
+            self._write(Row(removal.table, removal.key, self.version, gone=True))
         return None
 
     def _version_of(self, expectation: Expectation) -> int:
         row = self._rows.get((expectation.table, expectation.key))
         return row.ver if row else 0
 
-    def _set(self, row: Row) -> None:
+    def _write(self, row: Row) -> None:
         self._history.append(row)
         if row.gone:
             self._rows.pop((row.table, row.key), None)
@@ -88,11 +88,11 @@
 
     def changes(self, table: str, after: int) -> list[Row] | None:
         """Return the changes of a table after a version; None when they are forgotten."""
-        if after < self._forgotten:
+        if after < self._discarded_version:
             return None
         return [row for row in self._history if row.table == table and row.ver > after]
 
     def discard_history(self) -> None:
         """Drop the history."""
-        self._forgotten = self.version
+        self._discarded_version = self.version
         self._history.clear()
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -21,14 +21,18 @@
 )
 from loomwind.schema import Artifact
 
-LOAD_SHARE = {CheckpointTier.MEMORY: 0.05, CheckpointTier.DISK: 0.3, CheckpointTier.REMOTE: 1.0}
-MEMORY_CHECKPOINTS = 4
-DISK_CHECKPOINTS = 12
+LOAD_TIME_FACTORS = {
+    CheckpointTier.MEMORY: 0.05,
+    CheckpointTier.DISK: 0.3,
+    CheckpointTier.REMOTE: 1.0,
+}
+MAX_MEMORY_CHECKPOINTS = 4
+MAX_DISK_CHECKPOINTS = 12
 
-Fetch = Callable[[float], Awaitable[None]]
+FetchWeights = Callable[[float], Awaitable[None]]
 
 
-class Holding(Struct):
+class ResidencyPeriod(Struct):
     """The time that an artifact occupied memory. Times of the machine's monotonic clock, seconds.
 
     :param busy_seconds: time during which at least one request ran on it.
@@ -45,7 +49,7 @@
 class EngineStatistics(Struct):
     """What an engine was asked to do, for tests and the bench."""
 
-    holdings: list[Holding] = []
+    holdings: list[ResidencyPeriod] = []
     orders_done: int = 0
     orders_stale: int = 0
     orders_without_memory: int = 0
@@ -53,14 +57,14 @@
     peak_memory_mib: int = 0
 
 
-class Loaded(Struct):
+class LoadedArtifact(Struct):
     """One artifact in memory."""
 
     artifact: Artifact
     memory_mib: int
     state: ReplicaState
-    holding: Holding
-    settled: asyncio.Event
+    residency: ResidencyPeriod
+    idle: asyncio.Event
     running: int = 0
     busy_since: float = 0.0
 
@@ -68,7 +72,9 @@
 class Replicas:
     """The loaded artifacts of one life of an engine."""
 
-    def __init__(self, instance: str, memory_mib: int, concurrency: int, fetch: Fetch) -> None:
+    def __init__(
+        self, instance: str, memory_mib: int, concurrency: int, fetch: FetchWeights
+    ) -> None:
         self.instance = instance
         self.fence = Fence()
         self.leaving = False
@@ -76,29 +82,29 @@
         self._memory_mib = memory_mib
         self._concurrency = concurrency
         self._fetch = fetch
-        self._loaded: dict[Artifact, Loaded] = {}
-        self._in_memory: OrderedDict[Artifact, None] = OrderedDict()
-        self._on_disk: OrderedDict[Artifact, None] = OrderedDict()
+        self._loaded: dict[Artifact, LoadedArtifact] = {}
+        self._memory_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
+        self._disk_checkpoints: OrderedDict[Artifact, None] = OrderedDict()
 
-    def ready(self, name: str) -> Loaded | None:
+    def get_ready(self, name: str) -> LoadedArtifact | None:
         """Return the ready artifact of that text form, or None."""
         for item in self._loaded.values():
             if item.state is ReplicaState.READY and str(item.artifact) == name:
                 return item
         return None
 
-    def begin(self, item: Loaded) -> None:
+    def record_request_start(self, item: LoadedArtifact) -> None:
         """Count a request that starts on an artifact."""
         if item.running == 0:
             item.busy_since = time.monotonic()
         item.running += 1
 
-    def end(self, item: Loaded) -> None:
+    def record_request_end(self, item: LoadedArtifact) -> None:
         """Count a request that ended."""
         item.running -= 1
         if item.running == 0:
-            item.holding.busy_seconds += time.monotonic() - item.busy_since
-            item.settled.set()
+            item.residency.busy_seconds += time.monotonic() - item.busy_since
+            item.idle.set()
 
     def inventory(self) -> Inventory:
         """Return all that is held."""
@@ -106,8 +112,8 @@
             InventoryItem(item.artifact, item.state, item.memory_mib)
             for item in self._loaded.values()
         )
-        checkpoints = [CheckpointItem(a, CheckpointTier.MEMORY) for a in self._in_memory]
-        checkpoints += [CheckpointItem(a, CheckpointTier.DISK) for a in self._on_disk]
+        checkpoints = [CheckpointItem(a, CheckpointTier.MEMORY) for a in self._memory_checkpoints]
+        checkpoints += [CheckpointItem(a, CheckpointTier.DISK) for a in self._disk_checkpoints]
         return Inventory(
             self.instance,
             self.fence,
@@ -123,13 +129,13 @@
         self.fence = max(self.fence, fence)
         return self.inventory()
 
-    async def carry_out(self, order: Order) -> OrderAnswer:
+    async def execute_order(self, order: Order) -> OrderAnswer:
         """Carry out an order, or refuse it unstarted."""
         if order.instance != self.instance:
-            return self._answer(OrderResult.WRONG_INSTANCE)
+            return self._make_answer(OrderResult.WRONG_INSTANCE)
         if order.fence <= self.fence:
             self.statistics.orders_stale += 1
-            return self._answer(OrderResult.STALE)
+            return self._make_answer(OrderResult.STALE)
         self.fence = order.fence
         self.statistics.last_order_at = time.monotonic()
         if order.action is Action.LOAD:
@@ -139,9 +145,9 @@
         else:
             result = OrderResult.DONE
         self.statistics.orders_done += result is OrderResult.DONE
-        return self._answer(result)
+        return self._make_answer(result)
 
-    def _answer(self, result: OrderResult) -> OrderAnswer:
+    def _make_answer(self, result: OrderResult) -> OrderAnswer:
         return OrderAnswer(result, self.inventory())
 
     async def _load(self, order: Order) -> OrderResult:
@@ -156,43 +162,45 @@
             self.statistics.orders_without_memory += 1
             return OrderResult.NO_MEMORY
         self.statistics.peak_memory_mib = max(self.statistics.peak_memory_mib, used)
-        holding = Holding(str(artifact), order.memory_mib, time.monotonic())
-        self.statistics.holdings.append(holding)
-        item = Loaded(artifact, order.memory_mib, ReplicaState.LOADING, holding, asyncio.Event())
+        residency = ResidencyPeriod(str(artifact), order.memory_mib, time.monotonic())
+        self.statistics.holdings.append(residency)
+        item = LoadedArtifact(
+            artifact, order.memory_mib, ReplicaState.LOADING, residency, asyncio.Event()
+        )
         self._loaded[artifact] = item
         await self._read_weights(artifact, order.load_seconds)
         item.state = ReplicaState.READY
-        holding.ready = time.monotonic()
+        residency.ready = time.monotonic()
         return OrderResult.DONE
 
-    def _tier(self, artifact: Artifact) -> CheckpointTier:
-        if artifact in self._in_memory:
+    def _tier_of(self, artifact: Artifact) -> CheckpointTier:
+        if artifact in self._memory_checkpoints:
             return CheckpointTier.MEMORY
-        if artifact in self._on_disk:
+        if artifact in self._disk_checkpoints:
             return CheckpointTier.DISK
         return CheckpointTier.REMOTE
 
     async def _read_weights(self, artifact: Artifact, load_seconds: float) -> None:
-        tier = self._tier(artifact)
+        tier = self._tier_of(artifact)
         if tier is CheckpointTier.REMOTE:
             await self._fetch(load_seconds)
         else:
-            await asyncio.sleep(load_seconds * LOAD_SHARE[tier])
+            await asyncio.sleep(load_seconds * LOAD_TIME_FACTORS[tier])
         self.cache(artifact, CheckpointTier.MEMORY)
 
     def cache(self, artifact: Artifact, tier: CheckpointTier) -> None:
         """Keep an artifact's weights in a tier; the oldest fall to the next one."""
         if tier is CheckpointTier.MEMORY:
-            self._on_disk.pop(artifact, None)
-            self._in_memory[artifact] = None
-            self._in_memory.move_to_end(artifact)
-            if len(self._in_memory) > MEMORY_CHECKPOINTS:
-                oldest, _ = self._in_memory.popitem(last=False)
+            self._disk_checkpoints.pop(artifact, None)
+            self._memory_checkpoints[artifact] = None
+            self._memory_checkpoints.move_to_end(artifact)
+            if len(self._memory_checkpoints) > MAX_MEMORY_CHECKPOINTS:
+                oldest, _ = self._memory_checkpoints.popitem(last=False)
                 self.cache(oldest, CheckpointTier.DISK)
         elif tier is CheckpointTier.DISK:
-            self._on_disk[artifact] = None
-            if len(self._on_disk) > DISK_CHECKPOINTS:
-                self._on_disk.popitem(last=False)
+            self._disk_checkpoints[artifact] = None
+            if len(self._disk_checkpoints) > MAX_DISK_CHECKPOINTS:
+                self._disk_checkpoints.popitem(last=False)
 
     async def _unload(self, artifact: Artifact) -> OrderResult:
         item = self._loaded.get(artifact)
@@ -200,8 +208,8 @@
             return OrderResult.DONE
         item.state = ReplicaState.UNLOADING
         while item.running:
-            item.settled.clear()
-            await item.settled.wait()
-        item.holding.ended = time.monotonic()
+            item.idle.clear()
+            await item.idle.wait()
+        item.residency.ended = time.monotonic()
         self._loaded.pop(artifact, None)
         return OrderResult.DONE
