--- a/loomwind/control/voter_set.py
+++ b/loomwind/control/voter_set.py
@@ -24,9 +24,9 @@
     remaining = sorted(info for info in alive if info.identity not in chosen)
     while len(chosen) < size and remaining:
         zones = [by_identity[voter].zone for voter in chosen]
-        best = min(remaining, key=lambda info: (zones.count(info.zone), info.identity))
-        remaining.remove(best)
-        chosen.append(best.identity)
+        candidate = min(remaining, key=lambda info: (zones.count(info.zone), info.identity))
+        remaining.remove(candidate)
+        chosen.append(candidate.identity)
     return tuple(sorted(chosen[: max(size, 1)]))
 
 
@@ -44,5 +44,7 @@
     :param joint: the previous voter set until a change is committed; it needs a majority as well.
     """
     return any(
-        2 * sum(v not in ended for v in each) <= len(each) for each in (voters, joint) if each
+        2 * sum(v not in ended for v in voter_set) <= len(voter_set)
+        for voter_set in (voters, joint)
+        if voter_set
     )
