--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server, Stream
 
-from loomwind.catalog.changes import Change, Kind, ObjectKey
+from loomwind.catalog.changes import Change, ObjectKey, ObjectKind
 from loomwind.catalog.errors import (
     CatalogError,
     CatalogUnavailable,
@@ -42,7 +42,7 @@
     """Return what an error says besides its text."""
     if isinstance(error, Conflict):
         return {CURRENT_VERSION_KEY: str(error.current_version)}
-    if isinstance(error, CatalogUnavailable) and error.unknown:
+    if isinstance(error, CatalogUnavailable) and error.outcome_unknown:
         return {OUTCOME_KEY: "unknown"}
     return {}
 
@@ -116,12 +116,12 @@
 
     async def _list(self, request: pb.ListRequest) -> pb.ListReply:
         catalog = self._catalog.catalog
-        entries = catalog.values(kind_of(request.kind))
+        entries = catalog.entries_of_kind(kind_of(request.kind))
         objects = [message_of(entry) for entry in entries]
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
     async def _drain(self, request: pb.DrainRequest) -> pb.DrainReply:
-        key = ObjectKey(Kind.DRAIN, request.backend)
+        key = ObjectKey(ObjectKind.DRAIN, request.backend)
         entry = self._catalog.catalog.entries.get(key)
         if (entry is not None) == request.leaving:
             return pb.DrainReply()
@@ -138,7 +138,9 @@
             for artifact in route.replicas
         ]
         groups = [
-            entry.group.name for entry in self._catalog.catalog.values(Kind.GROUP) if entry.group
+            entry.group.name
+            for entry in self._catalog.catalog.entries_of_kind(ObjectKind.GROUP)
+            if entry.group
         ]
         queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_in_group(g)) for g in groups]
         return pb.StatusReply(
