--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from features.support.caller import Reply, read_part_and_leave
+from features.support.caller import Reply, disconnect_during_response
 from features.support.pool_site import PoolDaemonProcess, PoolSite
 from features.support.processes import wait_until
 
@@ -239,7 +239,7 @@
     site = pool(context)
     request = site.request(first_daemon(context), "drill", target, 200)
     context.last_request_id = request.headers["x-request-id"]
-    read_part_and_leave(request)
+    disconnect_during_response(request)
 
 
 @then("its work at server {name} is cancelled")
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -123,7 +123,7 @@
         connection.close()
 
 
-def read_part_and_leave(request: Request) -> None:
+def disconnect_during_response(request: Request) -> None:
     """Send a request, read the beginning of its answer, and close the connection."""
     connection = http.client.HTTPConnection(request.address, timeout=EXTRA_SECONDS)
     try:
