--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 MAX_CALLERS = 128
-EXTRA_SECONDS = 30.0
+TIMEOUT_MARGIN_SECONDS = 30.0
 
 
 class Reply(Struct, frozen=True):
@@ -103,7 +103,7 @@
     """Send one request and return what came back, whatever happens."""
     request_id = request.headers.get("x-request-id", "")
     connection = http.client.HTTPConnection(
-        request.address, timeout=request.timeout_seconds + EXTRA_SECONDS
+        request.address, timeout=request.timeout_seconds + TIMEOUT_MARGIN_SECONDS
     )
     started = time.monotonic()
     try:
@@ -125,7 +125,7 @@
 
 def disconnect_during_response(request: Request) -> None:
     """Send a request, read the beginning of its answer, and close the connection."""
-    connection = http.client.HTTPConnection(request.address, timeout=EXTRA_SECONDS)
+    connection = http.client.HTTPConnection(request.address, timeout=TIMEOUT_MARGIN_SECONDS)
     try:
         connection.request(request.method, request.path, request.body, request.headers)
         connection.getresponse().read(1)
