--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -77,11 +77,11 @@
     """Return a chat-completions request."""
     message = {"role": "user", "content": prompt}
     body = {"model": model, "messages": [message], "stream": stream, "max_tokens": max_tokens}
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    named |= {"content-type": "application/json", "request-timeout": str(timeout_seconds)}
-    named.setdefault("x-request-id", uuid.uuid4().hex)
+    fields = {name.replace("_", "-"): value for name, value in headers.items()}
+    fields |= {"content-type": "application/json", "request-timeout": str(timeout_seconds)}
+    fields.setdefault("x-request-id", uuid.uuid4().hex)
     data = json.dumps(body).encode()
-    return Request(address, "POST", "/v1/chat/completions", named, data, timeout_seconds)
+    return Request(address, "POST", "/v1/chat/completions", fields, data, timeout_seconds)
 
 
 def plain(
@@ -93,10 +93,10 @@
     **headers: str,
 ) -> Request:
     """Return an ordinary HTTP request."""
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    named |= {"request-timeout": str(timeout_seconds)}
-    named.setdefault("x-request-id", uuid.uuid4().hex)
-    return Request(address, method, path, named, body, timeout_seconds)
+    fields = {name.replace("_", "-"): value for name, value in headers.items()}
+    fields |= {"request-timeout": str(timeout_seconds)}
+    fields.setdefault("x-request-id", uuid.uuid4().hex)
+    return Request(address, method, path, fields, body, timeout_seconds)
 
 
 def send(request: Request) -> Reply:
