--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -87,7 +87,7 @@
         self.store_address = ""
         self._folder = folder
         self._settings = settings
-        self._lives = 0
+        self._start_count = 0
         self.process: Process | None = None
 
     @property
@@ -103,11 +103,11 @@
     @property
     def log_path(self) -> Path:
         """Return the path of this life's log."""
-        return self._folder / f"{self.name}.{self._lives}.log"
+        return self._folder / f"{self.name}.{self._start_count}.log"
 
     def start(self) -> None:
         """Start a life."""
-        self._lives += 1
+        self._start_count += 1
         self.settings_path.write_text(self._settings(self))
         environment = {**os.environ, "LOOMWIND_SETTINGS": str(self.settings_path)}
         self.process = Process("loomwind", ["serve"], self.log_path, environment)
