--- a/bench/pool.py
+++ b/bench/pool.py
@@ -66,7 +66,7 @@
 
 
 def _store_away(site: PoolSite) -> None:
-    site.store_fault(mode="silent")
+    site.set_store_faults(mode="silent")
 
 
 def _late_orders(site: PoolSite) -> None:
@@ -88,7 +88,7 @@
 
 def _heal(site: PoolSite) -> None:
     """End the fault: what stands still goes on, what was killed starts again."""
-    site.store_fault()
+    site.set_store_faults()
     site.servers["model-0"].fault()
     for daemon in site.daemons.values():
         process = daemon.process
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -100,7 +100,7 @@
 @given("a daemon while the store is away")
 def step_daemon_no_store(context: Any) -> None:
     site = pool(context)
-    site.store_fault(mode="busy")
+    site.set_store_faults(mode="busy")
     site.add_daemon("alone")
     daemon = first_daemon(context)
     wait_until(lambda: daemon.ready_status() == 503, "the daemon answers that it is not ready")
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -59,12 +59,12 @@
 @given("the store has faults {faults}")
 @when("the store has faults {faults}")
 def step_store_faults(context: Any, faults: str) -> None:
-    pool(context).store_fault(**parse_faults(faults))
+    pool(context).set_store_faults(**parse_faults(faults))
 
 
 @when("the store is well again")
 def step_store_well(context: Any) -> None:
-    pool(context).store_fault()
+    pool(context).set_store_faults()
 
 
 def parse_faults(text: str) -> dict[str, object]:
--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -171,7 +171,7 @@
         data = json.dumps(body).encode()
         assert send(plain(self.store_address, "POST", "/_apply", data)).status == 200
 
-    def store_fault(self, **faults: object) -> None:
+    def set_store_faults(self, **faults: object) -> None:
         """Switch the store's faults on; those not named are off."""
         send(plain(self.store_address, "POST", "/_fault", json.dumps(faults).encode()))
 
