--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -81,7 +81,7 @@
 
 
 def _crash_count(site: PoolSite) -> int:
-    return sum(len(server.crash_state()["crash_times_s"]) for server in site.servers.values())
+    return sum(len(server.last_known_state()["crash_times_s"]) for server in site.servers.values())
 
 
 def _send(
@@ -112,7 +112,7 @@
     times = [
         at_s
         for server in pool(context).servers.values()
-        for at_s in server.crash_state()["crash_part_times_s"]
+        for at_s in server.last_known_state()["crash_part_times_s"]
         if at_s >= context.counted_from_s
     ]
     assert len(times) <= count, (len(times), len(replies), _crash_count(pool(context)))
--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -63,7 +63,7 @@
         """Switch faults on; those not named are off."""
         send(plain(self.address, "POST", "/_fault", json.dumps(faults).encode()))
 
-    def crash_state(self) -> dict[str, Any]:
+    def last_known_state(self) -> dict[str, Any]:
         """Return the state, or the last one known while the server has ended and is not back."""
         reply = send(plain(self.address, "GET", "/_state"))
         if reply.status == 200:
