--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -222,10 +222,17 @@
 
         :param instance: the name of an earlier life; empty for a new one.
         """
-        sizes = self.folder / "models.json"
-        sizes.write_text(json.dumps(self.models))
+        models_path = self.folder / "models.json"
+        models_path.write_text(json.dumps(self.models))
         arguments = ["--service", MODEL_SERVICE, "--store", self.store_address]
-        arguments += ["--models", str(sizes), "--held", held, "--memory_mb", str(self.memory_mb)]
+        arguments += [
+            "--models",
+            str(models_path),
+            "--held",
+            held,
+            "--memory_mb",
+            str(self.memory_mb),
+        ]
         arguments += ["--adapter_slots", "2", "--instance", instance]
         self._add_server(name, MODEL_SERVICE, arguments)
 
