--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -300,8 +300,8 @@
     def _wait_for(self, daemon: PoolDaemonProcess) -> None:
         count = len(self.servers)
         wait_until(lambda: daemon.ready_status() == 200, f"{daemon.name} is ready")
-        what = f"{daemon.name} knows {count} servers"
-        wait_until(lambda: daemon.metric("loomwind_servers") >= count, what)
+        description = f"{daemon.name} knows {count} servers"
+        wait_until(lambda: daemon.metric("loomwind_servers") >= count, description)
 
     def leader(self) -> PoolDaemonProcess | None:
         """Return the daemon that leads, or None."""
