--- a/features/steps/server_partition_steps.py
+++ b/features/steps/server_partition_steps.py
@@ -19,7 +19,7 @@
 
 @given("links between {daemon} and all servers")
 def step_links(context: Any, daemon: str) -> None:
-    pool(context).link_to_servers(daemon)
+    pool(context).add_server_links(daemon)
 
 
 @given("{count:d} further pool daemons")
--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -257,7 +257,7 @@
         self.daemons[name] = daemon
         daemon.start()
 
-    def link_to_servers(self, daemon: str) -> None:
+    def add_server_links(self, daemon: str) -> None:
         """Put links between a daemon and all servers; after the servers, before the daemon."""
         links = [Link(daemon, server.address) for server in self.servers.values()]
         targets = ",".join(link.target for link in links)
