--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -262,8 +262,8 @@
 
 @given("callers who wait {seconds:d} s for an answer to begin")
 def step_patient(context: Any, seconds: int) -> None:
-    for known in pool(context).routes:
-        known["target-latency-ms"] = 1000 * seconds
+    for route_fields in pool(context).routes:
+        route_fields["target-latency-ms"] = 1000 * seconds
 
 
 @when("the lease of the leader would have ended")
