--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -270,9 +270,9 @@
 def step_lease_over(context: Any) -> None:
     """Wait until the store has refused renewals for two whole leases."""
     site = pool(context)
-    began = time.monotonic()
+    started_at = time.monotonic()
     wait_until(
-        lambda: time.monotonic() - began > 2 * site.lease_ms / 1000, "two leases have passed"
+        lambda: time.monotonic() - started_at > 2 * site.lease_ms / 1000, "two leases have passed"
     )
 
 
