--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -210,8 +210,8 @@
 
 @then("no server was ordered beyond its memory")
 def step_no_violation(context: Any) -> None:
-    found = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
-    assert not any(found.values()), found
+    violations = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
+    assert not any(violations.values()), violations
 
 
 @when("a running daemon gets a request on {name} for {target}")
