--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -217,11 +217,11 @@
 @when("a running daemon gets a request on {name} for {target}")
 def step_send_running(context: Any, name: str, target: str) -> None:
     site = pool(context)
-    ended = getattr(context, "old_leader", None)
+    stopped_leader = getattr(context, "old_leader", None)
     running = [
         daemon
         for daemon in site.daemons.values()
-        if daemon is not ended and daemon.process is not None and daemon.process.alive
+        if daemon is not stopped_leader and daemon.process is not None and daemon.process.alive
     ]
     site.callers.begin([site.request(running[0], name, target)])
     replies_of(context)
