--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -23,8 +23,8 @@
 @then("check-config accepts it")
 def step_check_config(context: Any) -> None:
     command = [sys.executable, "-m", "loomwind", "check-config", str(context.settings_path)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert done.returncode == 0, done.stdout + done.stderr
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert result.returncode == 0, result.stdout + result.stderr
 
 
 @when("a route {name} to {service} is added")
