--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -1,4 +1,4 @@
-"""Callers: blocking HTTP requests, alone or many at once, with what came back."""
+"""HTTP callers for tests: single or concurrent blocking requests and their replies."""
 
 import http.client
 import json
@@ -14,11 +14,11 @@
 
 
 class Reply(Struct, frozen=True):
-    """What a caller got. ``status`` is 0 when the connection ended without an answer.
+    """A reply as its caller received it; ``status`` is 0 if the connection ended without a response.
 
-    :param whole: whether the body came to its proper end.
-    :param seconds: how long the reply's head took.
-    :param timeout_seconds: how long the caller gave.
+    :param whole: whether the body was received completely.
+    :param seconds: time until the response head arrived.
+    :param timeout_seconds: timeout of the request.
     """
 
     request_id: str
@@ -31,21 +31,21 @@
 
     @property
     def late_seconds(self) -> float:
-        """Return how long after the caller's deadline the reply began."""
+        """Time by which the response head missed the caller's deadline."""
         return max(0.0, self.seconds - self.timeout_seconds)
 
     @property
     def outcome(self) -> str:
-        """Return the outcome that a refusal states."""
+        """The outcome header of a rejection; empty if there is none."""
         return self.headers.get("x-outcome", "")
 
     def problem(self) -> dict[str, Any]:
-        """Return the JSON problem of a refusal."""
+        """Return the decoded JSON problem of a rejection."""
         problem: dict[str, Any] = json.loads(self.body)
         return problem
 
     def text(self) -> str:
-        """Return the generated text of a plain or a streamed chat answer."""
+        """Return the generated text of a chat response, streamed or not."""
         if self.headers.get("content-type", "").startswith("text/event-stream"):
             events = [line[6:] for line in self.body.split(b"\n") if line.startswith(b"data: {")]
             deltas = [json.loads(event).get("choices") for event in events]
@@ -55,7 +55,7 @@
 
 
 class Request(Struct, frozen=True):
-    """A request to send."""
+    """An HTTP request and its timeout."""
 
     address: str
     method: str
@@ -92,7 +92,7 @@
     timeout_seconds: float = 10.0,
     **headers: str,
 ) -> Request:
-    """Return an ordinary HTTP request."""
+    """Return an HTTP request with a request id and a timeout header."""
     fields = {name.replace("_", "-"): value for name, value in headers.items()}
     fields |= {"request-timeout": str(timeout_seconds)}
     fields.setdefault("x-request-id", uuid.uuid4().hex)
@@ -100,7 +100,7 @@
 
 
 def send(request: Request) -> Reply:
-    """Send one request and return what came back, whatever happens."""
+    """Send a request and return its reply; connection errors give a reply with status 0."""
     request_id = request.headers.get("x-request-id", "")
     connection = http.client.HTTPConnection(
         request.address, timeout=request.timeout_seconds + TIMEOUT_MARGIN_SECONDS
@@ -124,7 +124,7 @@
 
 
 def disconnect_during_response(request: Request) -> None:
-    """Send a request, read the beginning of its answer, and close the connection."""
+    """Send a request, read the first byte of the response body and close the connection."""
     connection = http.client.HTTPConnection(request.address, timeout=TIMEOUT_MARGIN_SECONDS)
     try:
         connection.request(request.method, request.path, request.body, request.headers)
@@ -134,7 +134,7 @@
 
 
 class Callers:
-    """Many callers at once."""
+    """Sends requests concurrently from a thread pool."""
 
     def __init__(self) -> None:
         self._pool = ThreadPoolExecutor(MAX_CALLERS)
@@ -145,11 +145,11 @@
         self.pending += [self._pool.submit(send, request) for request in requests]
 
     def finish(self) -> list[Reply]:
-        """Wait for all replies and return them in the order of sending."""
+        """Wait for all pending replies and return them in the order of the requests."""
         replies = [future.result() for future in self.pending]
         self.pending = []
         return replies
 
     def close(self) -> None:
-        """End the callers."""
+        """Cancel queued requests and shut the thread pool down without waiting."""
         self._pool.shutdown(wait=False, cancel_futures=True)
