--- a/features/support/pool_site.py
+++ b/features/support/pool_site.py
@@ -1,4 +1,4 @@
-"""A deployment by a store: stand-in store and servers, and daemons, each a process of its own."""
+"""A test deployment: stand-in store, stand-in servers and daemons, each its own process."""
 
 import base64
 import json
@@ -22,7 +22,7 @@
 
 
 def model(name: str, weights_mb: float = 40_000.0, load_time_s: float = 0.3) -> dict[str, Any]:
-    """Return a model as the configuration gives it."""
+    """Return a model entry of the configuration."""
     return {
         "name": name,
         "weights-mb": weights_mb,
@@ -35,7 +35,7 @@
 
 
 def route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return a route as the configuration gives it."""
+    """Return a route entry of the configuration."""
     fields: dict[str, Any] = {
         "name": name,
         "host": HOST,
@@ -51,7 +51,7 @@
 
 
 class PoolServerProcess:
-    """One stand-in server."""
+    """A stand-in server process."""
 
     def __init__(self, process: Process, service: str) -> None:
         self.process = process
@@ -60,24 +60,24 @@
         self.address = f"{LOCALHOST}:{process.ports()[0]}"
 
     def fault(self, **faults: object) -> None:
-        """Switch faults on; those not named are off."""
+        """Set the faults of the server; faults that are not named are off."""
         send(plain(self.address, "POST", "/_fault", json.dumps(faults).encode()))
 
     def last_known_state(self) -> dict[str, Any]:
-        """Return the state, or the last one known while the server has ended and is not back."""
+        """Return the server's state, or the last known state while it is down."""
         reply = send(plain(self.address, "GET", "/_state"))
         if reply.status == 200:
             self._last_state = json.loads(reply.body)
         return self._last_state
 
     def state(self) -> dict[str, Any]:
-        """Return runs, orders and violations."""
+        """Return the server's state: runs, orders, violations and more."""
         state: dict[str, Any] = json.loads(send(plain(self.address, "GET", "/_state")).body)
         return state
 
 
 class PoolDaemonProcess:
-    """One daemon."""
+    """A daemon process, with its ports, settings and logs."""
 
     def __init__(self, name: str, folder: Path, settings: Callable[["PoolDaemonProcess"], str]):
         self.name = name
@@ -92,28 +92,28 @@
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` for callers."""
+        """``host:port`` for callers."""
         return f"{LOCALHOST}:{self.caller_port}"
 
     @property
     def settings_path(self) -> Path:
-        """Return the path of the settings file."""
+        """Path of the settings file."""
         return self._folder / f"{self.name}.toml"
 
     @property
     def log_path(self) -> Path:
-        """Return the path of this life's log."""
+        """Path of the log of the current process."""
         return self._folder / f"{self.name}.{self._start_count}.log"
 
     def start(self) -> None:
-        """Start a life."""
+        """Write the settings and start the daemon process."""
         self._start_count += 1
         self.settings_path.write_text(self._settings(self))
         environment = {**os.environ, "LOOMWIND_SETTINGS": str(self.settings_path)}
         self.process = Process("loomwind", ["serve"], self.log_path, environment)
 
     def ready_status(self) -> int:
-        """Return the status of the readiness question; 0 without an answer."""
+        """Return the HTTP status of the readiness endpoint, or 0 without a response."""
         return send(plain(f"{LOCALHOST}:{self.ready_port}", "GET", "/ready")).status
 
     def metrics(self) -> str:
@@ -131,7 +131,7 @@
         return self.metric("loomwind_controller") == 1.0
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """Return the log of all lives so far, in order."""
+        """Return the log entries of all processes of this daemon."""
         lines = []
         for path in sorted(self._folder.glob(f"{self.name}.*.log")):
             text = path.read_text()
@@ -140,7 +140,7 @@
 
 
 class PoolSite:
-    """Everything that one scenario runs."""
+    """The processes and the configuration of one scenario."""
 
     def __init__(self) -> None:
         self._folder_handle = tempfile.TemporaryDirectory()
@@ -167,20 +167,23 @@
     # The store.
 
     def apply(self, **body: Any) -> None:
-        """Do a transaction in the store as the operator or a server would."""
+        """Apply a transaction to the store, as an operator or a server would."""
         data = json.dumps(body).encode()
         assert send(plain(self.store_address, "POST", "/_apply", data)).status == 200
 
     def set_store_faults(self, **faults: object) -> None:
-        """Switch the store's faults on; those not named are off."""
+        """Set the faults of the store; faults that are not named are off."""
         send(plain(self.store_address, "POST", "/_fault", json.dumps(faults).encode()))
 
     def discard_history(self) -> None:
-        """Let the store drop its history."""
+        """Discard the change history of the store."""
         send(plain(self.store_address, "POST", "/_forget", b"{}"))
 
     def configure(self, version: int | None = None) -> None:
-        """Write the configuration under the next version, or a given one."""
+        """Write the configuration to the store.
+
+        :param version: its version; by default 3 above the last one.
+        """
         self.version = self.version + 3 if version is None else version
         engine = {
             "slots": 8,
@@ -211,16 +214,17 @@
     # Processes.
 
     def restart_model_server(self, name: str) -> None:
-        """End a model server at once, and start it again under its name, with nothing loaded."""
+        """Kill a model server and restart it with the same instance id and no loaded models."""
         server = self.servers[name]
         instance = server.state()["instance"]
         server.process.kill()
         self.add_model_server(name, "", instance)
 
     def add_model_server(self, name: str, held: str, instance: str = "") -> None:
-        """Start a model server that holds some models.
+        """Start a model server.
 
-        :param instance: the name of an earlier life; empty for a new one.
+        :param held: names of the models that are loaded at the start, joined by ``+``.
+        :param instance: instance id to reuse; empty for a new one.
         """
         models_path = self.folder / "models.json"
         models_path.write_text(json.dumps(self.models))
@@ -251,14 +255,17 @@
         return {each.address for each in self.servers.values() if each.service == service}
 
     def add_daemon(self, name: str, store_address: str = "") -> None:
-        """Start a daemon, by default with a direct way to the store."""
+        """Start a daemon, by default with a direct connection to the store."""
         daemon = PoolDaemonProcess(name, self.folder, self._settings)
         daemon.store_address = store_address or self.store_address
         self.daemons[name] = daemon
         daemon.start()
 
     def add_server_links(self, daemon: str) -> None:
-        """Put links between a daemon and all servers; after the servers, before the daemon."""
+        """Add links from a daemon to all servers.
+
+        Call it after the servers have been added and before the daemon.
+        """
         links = [Link(daemon, server.address) for server in self.servers.values()]
         targets = ",".join(link.target for link in links)
         process = Process("standins.link", ["--targets", targets], self.folder / "links.log")
@@ -266,7 +273,7 @@
         self.server_link = LinkProcess(links, process)
 
     def _overrides(self, daemon: PoolDaemonProcess) -> str:
-        """Return the lines of a daemon's settings that lead it to its links."""
+        """Return the settings lines that route a daemon's connections through its links."""
         if self.server_link is None:
             return ""
         overrides = self.server_link.overrides(daemon.name)
@@ -292,7 +299,7 @@
 """
 
     def wait_ready(self) -> None:
-        """Wait until every daemon is ready, knows every server, and one leads."""
+        """Wait until every daemon is ready and knows all servers, and there is a leader."""
         for daemon in self.daemons.values():
             self._wait_for(daemon)
         wait_until(lambda: self.leader() is not None, "a daemon leads")
@@ -304,7 +311,7 @@
         wait_until(lambda: daemon.metric("loomwind_servers") >= count, description)
 
     def leader(self) -> PoolDaemonProcess | None:
-        """Return the daemon that leads, or None."""
+        """Return the running daemon that is the leader, or None."""
         running = [d for d in self.daemons.values() if d.process and d.process.alive]
         return next((d for d in running if d.leading), None)
 
@@ -320,7 +327,7 @@
         body: bytes = b"hello",
         prompt: str = "",
     ) -> Request:
-        """Return a request on a route."""
+        """Return a request to a daemon for a route."""
         headers = {"host": HOST, "x_deadline_ms": str(int(timeout_seconds * 1000))}
         if target:
             headers |= {"x_model": target, "x_token_usage": f"10,{events}"}
@@ -330,11 +337,11 @@
         return plain(daemon.address, "POST", path, body, timeout_seconds, **headers)
 
     def runs(self, reply: Reply) -> int:
-        """Return how often a request ran, over all servers."""
+        """Return the number of executions of a request on all servers."""
         return sum(s.state()["runs"].get(reply.request_id, 0) for s in self.servers.values())
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes and delete the folder."""
         self.callers.close()
         for daemon in self.daemons.values():
             if daemon.process is not None:
