--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a pool that daemons serve by a store."""
+"""Steps for pools of servers that daemons serve with the metadata store."""
 
 import signal
 import time
@@ -12,7 +12,7 @@
 
 
 def pool(context: Any) -> PoolSite:
-    """Return the scenario's site, made when first asked for."""
+    """Return the site of the scenario; the first call creates it."""
     if context.pool is None:
         context.pool = PoolSite()
     site: PoolSite = context.pool
@@ -20,12 +20,12 @@
 
 
 def first_daemon(context: Any) -> PoolDaemonProcess:
-    """Return the first daemon."""
+    """Return the daemon that was added first."""
     return next(iter(pool(context).daemons.values()))
 
 
 def replies_of(context: Any) -> list[Reply]:
-    """Return all replies, waiting for those that are still out."""
+    """Wait for pending replies and return all replies of the scenario."""
     context.replies += pool(context).callers.finish()
     replies: list[Reply] = context.replies
     return replies
@@ -68,7 +68,7 @@
 
 
 def parse_faults(text: str) -> dict[str, object]:
-    """Return ``name=value, name=value`` as a table."""
+    """Parse ``name=value, name=value`` into a dict."""
     faults: dict[str, object] = {}
     for item in text.split(", "):
         name, _, value = item.partition("=")
@@ -268,7 +268,7 @@
 
 @when("the lease of the leader would have ended")
 def step_lease_over(context: Any) -> None:
-    """Wait until the store has refused renewals for two whole leases."""
+    """Wait for twice the lease duration."""
     site = pool(context)
     started_at = time.monotonic()
     wait_until(
