--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the leader, its orders, and what it was not told."""
+"""Steps for the leader, its orders and delayed responses to orders."""
 
 import signal
 from typing import Any
@@ -26,7 +26,7 @@
 
 @then("{target} was ordered at most once at each server, and at {count:d} servers at most")
 def step_loads(context: Any, target: str, count: int) -> None:
-    """A busy model gets a second copy by the leader's decision; never more, however it bursts."""
+    """Check the loads: the leader may add a second copy of a busy model, but no more in a burst."""
     ordered = []
     for server in pool(context).servers.values():
         orders = [o for o in server.state()["orders"] if o["model"] == target and not o["adapter"]]
