--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about configurations and lists of servers in the store."""
+"""Steps for the configuration and the server list in the store."""
 
 import socket
 import subprocess
