--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -14,7 +14,7 @@
 
 
 class Reply(Struct, frozen=True):
-    """A reply as its caller received it; ``status`` is 0 if the connection ended without a response.
+    """A reply as received; ``status`` is 0 if the connection ended without a response.
 
     :param whole: whether the body was received completely.
     :param seconds: time until the response head arrived.
