--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -7,7 +7,7 @@
 from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.views import Load
 from loomwind.engines.client import EngineClient
-from loomwind.engines.errors import EngineAnswerLost, EngineError, EngineUnreachable
+from loomwind.engines.errors import EngineResponseLost, EngineError, EngineUnreachable
 from loomwind.engines.protocol import (
     Action,
     Fence,
@@ -180,7 +180,7 @@
     async def _deliver_order(self, engine: str, address: str, order: Order) -> None:
         try:
             answer = await self._client.order(address, order, constants.ORDER_TIMEOUT_SECONDS)
-        except (EngineUnreachable, EngineAnswerLost):
+        except (EngineUnreachable, EngineResponseLost):
             self._metrics.orders.labels("unknown").inc()
             self.tracker.on_order_lost(engine, order)
             self.recheck(engine)
--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from loomwind.engines.errors import EngineAnswerLost, EngineUnreachable
+from loomwind.engines.errors import EngineResponseLost, EngineUnreachable
 from loomwind.engines.protocol import (
     FenceRequest,
     Inventory,
@@ -71,4 +71,4 @@
         except ConnectFailed as error:
             raise EngineUnreachable(str(error)) from error
         except (HttpError, msgspec.MsgspecError) as error:
-            raise EngineAnswerLost(str(error)) from error
+            raise EngineResponseLost(str(error)) from error
--- a/loomwind/engines/errors.py
+++ b/loomwind/engines/errors.py
@@ -18,5 +18,5 @@
         self.refused = refused
 
 
-class EngineAnswerLost(EngineError):
+class EngineResponseLost(EngineError):
     """The request was handed over, and no whole answer came back: it may have been carried out."""
