--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -16,7 +16,7 @@
 from loomwind.http.errors import ConnectFailed, ConnectRefused, HttpError
 from loomwind.http.messages import HttpRequest
 
-Answer = TypeVar("Answer")
+Response = TypeVar("Answer")
 
 
 class EngineClient:
@@ -53,16 +53,16 @@
         return await self._exchange(address, request, StatusReport, timeout)
 
     async def _post(
-        self, address: str, path: str, body: bytes, kind: type[Answer], timeout: float
-    ) -> Answer:
+        self, address: str, path: str, body: bytes, kind: type[Response], timeout: float
+    ) -> Response:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
             address, HttpRequest("POST", path, headers, body), kind, timeout
         )
 
     async def _exchange(
-        self, address: str, request: HttpRequest, kind: type[Answer], timeout: float
-    ) -> Answer:
+        self, address: str, request: HttpRequest, kind: type[Response], timeout: float
+    ) -> Response:
         try:
             response = await self._http.request(address, request, timeout)
             return msgspec.json.decode(response.body, type=kind)
