--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -53,19 +53,19 @@
         return await self._exchange(address, request, StatusReport, timeout)
 
     async def _post(
-        self, address: str, path: str, body: bytes, kind: type[Response], timeout: float
+        self, address: str, path: str, body: bytes, response_type: type[Response], timeout: float
     ) -> Response:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
-            address, HttpRequest("POST", path, headers, body), kind, timeout
+            address, HttpRequest("POST", path, headers, body), response_type, timeout
         )
 
     async def _exchange(
-        self, address: str, request: HttpRequest, kind: type[Response], timeout: float
+        self, address: str, request: HttpRequest, response_type: type[Response], timeout: float
     ) -> Response:
         try:
             response = await self._http.request(address, request, timeout)
-            return msgspec.json.decode(response.body, type=kind)
+            return msgspec.json.decode(response.body, type=response_type)
         except ConnectRefused as error:
             raise EngineUnreachable(str(error), refused=True) from error
         except ConnectFailed as error:
