--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -25,35 +25,40 @@
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
-    async def fence(self, address: str, request: FenceRequest, timeout: float) -> Inventory:
+    async def fence(self, address: str, request: FenceRequest, timeout_seconds: float) -> Inventory:
         """Raise an engine's fence and return its inventory.
 
         :raises EngineUnreachable: nothing was handed over.
         :raises EngineAnswerLost: the fence may have been raised.
         """
         body = msgspec.json.encode(request)
-        return await self._post(address, "/v1/fence", body, Inventory, timeout)
+        return await self._post(address, "/v1/fence", body, Inventory, timeout_seconds)
 
-    async def order(self, address: str, order: Order, timeout: float) -> OrderAnswer:
+    async def order(self, address: str, order: Order, timeout_seconds: float) -> OrderAnswer:
         """Give an order and return its answer once it is carried out or refused.
 
         :raises EngineUnreachable: nothing was handed over.
         :raises EngineAnswerLost: the order may have been carried out, or may yet be.
         """
         body = msgspec.json.encode(order)
-        return await self._post(address, "/v1/orders", body, OrderAnswer, timeout)
+        return await self._post(address, "/v1/orders", body, OrderAnswer, timeout_seconds)
 
-    async def status(self, address: str, timeout: float) -> StatusReport:
+    async def status(self, address: str, timeout_seconds: float) -> StatusReport:
         """Return an engine's load report.
 
         :raises EngineUnreachable: nothing was handed over.
         :raises EngineAnswerLost: no whole answer came.
         """
         request = HttpRequest("GET", "/v1/status")
-        return await self._exchange(address, request, StatusReport, timeout)
+        return await self._exchange(address, request, StatusReport, timeout_seconds)
 
     async def _post(
-        self, address: str, path: str, body: bytes, response_type: type[Response], timeout: float
+        self,
+        address: str,
+        path: str,
+        body: bytes,
+        response_type: type[Response],
+        timeout_seconds: float,
     ) -> Response:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
@@ -61,10 +66,14 @@
         )
 
     async def _exchange(
-        self, address: str, request: HttpRequest, response_type: type[Response], timeout: float
+        self,
+        address: str,
+        request: HttpRequest,
+        response_type: type[Response],
+        timeout_seconds: float,
     ) -> Response:
         try:
-            response = await self._http.request(address, request, timeout)
+            response = await self._http.request(address, request, timeout_seconds)
             return msgspec.json.decode(response.body, type=response_type)
         except ConnectRefused as error:
             raise EngineUnreachable(str(error), refused=True) from error
