--- a/loomwind/ports/http.py
+++ b/loomwind/ports/http.py
@@ -21,14 +21,14 @@
     def __init__(self, http: HttpClient, address: str, timeout_seconds: float) -> None:
         self._http = http
         self._address = address
-        self._timeout = timeout_seconds
+        self._timeout_seconds = timeout_seconds
 
     async def _exchange(
         self, method: str, path: str, body: bytes = b"", headers: Headers = ()
     ) -> HttpResponse:
         request = HttpRequest(method, path, headers, body)
         try:
-            response = await self._http.request(self._address, request, self._timeout)
+            response = await self._http.request(self._address, request, self._timeout_seconds)
         except ConnectFailed as error:
             raise PlatformUnavailable(str(error), outcome_unknown=False) from error
         except HttpError as error:
