--- a/loomwind/ports/__init__.py
+++ b/loomwind/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Outside services behind abstract classes, with their implementation for the own interface."""
+"""Interfaces to the platform's services, with HTTP and in-memory implementations."""
