--- a/loomwind/ports/base.py
+++ b/loomwind/ports/base.py
@@ -1,4 +1,4 @@
-"""What Loomwind needs of the platform, as abstract classes and immutable views."""
+"""Abstract interfaces to the platform's services, and the immutable values that they return."""
 
 import enum
 from abc import ABC, abstractmethod
@@ -15,7 +15,7 @@
 
 
 class MachineState(enum.Enum):
-    """What the machine list says of a machine."""
+    """The state of a machine according to the machine list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -23,7 +23,7 @@
 
 
 class MachineRole(enum.Enum):
-    """What runs on a machine."""
+    """The kind of process that runs on a machine."""
 
     ENGINE = "engine"
     APPLICATION = "application"
@@ -31,9 +31,9 @@
 
 
 class Machine(Struct, frozen=True):
-    """A machine of the list.
+    """An entry of the machine list.
 
-    :param application: name of the application it serves, for that role.
+    :param application: the name of the application that it serves, if that is its role.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 
 class TableService(ABC):
-    """A transactional table: rows with versions, written by compare-and-set."""
+    """A transactional table of versioned rows, written by compare-and-set."""
 
     @abstractmethod
     async def read(self, key: str) -> Row:
@@ -57,20 +57,20 @@
 
     @abstractmethod
     async def write(self, key: str, base_version: int, value: bytes) -> Row:
-        """Write a row that is at ``base_version``; 0 creates it.
+        """Write a row if it is at ``base_version``; 0 creates it.
 
         :returns: the row as written.
         :raises RowConflict: the row is at another version.
-        :raises PlatformUnavailable: not written, or, when ``unknown``, perhaps written.
+        :raises PlatformUnavailable: not written; if ``outcome_unknown``, it may have been.
         """
 
 
 class ObjectStore(ABC):
-    """Named blobs."""
+    """A store of named binary objects."""
 
     @abstractmethod
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None.
+        """Return an object, or None if it does not exist.
 
         :raises PlatformUnavailable: the service did not answer.
         """
@@ -79,12 +79,12 @@
     async def put(self, name: str, value: bytes) -> None:
         """Write an object.
 
-        :raises PlatformUnavailable: not written, or perhaps written.
+        :raises PlatformUnavailable: the object may or may not have been written.
         """
 
 
 class MachineList(ABC):
-    """The platform's list of machines; it lags behind."""
+    """The platform's list of machines, which lags behind their actual state."""
 
     @abstractmethod
     async def machines(self, cell: str) -> tuple[Machine, ...]:
