--- a/loomwind/ports/errors.py
+++ b/loomwind/ports/errors.py
@@ -4,13 +4,13 @@
 
 
 class PlatformError(LoomwindError):
-    """Base class of the platform clients' errors."""
+    """Base class of errors of the platform clients."""
 
 
 class PlatformUnavailable(PlatformError):
-    """The service did not answer.
+    """The service could not be reached, failed, or sent no usable response.
 
-    :param unknown: whether the action may have taken effect all the same.
+    :param outcome_unknown: whether the operation may have taken effect.
     """
 
     def __init__(self, detail: str, outcome_unknown: bool) -> None:
@@ -19,4 +19,4 @@
 
 
 class RowConflict(PlatformError):
-    """A row was not at the version that the write was based on."""
+    """The row was not at the version that the write is based on."""
