--- a/loomwind/ports/http.py
+++ b/loomwind/ports/http.py
@@ -1,7 +1,9 @@
-"""HTTP adapters for the platform's services.
+"""HTTP clients of the platform's services.
 
-``GET /table/KEY`` and ``PUT /table/KEY`` with ``If-Match`` read and write rows; ``GET`` and ``PUT
-/objects/NAME`` blobs; ``GET /machines?cell=NAME`` the machine list.
+``GET /table/KEY``            reads a row.
+``PUT /table/KEY``            writes a row at the version in ``If-Match``.
+``GET``, ``PUT /objects/NAME`` reads or writes an object.
+``GET /machines?cell=NAME``   reads the machine list.
 """
 
 from urllib.parse import quote
@@ -16,7 +18,7 @@
 
 
 class _HttpService:
-    """One service at one address."""
+    """Base class of a client for a service at one address."""
 
     def __init__(self, http: HttpClient, address: str, timeout_seconds: float) -> None:
         self._http = http
@@ -39,7 +41,7 @@
 
 
 class HttpTableService(_HttpService, TableService):
-    """The table service over HTTP."""
+    """HTTP client of the table service."""
 
     async def read(self, key: str) -> Row:
         """Return a row; see :meth:`TableService.read`."""
@@ -57,7 +59,7 @@
 
 
 class HttpObjectStore(_HttpService, ObjectStore):
-    """The object store over HTTP."""
+    """HTTP client of the object store."""
 
     async def get(self, name: str) -> bytes | None:
         """Return an object; see :meth:`ObjectStore.get`."""
@@ -70,7 +72,7 @@
 
 
 class HttpMachineList(_HttpService, MachineList):
-    """The machine list over HTTP."""
+    """HTTP client of the machine list."""
 
     async def machines(self, cell: str) -> tuple[Machine, ...]:
         """Return the machines of a cell; see :meth:`MachineList.machines`."""
