--- a/loomwind/ports/local.py
+++ b/loomwind/ports/local.py
@@ -1,11 +1,11 @@
-"""A table service in memory, for a single daemon without a platform. Nothing in it lasts."""
+"""In-memory table service for a single daemon without a platform. Rows are not persisted."""
 
 from loomwind.ports.base import Row, TableService
 from loomwind.ports.errors import RowConflict
 
 
 class LocalTableService(TableService):
-    """Rows of this process."""
+    """Keeps rows in the memory of this process."""
 
     def __init__(self) -> None:
         self._rows: dict[str, Row] = {}
