--- a/loomwind/engines/__init__.py
+++ b/loomwind/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol of model engines and application servers, and a client for it."""
+"""Protocol of model engines and application servers, and a client for its control calls."""
