--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -1,4 +1,4 @@
-"""A client for the control half of an engine's protocol."""
+"""Client for the control calls of the engine protocol."""
 
 from typing import TypeVar
 
@@ -20,7 +20,7 @@
 
 
 class EngineClient:
-    """Speaks to engines by address."""
+    """Sends control requests to engines by address."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
@@ -28,17 +28,17 @@
     async def fence(self, address: str, request: FenceRequest, timeout_seconds: float) -> Inventory:
         """Raise an engine's fence and return its inventory.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: the fence may have been raised.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: the fence may have been raised.
         """
         body = msgspec.json.encode(request)
         return await self._post(address, "/v1/fence", body, Inventory, timeout_seconds)
 
     async def order(self, address: str, order: Order, timeout_seconds: float) -> OrderAnswer:
-        """Give an order and return its answer once it is carried out or refused.
+        """Send an order and return the answer once the order is executed or refused.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: the order may have been carried out, or may yet be.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: the order may have been executed, or may still be.
         """
         body = msgspec.json.encode(order)
         return await self._post(address, "/v1/orders", body, OrderAnswer, timeout_seconds)
@@ -46,8 +46,8 @@
     async def status(self, address: str, timeout_seconds: float) -> StatusReport:
         """Return an engine's load report.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: no whole answer came.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: no complete, valid response was received.
         """
         request = HttpRequest("GET", "/v1/status")
         return await self._exchange(address, request, StatusReport, timeout_seconds)
