--- a/loomwind/engines/errors.py
+++ b/loomwind/engines/errors.py
@@ -4,13 +4,13 @@
 
 
 class EngineError(LoomwindError):
-    """Base class of the engine client's errors."""
+    """Base class of errors of the engine client."""
 
 
 class EngineUnreachable(EngineError):
-    """No byte was handed over.
+    """No connection could be opened, so nothing was sent.
 
-    :param refused: whether the host refused, so that the process is gone.
+    :param refused: whether the host refused the connection, so no process listens there.
     """
 
     def __init__(self, detail: str, refused: bool = False) -> None:
@@ -19,4 +19,4 @@
 
 
 class EngineResponseLost(EngineError):
-    """The request was handed over, and no whole answer came back: it may have been carried out."""
+    """No complete, valid response was received; the request may have been executed."""
