--- a/loomwind/engines/protocol.py
+++ b/loomwind/engines/protocol.py
@@ -1,11 +1,12 @@
-"""Typed bodies of an engine's HTTP protocol, as Loomwind speaks it.
+"""Headers and message bodies of the engines' HTTP protocol.
 
 ``POST /v1/fence``   raises the fence and returns the inventory.
-``POST /v1/orders``  carries out one fenced order and answers when it is done.
+``POST /v1/orders``  executes one fenced order and answers when it is done.
 ``GET /v1/status``   returns the load report and whether the engine is leaving.
-``GET /v1/cache-events?after=N`` returns cache events, late and with gaps.
-``POST /v1/chat/completions`` generates; ``DELETE /v1/requests/ID`` cancels. An engine that does not
-have the artifact answers 409, one that takes no work 503, both with ``x-outcome: not-run``.
+``GET /v1/cache-events?after=N`` returns cache events, delayed and with gaps.
+``POST /v1/chat/completions`` runs a request; ``DELETE /v1/requests/ID`` cancels it. An engine
+without the artifact answers 409, one that accepts no requests 503, both with
+``x-outcome: not-run``.
 """
 
 import enum
@@ -15,7 +16,7 @@
 from loomwind.messages import Ballot
 from loomwind.schema import Artifact
 
-# Headers between Loomwind, engines and application servers. Names are in lower case.
+# Headers exchanged with engines and application servers; names are in lower case.
 REQUEST_ID_HEADER = "x-request-id"
 ARTIFACT_HEADER = "x-artifact"
 PRIORITY_HEADER = "x-priority"
@@ -27,7 +28,7 @@
 
 
 class Fence(Struct, frozen=True, order=True, array_like=True):
-    """The order of all orders: generation, then ballot, then the controller's own count."""
+    """Fencing token of an order: generation, ballot, and the controller's sequence number."""
 
     generation: int = 0
     ballot: Ballot = Ballot()
@@ -35,7 +36,7 @@
 
 
 class Action(enum.Enum):
-    """What an order asks for."""
+    """The action that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -43,11 +44,11 @@
 
 
 class Order(Struct, frozen=True):
-    """A fenced order to one life of an engine.
+    """A fenced order to one instance of an engine.
 
-    :param instance: the engine's life that the order is for; another life refuses it.
-    :param memory_mib: memory that the artifact takes, in MiB.
-    :param load_seconds: time of a load from the weight store, in seconds.
+    :param instance: the engine process that the order is for; any other refuses it.
+    :param memory_mib: the memory that the artifact needs, in MiB.
+    :param load_seconds: the load time from the weight store, in seconds.
     """
 
     fence: Fence
@@ -60,7 +61,7 @@
 
 
 class ReplicaState(enum.Enum):
-    """What an engine says of an artifact that it holds memory for."""
+    """The state of an artifact that an engine has allocated memory for."""
 
     LOADING = "loading"
     READY = "ready"
@@ -68,7 +69,7 @@
 
 
 class CheckpointTier(enum.Enum):
-    """Where an engine has an artifact's weights, the fastest first."""
+    """The storage tiers of an artifact's weights, fastest first."""
 
     MEMORY = "memory"
     DISK = "disk"
@@ -76,7 +77,7 @@
 
 
 class InventoryItem(Struct, frozen=True):
-    """An artifact that an engine holds memory for."""
+    """An artifact that an engine has allocated memory for."""
 
     artifact: Artifact
     state: ReplicaState
@@ -84,14 +85,14 @@
 
 
 class CheckpointItem(Struct, frozen=True):
-    """An artifact whose weights an engine has close by."""
+    """An artifact whose weights an engine has in a storage tier."""
 
     artifact: Artifact
     tier: CheckpointTier
 
 
 class Inventory(Struct, frozen=True):
-    """All that an engine holds, as of the fence that it was asked under."""
+    """The artifacts and checkpoints of an engine, and the highest fence that it has accepted."""
 
     instance: str
     fence: Fence
@@ -103,13 +104,13 @@
 
 
 class FenceRequest(Struct, frozen=True):
-    """Ask an engine to refuse all that is older than the fence."""
+    """Asks an engine to refuse all orders with a lower fence."""
 
     fence: Fence
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """The result of an order."""
 
     DONE = "done"
     STALE = "stale"
@@ -119,7 +120,7 @@
 
 
 class OrderAnswer(Struct, frozen=True):
-    """An engine's answer to an order, with its inventory right after it."""
+    """An engine's answer to an order, with its inventory after the order."""
 
     result: OrderResult
     inventory: Inventory
@@ -127,10 +128,10 @@
 
 
 class StatusReport(Struct, frozen=True):
-    """An engine's load report; it lags behind.
+    """An engine's load report, which lags behind.
 
-    :param running: requests that generate now.
-    :param waiting: requests that wait in the engine.
+    :param running: the number of requests that are generating.
+    :param waiting: the number of requests that wait in the engine.
     """
 
     instance: str
@@ -140,7 +141,7 @@
 
 
 class CacheEvent(Struct, frozen=True):
-    """A prompt prefix came into or fell out of an engine's cache."""
+    """A prompt prefix was added to or evicted from an engine's cache."""
 
     sequence: int
     prefix: str
@@ -148,6 +149,6 @@
 
 
 class CacheEvents(Struct, frozen=True):
-    """Cache events after the sequence number that was asked for."""
+    """The cache events after the requested sequence number."""
 
     events: tuple[CacheEvent, ...]
