--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -62,7 +62,7 @@
     ) -> Response:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
-            address, HttpRequest("POST", path, headers, body), response_type, timeout
+            address, HttpRequest("POST", path, headers, body), response_type, timeout_seconds
         )
 
     async def _exchange(
