--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -16,7 +16,7 @@
 from loomwind.http.errors import ConnectFailed, ConnectRefused, HttpError
 from loomwind.http.messages import HttpRequest
 
-Response = TypeVar("Answer")
+Answer = TypeVar("Answer")
 
 
 class EngineClient:
@@ -57,9 +57,9 @@
         address: str,
         path: str,
         body: bytes,
-        response_type: type[Response],
+        response_type: type[Answer],
         timeout_seconds: float,
-    ) -> Response:
+    ) -> Answer:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
             address, HttpRequest("POST", path, headers, body), response_type, timeout_seconds
@@ -69,9 +69,9 @@
         self,
         address: str,
         request: HttpRequest,
-        response_type: type[Response],
+        response_type: type[Answer],
         timeout_seconds: float,
-    ) -> Response:
+    ) -> Answer:
         try:
             response = await self._http.request(address, request, timeout_seconds)
             return msgspec.json.decode(response.body, type=response_type)
