--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -7,7 +7,7 @@
 from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.views import Load
 from loomwind.engines.client import EngineClient
-from loomwind.engines.errors import EngineResponseLost, EngineError, EngineUnreachable
+from loomwind.engines.errors import EngineError, EngineResponseLost, EngineUnreachable
 from loomwind.engines.protocol import (
     Action,
     Fence,
