--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -20,7 +20,7 @@
     And each server got an order
     And server one has faults late_order_seconds=0
     And server two has faults late_order_seconds=0
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: a paused leader is replaced, and gives no order under its old lease
@@ -29,7 +29,7 @@
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
     And the paused leader wakes
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
     And no server was ordered beyond its memory
 
@@ -40,12 +40,12 @@
     And the store is well again
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
 
   Scenario: all daemons are killed at once and serve again
     Given 3 pool daemons
     When all daemons are killed and started again
     And a running daemon gets a request on draft for m3
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
--- a/features/pool_path.feature
+++ b/features/pool_path.feature
@@ -15,18 +15,18 @@
   Scenario: a warm request is streamed
     Given 2 pool daemons
     When a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
 
   Scenario: a cold request waits for its model, which takes the place of another
     Given 2 pool daemons
     When a model request on draft for m3 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: an adapter that is not loaded is loaded
     Given 2 pool daemons
     When a model request on drill for m2/a3 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: a request without a route is answered at once
@@ -39,7 +39,7 @@
     When the leader is ended with SIGKILL
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: the leader stops as planned and hands over
@@ -58,7 +58,7 @@
     When the store has faults mode=busy
     And the lease of the leader would have ended
     And a running daemon gets a request on draft for m4
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: the leader goes on while the store answers nobody at all
@@ -66,4 +66,4 @@
     When the store has faults mode=silent
     And the lease of the leader would have ended
     And a running daemon gets a request on draft for m4
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -50,7 +50,7 @@
     And server one has faults cut_after_events=3
     And server two has faults cut_after_events=4
     When a stream on drill for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
 
   Scenario: a stream that may not be repeated ends visibly
     Given a model server one that holds m1
@@ -75,7 +75,7 @@
     And server one has faults unframed=true, cut_after_events=3
     And server two has faults unframed=true, cut_after_events=4
     When a stream on drill for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
 
   Scenario: unframed answers that end with their connection are passed on whole
     Given a model server one that holds m1
@@ -84,7 +84,7 @@
     And server one has faults unframed=true
     And server shop has faults unframed=true
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
     When a plain request on book is sent
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
@@ -96,7 +96,7 @@
     And server one has faults unframed=true, http_version=1.0
     And server shop has faults unframed=true, http_version=1.0
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
     When a plain request on book is sent
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
@@ -117,7 +117,7 @@
     And it runs at server one
     And the first daemon gets SIGTERM
     Then the first daemon is not ready
-    And the last reply is whole with 15 events in order
+    And the last reply is complete with 15 events in order
     And the first daemon ends by itself with status 0
 
   Scenario: a request that waits for a model gets its answer before a planned stop ends
@@ -142,7 +142,7 @@
     And a stream on draft for m3 with 3 events begins
     And server one is unloading
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: a model server that starts again under its name is loaded anew
@@ -151,7 +151,7 @@
     When a model request on draft for m2 is sent
     And server one starts again under its name, with nothing loaded
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And no server was ordered beyond its memory
 
   Scenario: a request whose only server has died is served by another that loads the model
@@ -160,7 +160,7 @@
     And 1 pool daemons
     When server one is killed
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
 
   Scenario: a stream whose model is at no server any more ends before its caller has to give it up
     Given a model server one that holds m1
--- a/features/reload.feature
+++ b/features/reload.feature
@@ -7,7 +7,7 @@
     When a stream on draft for m1 with 15 events begins
     And it runs at server one
     And the first daemon gets SIGHUP
-    Then the last reply is whole with 15 events in order
+    Then the last reply is complete with 15 events in order
     And the first daemon has logged settings reloaded
 
   Scenario: SIGHUP applies new bounds, and sections that need a restart are reported
--- a/features/server_partition.feature
+++ b/features/server_partition.feature
@@ -37,7 +37,7 @@
     And callers keep every daemon busy for 3.0 s
     Then another pool daemon leads
     When daemon-2 gets a model request on draft for m4
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
 
   Scenario: a request whose deadline passes while connecting has not run, and its caller gets status 503
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -160,7 +160,7 @@
     assert reply.status == status, (reply.status, reply.body[:200])
 
 
-@then("the last reply is whole with {count:d} events in order")
+@then("the last reply is complete with {count:d} events in order")
 def step_events(context: Any, count: int) -> None:
     reply = replies_of(context)[-1]
     ids = [int(line[4:]) for line in reply.body.split(b"\n") if line.startswith(b"id: ")]
