--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -7,7 +7,7 @@
   Scenario: a burst at every daemon loads a model once
     Given 3 pool daemons
     When 12 requests for m3 begin at every daemon
-    Then every reply is whole
+    Then every reply is complete
     And m3 was ordered at most once at each server, and at 2 servers at most
     And no server was ordered beyond its memory
 
