--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -9,7 +9,7 @@
     When 12 requests for m3 begin at every daemon
     Then every reply is complete
     And m3 was ordered at most once at each server, and at 2 servers at most
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: orders that are carried out seconds later overcommit nothing
     Given callers who wait 8 s for an answer to begin
@@ -21,7 +21,7 @@
     And server one has faults late_order_seconds=0
     And server two has faults late_order_seconds=0
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: a paused leader is replaced, and gives no order under its old lease
     Given 3 pool daemons
@@ -31,7 +31,7 @@
     And the paused leader wakes
     Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: a store that loses answers and writes late has one leader at last
     Given 3 pool daemons
@@ -48,4 +48,4 @@
     When all daemons are killed and started again
     And a running daemon gets a request on draft for m3
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
--- a/features/pool_path.feature
+++ b/features/pool_path.feature
@@ -21,13 +21,13 @@
     Given 2 pool daemons
     When a model request on draft for m3 is sent
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: an adapter that is not loaded is loaded
     Given 2 pool daemons
     When a model request on drill for m2/a3 is sent
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: a request without a route is answered at once
     Given 1 pool daemons
@@ -40,7 +40,7 @@
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: the leader stops as planned and hands over
     Given 3 pool daemons
@@ -59,7 +59,7 @@
     And the lease of the leader would have ended
     And a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: the leader goes on while the store answers nobody at all
     Given 3 pool daemons
--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -143,7 +143,7 @@
     And server one is unloading
     And a model request on draft for m1 is sent
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: a model server that starts again under its name is loaded anew
     Given a model server one that holds m1
@@ -152,7 +152,7 @@
     And server one starts again under its name, with nothing loaded
     And a model request on draft for m1 is sent
     Then the last reply is complete with 3 events in order
-    And no server was ordered beyond its memory
+    And no order overcommitted a server
 
   Scenario: a request whose only server has died is served by another that loads the model
     Given a model server one that holds m1
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -208,7 +208,7 @@
     wait_until(lambda: target in server.state()["held"], f"{name} holds {target}")
 
 
-@then("no server was ordered beyond its memory")
+@then("no order overcommitted a server")
 def step_no_violation(context: Any) -> None:
     violations = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
     assert not any(violations.values()), violations
