--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -50,7 +50,7 @@
     When the store has faults mode=throttle
     And a plain request on look is sent
     Then the last reply has status 200
-    When the store is well again
+    When the store recovers
     And a route new to orders is added
     Then every daemon has the newest configuration
 
--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -37,7 +37,7 @@
     Given 3 pool daemons
     When the store has faults lose_answers=true, late_seconds=0.3
     And the leader is ended with SIGKILL
-    And the store is well again
+    And the store recovers
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -62,7 +62,7 @@
     pool(context).set_store_faults(**parse_faults(faults))
 
 
-@when("the store is well again")
+@when("the store recovers")
 def step_store_well(context: Any) -> None:
     pool(context).set_store_faults()
 
