--- a/features/pool_path.feature
+++ b/features/pool_path.feature
@@ -56,7 +56,7 @@
   Scenario: the leader goes on while the store is away from all
     Given 3 pool daemons
     When the store has faults mode=busy
-    And the lease of the leader would have ended
+    And twice the lease duration passes
     And a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
@@ -64,6 +64,6 @@
   Scenario: the leader goes on while the store answers nobody at all
     Given 3 pool daemons
     When the store has faults mode=silent
-    And the lease of the leader would have ended
+    And twice the lease duration passes
     And a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -266,7 +266,7 @@
         route_fields["target-latency-ms"] = 1000 * seconds
 
 
-@when("the lease of the leader would have ended")
+@when("twice the lease duration passes")
 def step_lease_over(context: Any) -> None:
     """Wait for twice the lease duration."""
     site = pool(context)
