--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -28,7 +28,7 @@
     When the leader is ended with SIGSTOP
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
-    And the paused leader wakes
+    And the paused leader resumes
     Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
     And no order overcommitted a server
--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -40,7 +40,7 @@
     wait_until(lambda: any(s.state()["orders"] for s in servers), "a server got an order")
 
 
-@when("the paused leader wakes")
+@when("the paused leader resumes")
 def step_wakes(context: Any) -> None:
     context.old_leader.process.signal(signal.SIGCONT)
 
