--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -25,7 +25,7 @@
 
   Scenario: a paused leader is replaced, and gives no order under its old lease
     Given 3 pool daemons
-    When the leader is ended with SIGSTOP
+    When the leader receives SIGSTOP
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
     And the paused leader resumes
@@ -36,7 +36,7 @@
   Scenario: a store that loses answers and writes late has one leader at last
     Given 3 pool daemons
     When the store has faults lose_answers=true, late_seconds=0.3
-    And the leader is ended with SIGKILL
+    And the leader receives SIGKILL
     And the store recovers
     Then another pool daemon leads
     When a running daemon gets a request on draft for m4
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -134,7 +134,7 @@
     process.signal(signal.Signals[name])
 
 
-@when("the leader is ended with {name}")
+@when("the leader receives {name}")
 def step_end_leader(context: Any, name: str) -> None:
     leader = pool(context).leader()
     assert leader is not None and leader.process is not None
