--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -26,7 +26,7 @@
   Scenario: a paused leader is replaced, and gives no order under its old lease
     Given 3 pool daemons
     When the leader receives SIGSTOP
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
     When a running daemon gets a request on draft for m4
     And the paused leader resumes
     Then the last reply is complete with 3 events in order
@@ -38,7 +38,7 @@
     When the store has faults lose_answers=true, late_seconds=0.3
     And the leader receives SIGKILL
     And the store recovers
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
     When a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
--- a/features/pool_path.feature
+++ b/features/pool_path.feature
@@ -37,7 +37,7 @@
   Scenario: the leader is killed and a cold request is served under the next one
     Given 3 pool daemons
     When the leader receives SIGKILL
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
     When a running daemon gets a request on draft for m4
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
@@ -45,13 +45,13 @@
   Scenario: the leader stops as planned and hands over
     Given 3 pool daemons
     When the leader receives SIGTERM
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
 
   Scenario: a killed leader is replaced long before its lease would end
     Given leases of 600 s
     And 3 pool daemons
     When the leader receives SIGKILL
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
 
   Scenario: the leader goes on while the store is away from all
     Given 3 pool daemons
--- a/features/server_partition.feature
+++ b/features/server_partition.feature
@@ -35,7 +35,7 @@
     And 2 further pool daemons
     When the links to the servers become partition
     And callers keep every daemon busy for 3.0 s
-    Then another pool daemon leads
+    Then another pool daemon becomes the leader
     When daemon-2 gets a model request on draft for m4
     Then the last reply is complete with 3 events in order
     And the fences of the orders at each server never fall
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -142,7 +142,7 @@
     leader.process.signal(signal.Signals[name])
 
 
-@then("another pool daemon leads")
+@then("another pool daemon becomes the leader")
 def step_other_leads(context: Any) -> None:
     site = pool(context)
     old = context.old_leader
@@ -151,7 +151,7 @@
         others = [d for d in site.daemons.values() if d is not old]
         return any(d.leading for d in others)
 
-    wait_until(other_leads, "another pool daemon leads")
+    wait_until(other_leads, "another pool daemon becomes the leader")
 
 
 @then("the last reply has status {status:d}")
