--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -79,7 +79,7 @@
         assert reply.status == 200, (daemon.name, reply.status, reply.body)
 
 
-@given("a daemon whose way to the store can be cut")
+@given("a daemon that connects to the store through a link")
 def step_cuttable(context: Any) -> None:
     site = pool(context)
     arguments = ["--targets", site.store_address]
