--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -32,7 +32,7 @@
   Scenario: a daemon that the store does not serve learns the configuration from a peer
     Given 2 pool daemons
     And a daemon that connects to the store through a link
-    When its way to the store is cut
+    When its link to the store is cut
     And a route new to orders is added
     Then every daemon has the newest configuration
     And every daemon serves a plain request on new
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -90,7 +90,7 @@
     site.wait_ready()
 
 
-@when("its way to the store is cut")
+@when("its link to the store is cut")
 def step_cut(context: Any) -> None:
     with socket.create_connection(("127.0.0.1", context.link_control)) as control:
         control.sendall(b"cut\n")
