--- a/features/explain.feature
+++ b/features/explain.feature
@@ -7,7 +7,7 @@
     Then explain reports the cause no_route
 
   Scenario: the daemon has no configuration
-    Given a daemon while the store is away
+    Given a daemon while the store is unavailable
     When a plain request on look is sent
     Then explain reports the cause no_configuration
 
--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -38,7 +38,7 @@
     And every daemon serves a plain request on new
 
   Scenario: a daemon without a configuration answers 503, not 404
-    Given a daemon while the store is away
+    Given a daemon while the store is unavailable
     When a plain request on look is sent
     Then the last reply has status 503
 
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -97,7 +97,7 @@
         control.recv(64)
 
 
-@given("a daemon while the store is away")
+@given("a daemon while the store is unavailable")
 def step_daemon_no_store(context: Any) -> None:
     site = pool(context)
     site.set_store_faults(mode="busy")
