--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -25,7 +25,7 @@
     Given 2 pool daemons
     When a route new to orders is added
     And every daemon gets the newest configuration
-    And the store forgets its history
+    And the store discards its history
     And a route newer to orders is added
     Then every daemon has the newest configuration
 
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -43,7 +43,7 @@
     site.version, site.routes = newest, routes
 
 
-@when("the store forgets its history")
+@when("the store discards its history")
 def step_forget(context: Any) -> None:
     pool(context).discard_history()
 
