--- a/features/explain.feature
+++ b/features/explain.feature
@@ -69,7 +69,7 @@
     Then explain reports the cause no_leader
 
   Scenario: the daemon shuts down gracefully
-    Given callers who wait 20 s for an answer to begin
+    Given routes with a target latency of 20 s
     And a model server one that holds m1
     And 1 pool daemons
     And server one has faults late_order_seconds=60
@@ -102,7 +102,7 @@
   Scenario: the request was refused with a time to retry
     Given a model server one that holds m1
     And models with a load time of 5.0 s
-    And callers who wait 1 s for an answer to begin
+    And routes with a target latency of 1 s
     And 1 pool daemons
     When a model request on draft for m3 begins with 20.0 s to its deadline
     Then the last reply has status 503
--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -12,7 +12,7 @@
     And no order overcommitted a server
 
   Scenario: orders that are carried out seconds later overcommit nothing
-    Given callers who wait 8 s for an answer to begin
+    Given routes with a target latency of 8 s
     And 2 pool daemons
     And server one has faults late_order_seconds=1.0
     And server two has faults late_order_seconds=1.0
--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -121,7 +121,7 @@
     And the first daemon ends by itself with status 0
 
   Scenario: a request that waits for a model gets its answer before a planned stop ends
-    Given callers who wait 20 s for an answer to begin
+    Given routes with a target latency of 20 s
     And a model server one that holds m1
     And 1 pool daemons
     And server one has faults late_order_seconds=60
@@ -132,7 +132,7 @@
     And the first daemon ends by itself with status 0
 
   Scenario: a request for a model that is being unloaded waits for it and is served
-    Given callers who wait 8 s for an answer to begin
+    Given routes with a target latency of 8 s
     And servers with 60000 MB
     And a model server one that holds m1
     And 1 pool daemons
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -260,7 +260,7 @@
     pool(context).lease_ms = 1000 * seconds
 
 
-@given("callers who wait {seconds:d} s for an answer to begin")
+@given("routes with a target latency of {seconds:d} s")
 def step_patient(context: Any, seconds: int) -> None:
     for route_fields in pool(context).routes:
         route_fields["target-latency-ms"] = 1000 * seconds
