--- a/features/explain.feature
+++ b/features/explain.feature
@@ -82,7 +82,7 @@
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
-    When a caller leaves during a stream for m1
+    When a caller disconnects during a stream for m1
     Then explain reports the cause caller_left
 
   Scenario: the request was served late because its model had to be loaded
--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -105,7 +105,7 @@
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
-    When a caller leaves during a stream for m1
+    When a caller disconnects during a stream for m1
     Then its work at server one is cancelled
 
   Scenario: a planned stop cuts no stream, and refuses what waits for a model
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -234,7 +234,7 @@
         assert reply.body == b"POST /book/item hello", reply.body
 
 
-@when("a caller leaves during a stream for {target}")
+@when("a caller disconnects during a stream for {target}")
 def step_leave(context: Any, target: str) -> None:
     site = pool(context)
     request = site.request(first_daemon(context), "drill", target, 200)
