--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -106,7 +106,7 @@
     And 1 pool daemons
     And server one has faults event_seconds=0.2
     When a caller disconnects during a stream for m1
-    Then its work at server one is cancelled
+    Then its execution on server one is cancelled
 
   Scenario: a planned stop cuts no stream, and refuses what waits for a model
     Given a model server one that holds m1
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -242,7 +242,7 @@
     disconnect_during_response(request)
 
 
-@then("its work at server {name} is cancelled")
+@then("its execution on server {name} is cancelled")
 def step_cancelled(context: Any, name: str) -> None:
     server = pool(context).servers[name]
     request_id = context.last_request_id
