--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -118,7 +118,7 @@
     And the first daemon gets SIGTERM
     Then the first daemon is not ready
     And the last reply is complete with 15 events in order
-    And the first daemon ends by itself with status 0
+    And the first daemon exits with status 0
 
   Scenario: a request that waits for a model gets its answer before a planned stop ends
     Given routes with a target latency of 20 s
@@ -129,7 +129,7 @@
     And it waits at the first daemon
     And the first daemon gets SIGTERM
     Then the last reply has status 503
-    And the first daemon ends by itself with status 0
+    And the first daemon exits with status 0
 
   Scenario: a request for a model that is being unloaded waits for it and is served
     Given routes with a target latency of 8 s
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -188,7 +188,7 @@
     assert reply.body.decode() == text, reply.body
 
 
-@then("the first daemon ends by itself with status {status:d}")
+@then("the first daemon exits with status {status:d}")
 def step_ended(context: Any, status: int) -> None:
     process = first_daemon(context).process
     assert process is not None
