--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -149,7 +149,7 @@
     Given a model server one that holds m1
     And 1 pool daemons
     When a model request on draft for m2 is sent
-    And server one starts again under its name, with nothing loaded
+    And server one restarts with the same instance id and no models
     And a model request on draft for m1 is sent
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -290,7 +290,7 @@
     )
 
 
-@when("server {name} starts again under its name, with nothing loaded")
+@when("server {name} restarts with the same instance id and no models")
 def step_restart_server(context: Any, name: str) -> None:
     pool(context).restart_model_server(name)
 
