--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -4,7 +4,7 @@
     Given a plain server shop
 
   Scenario: the deploy template becomes settings that check-config accepts
-    When the deploy template is filled for a machine
+    When the deploy template is rendered for a machine
     Then check-config accepts it
 
   Scenario: a new version is in force on every daemon
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -14,7 +14,7 @@
 from features.support.template import FIELDS, render
 
 
-@when("the deploy template is filled for a machine")
+@when("the deploy template is rendered for a machine")
 def step_fill(context: Any) -> None:
     context.settings_path = pool(context).folder / "filled.toml"
     context.settings_path.write_text(render(FIELDS))
