--- a/features/pool_control.feature
+++ b/features/pool_control.feature
@@ -45,7 +45,7 @@
 
   Scenario: all daemons are killed at once and serve again
     Given 3 pool daemons
-    When all daemons are killed and started again
+    When all daemons are killed and restarted
     And a running daemon gets a request on draft for m3
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -52,7 +52,7 @@
         assert fences == sorted(fences), (name, fences)
 
 
-@when("all daemons are killed and started again")
+@when("all daemons are killed and restarted")
 def step_kill_all(context: Any) -> None:
     site = pool(context)
     for daemon in site.daemons.values():
