--- a/features/pool_path.feature
+++ b/features/pool_path.feature
@@ -1,40 +1,40 @@
-Feature: A pool served by a store: the whole path through real processes
+Feature: Requests to a pool with a metadata store, end to end through real processes
 
   Background:
     Given a model server one that holds m1+m2
     And a model server two that holds m1
     And a plain server shop
 
-  Scenario: a plain request is answered whole and unchanged
+  Scenario: a plain request gets the complete, unchanged response
     Given 1 pool daemons
     When a plain request on book is sent
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
     And the last request ran 1 times
 
-  Scenario: a warm request is streamed
+  Scenario: the response to a warm request is streamed
     Given 2 pool daemons
     When a model request on draft for m1 is sent
     Then the last reply is complete with 3 events in order
 
-  Scenario: a cold request waits for its model, which takes the place of another
+  Scenario: a cold request waits for its model, whose load evicts another
     Given 2 pool daemons
     When a model request on draft for m3 is sent
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: an adapter that is not loaded is loaded
+  Scenario: a request for an adapter that is not loaded causes its load
     Given 2 pool daemons
     When a model request on drill for m2/a3 is sent
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: a request without a route is answered at once
+  Scenario: a request without a route gets 404
     Given 1 pool daemons
     When a plain request on nowhere is sent
     Then the last reply has status 404
 
-  Scenario: the leader is killed and a cold request is served under the next one
+  Scenario: after the leader is killed, a cold request is served under the next leader
     Given 3 pool daemons
     When the leader receives SIGKILL
     Then another pool daemon becomes the leader
@@ -42,18 +42,18 @@
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: the leader stops as planned and hands over
+  Scenario: a leader that shuts down gracefully is replaced
     Given 3 pool daemons
     When the leader receives SIGTERM
     Then another pool daemon becomes the leader
 
-  Scenario: a killed leader is replaced long before its lease would end
+  Scenario: a killed leader is replaced long before its lease expires
     Given leases of 600 s
     And 3 pool daemons
     When the leader receives SIGKILL
     Then another pool daemon becomes the leader
 
-  Scenario: the leader goes on while the store is away from all
+  Scenario: the leader keeps leading while the store refuses all calls
     Given 3 pool daemons
     When the store has faults mode=busy
     And twice the lease duration passes
@@ -61,7 +61,7 @@
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: the leader goes on while the store answers nobody at all
+  Scenario: the leader keeps leading while the store does not respond to any call
     Given 3 pool daemons
     When the store has faults mode=silent
     And twice the lease duration passes
