--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -1,6 +1,6 @@
-Feature: What a pool daemon promises of a request holds under failure
+Feature: Guarantees of a pool daemon about requests under failures
 
-  Scenario: a request that runs when its time is over is not said to be unstarted
+  Scenario: a request that is running at its deadline is not reported as not run
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults mode=mute
@@ -8,7 +8,7 @@
     Then the last reply has status 504
     And the last request ran 1 times
 
-  Scenario: a request that may run once is not sent again after its answer is lost
+  Scenario: a non-idempotent request is not retried after its response is lost
     Given a plain server shop
     And a plain server shop2
     And 1 pool daemons
@@ -18,7 +18,7 @@
     Then the last reply has status 502
     And the last request ran 1 times
 
-  Scenario: a request that may be repeated is sent to another server
+  Scenario: an idempotent request is retried at another server
     Given a plain server shop
     And a plain server shop2
     And 1 pool daemons
@@ -26,7 +26,7 @@
     When a plain request on look is sent
     Then the last reply has status 200
 
-  Scenario: a request that every server refuses unstarted is said to be unstarted
+  Scenario: a request that every server rejects without running it gets 503
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults mode=shed
@@ -34,7 +34,7 @@
     Then the last reply has status 503
     And the last request ran 0 times
 
-  Scenario: an answer that belongs to another request is not passed on
+  Scenario: a response that belongs to another request is not relayed
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults surplus=true
@@ -43,7 +43,7 @@
     And a plain request on book is sent
     Then every reply has the body of its own request
 
-  Scenario: a stream that breaks off is resumed at another server
+  Scenario: a truncated stream is resumed at another server
     Given a model server one that holds m1
     And a model server two that holds m1
     And 1 pool daemons
@@ -52,7 +52,7 @@
     When a stream on drill for m1 with 6 events begins
     Then the last reply is complete with 6 events in order
 
-  Scenario: a stream that may not be repeated ends visibly
+  Scenario: truncation of a stream that is not resumable is visible to the caller
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults cut_after_events=2
@@ -60,7 +60,7 @@
     Then the last reply is truncated after a complete event
     And the last request ran 1 times
 
-  Scenario: an unframed stream that breaks off inside an event ends visibly
+  Scenario: truncation of a close-delimited stream inside an event is visible to the caller
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults unframed=true, cut_after_events=2
@@ -68,7 +68,7 @@
     Then the last reply is truncated after a complete event
     And the last request ran 1 times
 
-  Scenario: an unframed stream that breaks off inside an event is resumed at another server
+  Scenario: a close-delimited stream truncated inside an event is resumed at another server
     Given a model server one that holds m1
     And a model server two that holds m1
     And 1 pool daemons
@@ -77,7 +77,7 @@
     When a stream on drill for m1 with 6 events begins
     Then the last reply is complete with 6 events in order
 
-  Scenario: unframed answers that end with their connection are passed on whole
+  Scenario: close-delimited responses are relayed completely
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
@@ -89,7 +89,7 @@
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
 
-  Scenario: answers of HTTP 1.0, which end with their connection, are passed on whole
+  Scenario: close-delimited responses of HTTP 1.0 are relayed completely
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
@@ -101,14 +101,14 @@
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
 
-  Scenario: a caller that leaves has its work cancelled
+  Scenario: the execution of a request is cancelled when its caller disconnects
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
     When a caller disconnects during a stream for m1
     Then its execution on server one is cancelled
 
-  Scenario: a planned stop cuts no stream, and refuses what waits for a model
+  Scenario: a graceful shutdown lets running streams complete
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
@@ -120,7 +120,7 @@
     And the last reply is complete with 15 events in order
     And the first daemon exits with status 0
 
-  Scenario: a request that waits for a model gets its answer before a planned stop ends
+  Scenario: a request that waits for a model is rejected before a graceful shutdown ends
     Given routes with a target latency of 20 s
     And a model server one that holds m1
     And 1 pool daemons
@@ -131,7 +131,7 @@
     Then the last reply has status 503
     And the first daemon exits with status 0
 
-  Scenario: a request for a model that is being unloaded waits for it and is served
+  Scenario: a request for a model that is being unloaded waits and is served
     Given routes with a target latency of 8 s
     And servers with 60000 MB
     And a model server one that holds m1
@@ -145,7 +145,7 @@
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: a model server that starts again under its name is loaded anew
+  Scenario: a model server that restarts with the same instance id gets its models loaded again
     Given a model server one that holds m1
     And 1 pool daemons
     When a model request on draft for m2 is sent
@@ -154,7 +154,7 @@
     Then the last reply is complete with 3 events in order
     And no order overcommitted a server
 
-  Scenario: a request whose only server has died is served by another that loads the model
+  Scenario: after a model's only server is killed, another server loads the model
     Given a model server one that holds m1
     And a model server two that holds nothing
     And 1 pool daemons
@@ -162,7 +162,7 @@
     And a model request on draft for m1 is sent
     Then the last reply is complete with 3 events in order
 
-  Scenario: a stream whose model is at no server any more ends before its caller has to give it up
+  Scenario: a stream whose model is lost from all servers ends before the caller's timeout
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
