--- a/features/pool_configuration.feature
+++ b/features/pool_configuration.feature
@@ -1,19 +1,19 @@
-Feature: A configuration in the store is in force everywhere and never reverts
+Feature: Every daemon applies the newest configuration in the store and never an older one
 
   Background:
     Given a plain server shop
 
-  Scenario: the deploy template becomes settings that check-config accepts
+  Scenario: check-config accepts the rendered deploy template
     When the deploy template is rendered for a machine
     Then check-config accepts it
 
-  Scenario: a new version is in force on every daemon
+  Scenario: every daemon applies a new version
     Given 3 pool daemons
     When a route new to orders is added
     Then every daemon has the newest configuration
     And every daemon serves a plain request on new
 
-  Scenario: an older version that appears later changes nothing
+  Scenario: an older version that is written later is ignored
     Given 2 pool daemons
     When a route new to orders is added
     And every daemon gets the newest configuration
@@ -21,7 +21,7 @@
     And a new plain server is known to every daemon
     Then every daemon serves a plain request on new
 
-  Scenario: history that is lost and reads that are stale do not take a version back
+  Scenario: a discarded history in the store does not revert the configuration
     Given 2 pool daemons
     When a route new to orders is added
     And every daemon gets the newest configuration
@@ -29,7 +29,7 @@
     And a route newer to orders is added
     Then every daemon has the newest configuration
 
-  Scenario: a daemon that the store does not serve learns the configuration from a peer
+  Scenario: a daemon that cannot reach the store gets the configuration from a peer
     Given 2 pool daemons
     And a daemon that connects to the store through a link
     When its link to the store is cut
@@ -42,7 +42,7 @@
     When a plain request on look is sent
     Then the last reply has status 503
 
-  Scenario: warm requests go on while the store is away, and after
+  Scenario: warm requests are served while the store is unavailable and afterwards
     Given 2 pool daemons
     When the store has faults mode=silent
     And a plain request on look is sent
@@ -54,7 +54,7 @@
     And a route new to orders is added
     Then every daemon has the newest configuration
 
-  Scenario: a server that says it leaves gets no new work, and one that dies unlisted neither
+  Scenario: a draining server gets no new requests
     Given a plain server shop2
     And 1 pool daemons
     When server shop2 has faults state=draining
