--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -261,7 +261,7 @@
 
 
 @given("routes with a target latency of {seconds:d} s")
-def step_patient(context: Any, seconds: int) -> None:
+def step_target_latency(context: Any, seconds: int) -> None:
     for route_fields in pool(context).routes:
         route_fields["target-latency-ms"] = 1000 * seconds
 
