--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -169,7 +169,7 @@
 
 
 @then("the last reply is truncated after a complete event")
-def step_cut(context: Any) -> None:
+def step_truncated(context: Any) -> None:
     reply = replies_of(context)[-1]
     assert reply.status == 200 and not reply.whole, (reply.status, reply.whole)
     assert reply.body == b"" or reply.body.endswith(b"\n\n"), reply.body
