--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -235,7 +235,7 @@
 
 
 @when("a caller disconnects during a stream for {target}")
-def step_leave(context: Any, target: str) -> None:
+def step_disconnect(context: Any, target: str) -> None:
     site = pool(context)
     request = site.request(first_daemon(context), "drill", target, 200)
     context.last_request_id = request.headers["x-request-id"]
