--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -189,7 +189,7 @@
 
 
 @then("the first daemon exits with status {status:d}")
-def step_ended(context: Any, status: int) -> None:
+def step_exited(context: Any, status: int) -> None:
     process = first_daemon(context).process
     assert process is not None
     wait_until(lambda: not process.alive, "the daemon has ended")
