--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -267,7 +267,7 @@
 
 
 @when("twice the lease duration passes")
-def step_lease_over(context: Any) -> None:
+def step_wait_two_leases(context: Any) -> None:
     """Wait for twice the lease duration."""
     site = pool(context)
     started_at = time.monotonic()
