--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -91,7 +91,7 @@
 
 
 @when("its link to the store is cut")
-def step_cut(context: Any) -> None:
+def step_cut_link(context: Any) -> None:
     with socket.create_connection(("127.0.0.1", context.link_control)) as control:
         control.sendall(b"cut\n")
         control.recv(64)
