--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -80,7 +80,7 @@
 
 
 @given("a daemon that connects to the store through a link")
-def step_cuttable(context: Any) -> None:
+def step_daemon_with_link(context: Any) -> None:
     site = pool(context)
     arguments = ["--targets", site.store_address]
     link = Process("standins.link", arguments, site.folder / "link.log")
