--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -112,7 +112,7 @@
 
 
 @then("ten plain requests all run at {name}")
-def step_ten(context: Any, name: str) -> None:
+def step_all_run_at(context: Any, name: str) -> None:
     site = pool(context)
     requests = [site.request(first_daemon(context), "look") for _ in range(10)]
     site.callers.begin(requests)
