--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -35,7 +35,7 @@
 
 
 @when("an older version without that route is written")
-def step_older(context: Any) -> None:
+def step_write_older_version(context: Any) -> None:
     site = pool(context)
     newest, routes = site.version, site.routes
     site.routes = routes[:-1]
