--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -15,7 +15,7 @@
 
 
 @when("the deploy template is rendered for a machine")
-def step_fill(context: Any) -> None:
+def step_render_template(context: Any) -> None:
     context.settings_path = pool(context).folder / "filled.toml"
     context.settings_path.write_text(render(FIELDS))
 
