--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -44,7 +44,7 @@
 
 
 @when("the store discards its history")
-def step_forget(context: Any) -> None:
+def step_discard_history(context: Any) -> None:
     pool(context).discard_history()
 
 
