--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -107,7 +107,7 @@
 
 
 @when("the daemons know {count:d} usable servers")
-def step_usable(context: Any, count: int) -> None:
+def step_usable_servers(context: Any, count: int) -> None:
     wait_for_metric(pool(context), "loomwind_servers_usable", float(count))
 
 
