--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -41,7 +41,7 @@
 
 
 @when("the paused leader resumes")
-def step_wakes(context: Any) -> None:
+def step_resumes(context: Any) -> None:
     context.old_leader.process.signal(signal.SIGCONT)
 
 
