--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -35,7 +35,7 @@
 
 
 @when("a server has received an order")
-def step_each_got(context: Any) -> None:
+def step_order_received(context: Any) -> None:
     servers = pool(context).servers.values()
     wait_until(lambda: any(s.state()["orders"] for s in servers), "a server got an order")
 
