--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -19,7 +19,7 @@
 
 
 @then("every reply is complete")
-def step_all_whole(context: Any) -> None:
+def step_all_complete(context: Any) -> None:
     for reply in replies_of(context):
         assert reply.status == 200 and reply.whole, (reply.status, reply.whole, reply.body[:200])
 
