--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -63,7 +63,7 @@
 
 
 @when("the store recovers")
-def step_store_well(context: Any) -> None:
+def step_store_recovers(context: Any) -> None:
     pool(context).set_store_faults()
 
 
