--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -47,7 +47,7 @@
 LABEL = re.compile(r"([a-z-]+)\((\d)(?:,(\d))?\)")
 
 
-class Disagreement(AssertionError):
+class ConformanceError(AssertionError):
     """Code and specification are in different states after the same steps."""
 
 
@@ -98,17 +98,17 @@
     def _promise(self, c: int, v: int, lost: bool) -> None:
         answer = self.voters[v].on_prepare(Prepare(CELL, 1, ballot(c)))
         if not isinstance(answer, Promise):
-            raise Disagreement(f"voter {v} refused candidate {c}")
+            raise ConformanceError(f"voter {v} refused candidate {c}")
         if not lost:
             self.candidates[c].on_promise(answer)
 
     def _accept(self, c: int, v: int, lost: bool) -> None:
         pending = self.candidates[c].pending
         if pending is None:
-            raise Disagreement(f"candidate {c} writes nothing")
+            raise ConformanceError(f"candidate {c} writes nothing")
         answer = self.voters[v].on_accept(Accept(CELL, pending))
         if not isinstance(answer, Accepted):
-            raise Disagreement(f"voter {v} refused the value of candidate {c}")
+            raise ConformanceError(f"voter {v} refused the value of candidate {c}")
         if not lost:
             self.candidates[c].on_accepted(answer)
 
@@ -164,7 +164,7 @@
 
 def _same(what: str, code: object, model: object) -> None:
     if code != model:
-        raise Disagreement(f"{what}: the code has {code}, the model has {model}")
+        raise ConformanceError(f"{what}: the code has {code}, the model has {model}")
 
 
 def _abstract(value: RegisterValue | None) -> register.Value | None:
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -10,7 +10,7 @@
 
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
 from specification import lease
-from specification.conformance import Disagreement
+from specification.conformance import ConformanceError
 from specification.model import State, Step
 from specification.walks import random_walk
 
@@ -60,15 +60,17 @@
             own.record_row(version, self._holders[holder], self._now)
             self._now += DURATION_S
         if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
-            raise Disagreement(f"daemon {d} does not take the row at version {version}")
+            raise ConformanceError(f"daemon {d} does not take the row at version {version}")
         if own.expected_version != version:
-            raise Disagreement(f"daemon {d} expects {own.expected_version}, not {version}")
+            raise ConformanceError(f"daemon {d} expects {own.expected_version}, not {version}")
 
     def _renew(self, d: int, version: int, late: bool) -> None:
         own = self._leases[d]
         sent_at = self._now - DURATION_S if late else self._now
         if own.expected_version != version - 1:
-            raise Disagreement(f"daemon {d} renews at {own.expected_version}, not {version - 1}")
+            raise ConformanceError(
+                f"daemon {d} renews at {own.expected_version}, not {version - 1}"
+            )
         own.record_write(version, sent_at)
 
     def check(self, state: State) -> None:
@@ -80,9 +82,9 @@
             own = self._leases[d]
             leads = own.is_leader(self._now)
             if leads != expected.good:
-                raise Disagreement(f"daemon {d} leads: {leads}, in the model {expected.good}")
+                raise ConformanceError(f"daemon {d} leads: {leads}, in the model {expected.good}")
             if leads and own.fence != expected.fence:
-                raise Disagreement(f"daemon {d}: fence {own.fence}, not {expected.fence}")
+                raise ConformanceError(f"daemon {d}: fence {own.fence}, not {expected.fence}")
 
 
 def _steps_of(state: State) -> Iterator[Step]:
