--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -11,7 +11,7 @@
 import fire
 
 from specification import catalog, claims, lease, orders, register, voters
-from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, conform
+from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, check_conformance
 from specification.lease_conformance import conform_lease
 from specification.model import Finding, Model, Verdict, check
 
@@ -59,7 +59,7 @@
                 worst = max(worst, EXIT_VIOLATED)
             elif finding.verdict is Verdict.NOT_DETERMINED:
                 worst = max(worst, EXIT_NOT_DETERMINED)
-    steps = conform(DEFAULT_SEED, DEFAULT_WALKS)
+    steps = check_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     steps = conform_lease(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"lease conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
@@ -118,7 +118,9 @@
                 print(f"{known.name:28} {model.name:10} {known.rule}")
         return
     if seed:
-        print(f"conformance: {conform(seed, walks)} steps of {walks} walks agree, seed {seed}")
+        print(
+            f"conformance: {check_conformance(seed, walks)} steps of {walks} walks agree, seed {seed}"
+        )
         steps = conform_lease(seed, walks)
         print(f"lease conformance: {steps} steps of {walks} walks agree, seed {seed}")
         return
