--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -12,7 +12,7 @@
 
 from specification import catalog, claims, lease, orders, register, voters
 from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, check_conformance
-from specification.lease_conformance import conform_lease
+from specification.lease_conformance import check_lease_conformance
 from specification.model import Finding, Model, Verdict, check
 
 MODELS = {m.MODEL.name: m.MODEL for m in (register, voters, orders, claims, catalog, lease)}
@@ -61,7 +61,7 @@
                 worst = max(worst, EXIT_NOT_DETERMINED)
     steps = check_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
-    steps = conform_lease(DEFAULT_SEED, DEFAULT_WALKS)
+    steps = check_lease_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"lease conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     print(f"took {time.monotonic() - started:.1f} s")
     return worst
@@ -121,7 +121,7 @@
         print(
             f"conformance: {check_conformance(seed, walks)} steps of {walks} walks agree, seed {seed}"
         )
-        steps = conform_lease(seed, walks)
+        steps = check_lease_conformance(seed, walks)
         print(f"lease conformance: {steps} steps of {walks} walks agree, seed {seed}")
         return
     if all_mutations:
