--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -48,16 +48,16 @@
     return (*items[:index], item, *items[index + 1 :])
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for o in (0, 1):
-        yield from _operate(state, o, left_out)
+        yield from _operate(state, o, disabled)
     for d in DAEMONS:
-        yield from _apply(state, d, left_out)
-    yield from _replace(state, left_out)
+        yield from _apply(state, d, disabled)
+    yield from _replace(state, disabled)
 
 
-def _operate(state: State, o: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _operate(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
     rows, operators, daemons, replaced = state
     me = operators[o]
     change = CHANGES[o]
@@ -72,7 +72,7 @@
             yield f"write({change})", (written, accepted, daemons, replaced)
             lost = _put(operators, o, me._replace(phase=LOST))
             yield f"write-lost({change})", (written, lost, daemons, replaced)
-        elif "compare-and-set" in left_out:
+        elif "compare-and-set" in disabled:
             written = _put(rows, me.version - 1, change)
             accepted = _put(operators, o, me._replace(phase=ACCEPTED))
             yield f"overwrite({change})", (written, accepted, daemons, replaced)
@@ -80,13 +80,13 @@
             conflict = _put(operators, o, Operator(CONFLICT))
             yield f"conflict({change})", (rows, conflict, daemons, replaced)
     if me.phase == LOST:
-        yield from _settle_lost(state, o, left_out)
+        yield from _settle_lost(state, o, disabled)
 
 
-def _settle_lost(state: State, o: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _settle_lost(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
     rows, operators, daemons, replaced = state
     change = CHANGES[o]
-    if "read-back" in left_out:
+    if "read-back" in disabled:
         again = _put(operators, o, Operator(WRITING, len(rows) + 1))
         if len(rows) < MAX_VERSION:
             yield f"write-again({change})", (rows, again, daemons, replaced)
@@ -97,25 +97,25 @@
     yield f"read-back({change})", (rows, settled, daemons, replaced)
 
 
-def _apply(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _apply(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """A push or an anti-entropy answer arrives: any prefix of the log, at any time."""
     rows, operators, daemons, replaced = state
     me = daemons[d]
     for version in range(1, len(rows) + 1):
         newer = version == len(me.log) + 1
-        if newer or "no-lower-version" in left_out:
+        if newer or "no-lower-version" in disabled:
             log = rows[:version]
             applied = Daemon(log, me.serving, max(me.seen, version))
             after = _put(daemons, d, applied)
             yield f"apply({d},{version})", (rows, operators, after, replaced)
 
 
-def _replace(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _replace(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Daemon 0 is replaced while the table is down; the new one asks daemon 1 and the table."""
     rows, operators, daemons, replaced = state
     me, other = daemons
     if not replaced:
-        serving = "learn-before-serving" in left_out
+        serving = "learn-before-serving" in disabled
         fresh = Daemon((), serving, me.seen)
         yield "replace(0)", (rows, operators, (fresh, other), True)
     if replaced and not me.serving:
--- a/specification/claims.py
+++ b/specification/claims.py
@@ -65,14 +65,14 @@
 )
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
-    yield from _replace_voter(state, left_out)
+    yield from _replace_voter(state, disabled)
     for d in DAEMONS:
-        yield from _claim(state, d, left_out)
+        yield from _claim(state, d, disabled)
         yield from _release(state, d)
-        yield from _run(state, d, left_out)
-        yield from _end(state, d, left_out)
+        yield from _run(state, d, disabled)
+        yield from _end(state, d, disabled)
 
 
 def _put(daemons: tuple[Daemon, ...], d: int, daemon: Daemon) -> tuple[Daemon, ...]:
@@ -83,7 +83,7 @@
     return tuple((n, voter if n == name else v) for n, v in voters)
 
 
-def _replace_voter(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _replace_voter(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
     known = dict(voters)
     if epoch == 1:
@@ -93,26 +93,26 @@
             continue
         source = known[name]
         after = voters
-        if "claim-seal" not in left_out:
+        if "claim-seal" not in disabled:
             after = _set(after, name, source._replace(sealed=True))
-        merged = _merge(known["A'"].claim, source.claim, left_out)
+        merged = _merge(known["A'"].claim, source.claim, disabled)
         after = _set(after, "A'", known["A'"]._replace(claim=merged))
-        if "claim-transfer" not in left_out:
+        if "claim-transfer" not in disabled:
             yield f"fetch({name})", (after, fetched | {name}, epoch, daemons, runs)
-    enough = len(fetched) >= MAJORITY or "claim-transfer" in left_out
+    enough = len(fetched) >= MAJORITY or "claim-transfer" in disabled
     if enough:
         ready = _set(voters, "A'", known["A'"]._replace(ready=True))
         yield "replace(A)", (ready, fetched, 1, daemons, runs)
 
 
-def _merge(held: int | None, fetched: int | None, left_out: frozenset[str]) -> int | None:
+def _merge(held: int | None, fetched: int | None, disabled: frozenset[str]) -> int | None:
     """Return the claim that a new voter holds after it fetched one more."""
     if fetched is None or held is None:
         return held if fetched is None else fetched
-    return fetched if held == fetched or "claim-conflict" in left_out else CONFLICT
+    return fetched if held == fetched or "claim-conflict" in disabled else CONFLICT
 
 
-def _claim(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _claim(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
     me = daemons[d]
     if me.phase == START:
@@ -133,7 +133,7 @@
         if after != voters:
             yield f"grant-lost({d},{name})", (after, fetched, epoch, daemons, runs)
         granted = me.granted | {name}
-        needed = 1 if "claim-majority" in left_out else MAJORITY
+        needed = 1 if "claim-majority" in disabled else MAJORITY
         phase = CLAIMED if len(granted) >= needed else CLAIMING
         counted = me._replace(phase=phase, granted=granted)
         yield f"grant({d},{name})", (after, fetched, epoch, _put(daemons, d, counted), runs)
@@ -153,7 +153,7 @@
             yield f"release({d},{name})", (after, fetched, epoch, told, runs)
 
 
-def _run(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _run(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
     me = daemons[d]
     if me.phase == CLAIMED:
@@ -166,18 +166,18 @@
         if runs[d]:
             answered = me._replace(phase=ANSWERED)
             yield f"answer({d})", (voters, fetched, epoch, _put(daemons, d, answered), runs)
-        if "retry-only-not-run" in left_out and me.tries == 0:
+        if "retry-only-not-run" in disabled and me.tries == 0:
             again = me._replace(phase=CLAIMED, tries=1)
             yield f"retry({d})", (voters, fetched, epoch, _put(daemons, d, again), runs)
 
 
-def _end(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _end(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """The deadline passes, or the daemon dies."""
     voters, fetched, epoch, daemons, runs = state
     me = daemons[d]
     if me.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
         return
-    unknown = me.handed_over and "not-run-only-unsent" not in left_out
+    unknown = me.handed_over and "not-run-only-unsent" not in disabled
     ended = me._replace(phase=UNKNOWN if unknown else REFUSED)
     yield f"refuse({d})", (voters, fetched, epoch, _put(daemons, d, ended), runs)
     dead = me._replace(phase=DEAD)
--- a/specification/lease.py
+++ b/specification/lease.py
@@ -81,20 +81,20 @@
     return (*items[:index], item, *items[index + 1 :])
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for d in DAEMONS:
-        yield from _lead(state, d, left_out)
+        yield from _lead(state, d, disabled)
         yield from _give(state, d)
     for index in range(len(state[2])):
-        yield from _carry_out(state, index, left_out)
+        yield from _carry_out(state, index, disabled)
     yield from _restart(state)
 
 
-def _lead(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _lead(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     (version, holder), daemons, orders, given, server, ghost = state
     me = daemons[d]
-    yield from _renew(state, d, left_out)
+    yield from _renew(state, d, disabled)
     if me.good:
         ended = _put(daemons, d, me._replace(good=False))
         yield f"lease-ends({d})", ((version, holder), ended, orders, given, server, ghost)
@@ -102,14 +102,14 @@
     ended_holder = holder == NOBODY or not daemons[holder].good
     if holder == d:
         return
-    if me.expects < 0 and version < MAX_VERSION and (ended_holder or "wait-out-lease" in left_out):
+    if me.expects < 0 and version < MAX_VERSION and (ended_holder or "wait-out-lease" in disabled):
         deciding = _put(daemons, d, me._replace(expects=version))
         yield f"decide-to-take({d})", ((version, holder), deciding, orders, given, server, ghost)
     if me.expects < 0:
         return
-    if me.expects == version or "expected-row-version" in left_out:
+    if me.expects == version or "expected-row-version" in disabled:
         taken = version + 1
-        fence = 1 if "rising-fence" in left_out else taken
+        fence = 1 if "rising-fence" in disabled else taken
         leading = _put(daemons, d, Daemon(True, fence, taken, -1, taken))
         if taken <= MAX_VERSION:
             yield f"take({d})", ((taken, d), leading, orders, given, server, ghost)
@@ -118,13 +118,13 @@
         yield f"conflict({d})", ((version, holder), failed, orders, given, server, ghost)
 
 
-def _renew(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _renew(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """The holder writes its row again, in time or so late that its lease ends at once."""
     (version, holder), daemons, orders, given, server, ghost = state
     me = daemons[d]
     if me.wrote == 0 or version >= MAX_VERSION:
         return
-    if me.wrote == version or "renew-own-row" in left_out:
+    if me.wrote == version or "renew-own-row" in disabled:
         renewed = me._replace(good=True, wrote=version + 1)
         row = (version + 1, d)
         yield f"renew({d})", (row, _put(daemons, d, renewed), orders, given, server, ghost)
@@ -147,15 +147,15 @@
         yield f"order({d},{model})", (row, daemons, sent, given + 1, server, ghost)
 
 
-def _carry_out(state: State, index: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _carry_out(state: State, index: int, disabled: frozenset[str]) -> Iterator[Step]:
     row, daemons, orders, given, server, ghost = state
     order = orders[index]
     rest = orders[:index] + orders[index + 1 :]
     yield f"lost({order.model})", (row, daemons, rest, given, server, ghost)
     same_life = order.instance == server.instance
-    if not same_life and "same-instance" not in left_out:
+    if not same_life and "same-instance" not in disabled:
         return
-    if order.revision != server.revision and "expected-revision" not in left_out:
+    if order.revision != server.revision and "expected-revision" not in disabled:
         return
     if order.fence < server.fence:
         return
--- a/specification/model.py
+++ b/specification/model.py
@@ -74,9 +74,9 @@
 class _Search:
     """One search by minicheck: counts depths, and ends soon after a violation was found."""
 
-    def __init__(self, model: Model, left_out: frozenset[str]) -> None:
+    def __init__(self, model: Model, disabled: frozenset[str]) -> None:
         self._model = model
-        self._left_out = left_out
+        self._left_out = disabled
         self._depths = {model.canonical(model.initial): 0}
         self._violated = False
         self.deepest = 0
@@ -106,9 +106,9 @@
         return watched
 
 
-def check(model: Model, left_out: frozenset[str] = frozenset()) -> Finding:
+def check(model: Model, disabled: frozenset[str] = frozenset()) -> Finding:
     """Search a model, with some rules left out, for a state that breaks an invariant."""
-    search = _Search(model, left_out)
+    search = _Search(model, disabled)
     protocol = minicheck.Protocol(
         name=model.name,
         candidate=False,
--- a/specification/orders.py
+++ b/specification/orders.py
@@ -74,7 +74,7 @@
 INITIAL: State = (frozenset(), 1, Engine(), (Controller(), Controller()), frozenset())
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     intents, ballot, engine, controllers, orders = state
     if ballot == 1:
@@ -84,24 +84,24 @@
         yield "engine-restarts", (intents, ballot, restarted, controllers, orders)
     for c in (0, 1):
         if c + 1 <= ballot:
-            yield from _read(state, c, left_out)
-            yield from _write_intents(state, c, left_out)
-            yield from _give_order(state, c, left_out)
-    yield from _deliver(state, left_out)
+            yield from _read(state, c, disabled)
+            yield from _write_intents(state, c, disabled)
+            yield from _give_order(state, c, disabled)
+    yield from _deliver(state, disabled)
 
 
 def _with(controllers: tuple[Any, ...], c: int, controller: Controller) -> tuple[Any, ...]:
     return (*controllers[:c], controller, *controllers[c + 1 :])
 
 
-def _read(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _read(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Fence the engine and read its inventory; that settles an order without an answer."""
     intents, ballot, engine, controllers, orders = state
     me = controllers[c]
     fence = (c + 1, me.sequence + 1)
     if me.sequence >= MAX_SEQUENCE or (me.read is not None and me.open is None):
         return
-    if fence < engine.fence and "engine-fence" not in left_out:
+    if fence < engine.fence and "engine-fence" not in disabled:
         return
     fenced = engine._replace(fence=max(fence, engine.fence))
     read = Read(engine.instance, engine.holds)
@@ -110,7 +110,7 @@
     yield f"read({c})", (intents, ballot, fenced, told, orders)
 
 
-def _write_intents(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _write_intents(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Only the newest ballot can write the register."""
     intents, ballot, engine, controllers, orders = state
     me = controllers[c]
@@ -118,7 +118,7 @@
         return
     counted = {intent.model for intent in intents} | me.read.holds
     unloading = me.open is not None and not me.open.load
-    if unloading and "reserve-until-unloaded" in left_out:
+    if unloading and "reserve-until-unloaded" in disabled:
         counted = counted - {me.open.model}
     for model in MODELS:
         if model not in counted and len(counted) < CAPACITY:
@@ -127,7 +127,7 @@
             yield f"intend({c},{model})", (wanted, ballot, engine, told, orders)
     for intent in sorted(intents):
         unanswered = me.open is not None and me.open.model == intent.model
-        unanswered = unanswered and "lost-is-unknown" not in left_out
+        unanswered = unanswered and "lost-is-unknown" not in disabled
         absent = intent.model not in me.read.holds and not unanswered
         if absent or intent.instance != me.read.instance:
             kept = intents - {intent}
@@ -135,22 +135,22 @@
             yield f"forget({c},{intent.model})", (kept, ballot, engine, told, orders)
 
 
-def _give_order(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _give_order(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     intents, ballot, engine, controllers, orders = state
     me = controllers[c]
     if me.read is None or me.sequence >= MAX_SEQUENCE:
         return
-    if me.open is not None and "lost-is-unknown" not in left_out:
+    if me.open is not None and "lost-is-unknown" not in disabled:
         return
     for model in MODELS:
         load = model not in me.read.holds
         instance = me.read.instance
-        if load and "intent-first" not in left_out:
+        if load and "intent-first" not in disabled:
             decided = [intent for intent in me.settled if intent.model == model]
             if not decided:
                 continue
             instance = decided[0].instance
-            if "intent-instance" in left_out:
+            if "intent-instance" in disabled:
                 instance = me.read.instance
         order = Order(c + 1, me.sequence + 1, load, model, instance)
         told = _with(controllers, c, me._replace(sequence=me.sequence + 1, open=order))
@@ -158,14 +158,14 @@
         yield f"{verb}({c},{model})", (intents, ballot, engine, told, orders | {order})
 
 
-def _deliver(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _deliver(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """An order arrives; the answer comes back or is lost."""
     intents, ballot, engine, controllers, orders = state
     for order in sorted(orders):
         fence = (order.ballot, order.sequence)
-        if fence <= engine.fence and "engine-fence" not in left_out:
+        if fence <= engine.fence and "engine-fence" not in disabled:
             continue
-        if order.instance != engine.instance and "engine-instance" not in left_out:
+        if order.instance != engine.instance and "engine-instance" not in disabled:
             continue
         holds = engine.holds | {order.model} if order.load else engine.holds - {order.model}
         went_back = engine.went_back or fence < engine.fence
--- a/specification/register.py
+++ b/specification/register.py
@@ -97,21 +97,21 @@
     return (*items[:index], item, *items[index + 1 :])
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for candidate in CANDIDATES:
-        yield from _election(state, candidate, left_out)
+        yield from _election(state, candidate, disabled)
         yield from _writing(state, candidate)
-        yield from _leading(state, candidate, left_out)
-    yield from _delivery(state, left_out)
+        yield from _leading(state, candidate, disabled)
+    yield from _delivery(state, disabled)
 
 
-def _election(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _election(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     me = candidates[c]
     if me.phase == IDLE:
         campaigning = me._replace(phase=PREPARING)
-        if "read-majority" in left_out:
+        if "read-majority" in disabled:
             yield f"campaign({c})", _recover(state, c, Value(0, 0, frozenset()))
         else:
             yield f"campaign({c})", (voters, put(candidates, c, campaigning), engines, orders)
@@ -126,16 +126,16 @@
         if me.phase == PREPARING:
             promised = raised._replace(promises=put(voter.promises, c, (voter.accepted,)))
             counted = (put(voters, v, promised), candidates, engines, orders)
-            yield f"promise({c},{v})", _recover_if_majority(counted, c, left_out)
+            yield f"promise({c},{v})", _recover_if_majority(counted, c, disabled)
 
 
-def _recover_if_majority(state: State, c: int, left_out: frozenset[str]) -> State:
+def _recover_if_majority(state: State, c: int, disabled: frozenset[str]) -> State:
     voters = state[0]
     promises = [voter.promises[c][0] for voter in voters if voter.promises[c]]
     if len(promises) < MAJORITY:
         return state
     values = [value for value in promises if value is not None]
-    if "version-in-ballot" in left_out:
+    if "version-in-ballot" in disabled:
         # By ballot alone, any of the values of the highest ballot may be taken: the oldest here.
         newest = min(values, key=lambda v: (-v.ballot, v.version), default=None)
     else:
@@ -180,17 +180,17 @@
     return (voters, put(candidates, c, settled), engines, orders)
 
 
-def _leading(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _leading(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     me = state[1][c]
     if me.phase != LEADING:
         return
     for e in ENGINES:
-        yield from _read_engine(state, c, e, left_out)
-        yield from _change_intents(state, c, e, left_out)
-        yield from _give_order(state, c, e, left_out)
+        yield from _read_engine(state, c, e, disabled)
+        yield from _change_intents(state, c, e, disabled)
+        yield from _give_order(state, c, e, disabled)
 
 
-def _read_engine(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _read_engine(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Raise the engine's fence and read whether it holds the model."""
     voters, candidates, engines, orders = state
     me = candidates[c]
@@ -198,7 +198,7 @@
         return
     fence = (ballot_of(c), me.sequence + 1)
     engine = engines[e]
-    if engine.fence >= fence and "fence" not in left_out:
+    if engine.fence >= fence and "fence" not in disabled:
         return
     raised = engine._replace(fence=max(engine.fence, fence))
     known = put(me.engines, e, HELD if engine.holds else ABSENT)
@@ -206,7 +206,7 @@
     yield f"fence({c},{e})", (voters, put(candidates, c, read), put(engines, e, raised), orders)
 
 
-def _change_intents(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _change_intents(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     me = candidates[c]
     value = me.committed
@@ -219,7 +219,7 @@
         proposing = me._replace(pending=wanted)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
     surely_absent = me.engines[e] == ABSENT
-    if "unknown-is-not-not-run" in left_out:
+    if "unknown-is-not-not-run" in disabled:
         surely_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
     if e in value.intents and surely_absent:
         wanted = Value(ballot_of(c), value.version + 1, value.intents - {e})
@@ -227,11 +227,11 @@
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
 
 
-def _give_order(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _give_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     me = candidates[c]
     settled = me.committed.intents if me.pending is None else frozenset()
-    if "intent-before-order" in left_out and me.pending is not None:
+    if "intent-before-order" in disabled and me.pending is not None:
         settled = me.pending.intents
     if e not in settled or me.engines[e] != ABSENT or me.sequence >= MAX_SEQUENCE:
         return
@@ -240,13 +240,13 @@
     yield f"order({c},{e})", (voters, put(candidates, c, ordered), engines, orders | {order})
 
 
-def _delivery(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _delivery(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """An order arrives; its answer may be lost."""
     voters, candidates, engines, orders = state
     for order in sorted(orders):
         engine = engines[order.engine]
         fence = (order.ballot, order.sequence)
-        if fence <= engine.fence and "fence" not in left_out:
+        if fence <= engine.fence and "fence" not in disabled:
             continue
         went_back = engine.went_back or fence < engine.fence
         loaded = Engine(max(engine.fence, fence), True, went_back)
--- a/specification/voters.py
+++ b/specification/voters.py
@@ -68,28 +68,28 @@
     return 2 * len(acknowledged & voters) > len(voters)
 
 
-def _is_quorum(acknowledged: frozenset[str], value: Value, left_out: frozenset[str]) -> bool:
-    if "incarnation-in-quorums" in left_out:
+def _is_quorum(acknowledged: frozenset[str], value: Value, disabled: frozenset[str]) -> bool:
+    if "incarnation-in-quorums" in disabled:
         # Counted by name alone, what the earlier A answered and what A' answers are the same vote.
         acknowledged = frozenset(a for n in acknowledged for a in (n, n.strip("'"), f"{n}'"))
-    joint = value.joint if "joint-quorum" not in left_out else NOBODY
+    joint = value.joint if "joint-quorum" not in disabled else NOBODY
     new = _is_majority(acknowledged, value.voters)
     return new and (not joint or _is_majority(acknowledged, joint))
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
-    yield from _restart(state, left_out)
+    yield from _restart(state, disabled)
     yield from _leader_proposes(state)
-    yield from _leader_writes(state, left_out)
-    yield from _challenger_reads(state, left_out)
+    yield from _leader_writes(state, disabled)
+    yield from _challenger_reads(state, disabled)
 
 
-def _restart(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _restart(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     memory, restarted, leader, challenger, settled = state
     if restarted:
         return
-    name = "A" if "forgetful-restart" in left_out else "A'"
+    name = "A" if "forgetful-restart" in disabled else "A'"
     held = dict(memory)
     del held["A"]
     held[name] = Voter(promised=0, accepted=None)
@@ -114,7 +114,7 @@
         yield "propose-settled", (memory, restarted, proposing, challenger, settled)
 
 
-def _leader_writes(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _leader_writes(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     memory, restarted, leader, challenger, settled = state
     value = leader.pending
     if value is None:
@@ -129,7 +129,7 @@
         if after != memory:
             yield f"accept-lost({name})", (after, restarted, leader, challenger, settled)
         acks = leader.acks | {name}
-        if _is_quorum(acks, value, left_out):
+        if _is_quorum(acks, value, disabled):
             leading = Leader(committed=value)
             known = settled or value.intent
             yield f"settle({name})", (after, restarted, leading, challenger, known)
@@ -143,7 +143,7 @@
     return max(values, key=lambda value: (value.ballot, value.version), default=None)
 
 
-def _challenger_reads(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _challenger_reads(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     memory, restarted, leader, challenger, settled = state
     if challenger.recovered is not None:
         return
@@ -151,7 +151,7 @@
     audience = newest.voters | newest.joint if newest else OLD
     asked = {name for name, _ in challenger.promises}
     for name, voter in memory:
-        reached = name in audience or ("incarnation-in-quorums" in left_out and name == "A'")
+        reached = name in audience or ("incarnation-in-quorums" in disabled and name == "A'")
         if not reached or name in asked:
             continue
         held = dict(memory)
@@ -160,17 +160,17 @@
         if after != memory:
             yield f"promise-lost({name})", (after, restarted, leader, challenger, settled)
         promises = challenger.promises | {(name, voter.accepted)}
-        counted = _recover_if_quorum(promises, left_out)
+        counted = _recover_if_quorum(promises, disabled)
         yield f"promise({name})", (after, restarted, leader, counted, settled)
 
 
 def _recover_if_quorum(
-    promises: frozenset[tuple[str, Value | None]], left_out: frozenset[str]
+    promises: frozenset[tuple[str, Value | None]], disabled: frozenset[str]
 ) -> Challenger:
     newest = _newest(promises)
     names = frozenset(name for name, _ in promises)
     wanted = newest or Value(0, 0, False, OLD, NOBODY)
-    if _is_quorum(names, wanted, left_out):
+    if _is_quorum(names, wanted, disabled):
         return Challenger(recovered=wanted)
     return Challenger(promises)
 
