--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -13,7 +13,7 @@
 from specification import catalog, claims, lease, orders, register, voters
 from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, check_conformance
 from specification.lease_conformance import check_lease_conformance
-from specification.model import Finding, Model, Verdict, check
+from specification.model import CheckResult, Model, Verdict, check
 
 MODELS = {m.MODEL.name: m.MODEL for m in (register, voters, orders, claims, catalog, lease)}
 EXIT_VIOLATED = 1
@@ -27,19 +27,19 @@
     return owners[0] if owners else None
 
 
-def run(model: str, mutation: str = "") -> Finding:
+def run(model: str, mutation: str = "") -> CheckResult:
     """Check one model; in a process of its own when several are checked."""
     return check(MODELS[model], frozenset({mutation} if mutation else ()))
 
 
-def describe(finding: Finding) -> str:
+def describe(finding: CheckResult) -> str:
     """Return one line on a finding."""
     line = f"{finding.model}: {finding.states} states, depth {finding.depth}"
     violated = f" ({finding.invariant})" if finding.invariant else ""
     return f"{line}: {finding.verdict.value}{violated}"
 
 
-def print_counterexample(finding: Finding) -> None:
+def print_counterexample(finding: CheckResult) -> None:
     """Print each step of a counterexample, and the state that it ends in."""
     for number, step in enumerate(finding.counterexample):
         print(f"  {number:3} {step.label or 'initial state'}")
--- a/specification/model.py
+++ b/specification/model.py
@@ -57,7 +57,7 @@
     state: dict[str, Any]
 
 
-class Finding(Struct, frozen=True):
+class CheckResult(Struct, frozen=True):
     """The result of one search.
 
     :param depth: the longest shortest path to any state.
@@ -106,7 +106,7 @@
         return watched
 
 
-def check(model: Model, disabled: frozenset[str] = frozenset()) -> Finding:
+def check(model: Model, disabled: frozenset[str] = frozenset()) -> CheckResult:
     """Search a model, with some rules left out, for a state that breaks an invariant."""
     search = _Search(model, disabled)
     protocol = minicheck.Protocol(
@@ -122,6 +122,6 @@
     for name, found in result["properties"].items():
         if found["holds"] is False:
             trace = tuple(TraceStep(s["label"] or "", s["state"]) for s in found["counterexample"])
-            return Finding(model.name, Verdict.VIOLATED, states, search.deepest, name, trace)
+            return CheckResult(model.name, Verdict.VIOLATED, states, search.deepest, name, trace)
     verdict = Verdict.HOLDS if result["exhaustive"] else Verdict.NOT_DETERMINED
-    return Finding(model.name, verdict, states, search.deepest)
+    return CheckResult(model.name, verdict, states, search.deepest)
