--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -32,18 +32,18 @@
     return check(MODELS[model], frozenset({mutation} if mutation else ()))
 
 
-def describe(finding: CheckResult) -> str:
+def describe(check_result: CheckResult) -> str:
     """Return one line on a finding."""
-    line = f"{finding.model}: {finding.states} states, depth {finding.depth}"
-    violated = f" ({finding.invariant})" if finding.invariant else ""
-    return f"{line}: {finding.verdict.value}{violated}"
+    line = f"{check_result.model}: {check_result.states} states, depth {check_result.depth}"
+    violated = f" ({check_result.invariant})" if check_result.invariant else ""
+    return f"{line}: {check_result.verdict.value}{violated}"
 
 
-def print_counterexample(finding: CheckResult) -> None:
+def print_counterexample(check_result: CheckResult) -> None:
     """Print each step of a counterexample, and the state that it ends in."""
-    for number, step in enumerate(finding.counterexample):
+    for number, step in enumerate(check_result.counterexample):
         print(f"  {number:3} {step.label or 'initial state'}")
-    for name, value in finding.counterexample[-1].state.items():
+    for name, value in check_result.counterexample[-1].state.items():
         print(f"      {name} = {value}")
 
 
@@ -52,12 +52,12 @@
     started = time.monotonic()
     worst = 0
     with ProcessPoolExecutor() as pool:
-        for finding in pool.map(run, MODELS):
-            print(describe(finding), flush=True)
-            if finding.verdict is Verdict.VIOLATED:
-                print_counterexample(finding)
+        for check_result in pool.map(run, MODELS):
+            print(describe(check_result), flush=True)
+            if check_result.verdict is Verdict.VIOLATED:
+                print_counterexample(check_result)
                 worst = max(worst, EXIT_VIOLATED)
-            elif finding.verdict is Verdict.NOT_DETERMINED:
+            elif check_result.verdict is Verdict.NOT_DETERMINED:
                 worst = max(worst, EXIT_NOT_DETERMINED)
     steps = check_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
@@ -73,11 +73,11 @@
     if model is None:
         print(f"no mutation is named {name}; see --list-mutations", file=sys.stderr)
         return EXIT_USAGE
-    finding = run(model.name, name)
-    print(describe(finding))
-    if finding.verdict is not Verdict.VIOLATED:
-        return 0 if finding.verdict is Verdict.HOLDS else EXIT_NOT_DETERMINED
-    print_counterexample(finding)
+    check_result = run(model.name, name)
+    print(describe(check_result))
+    if check_result.verdict is not Verdict.VIOLATED:
+        return 0 if check_result.verdict is Verdict.HOLDS else EXIT_NOT_DETERMINED
+    print_counterexample(check_result)
     return EXIT_VIOLATED
 
 
@@ -87,11 +87,13 @@
     models = [owner.name for owner in map(owner_of, names) if owner is not None]
     missed = 0
     with ProcessPoolExecutor() as pool:
-        for name, finding in zip(names, pool.map(run, models, names), strict=True):
-            caught = finding.verdict is Verdict.VIOLATED
+        for name, check_result in zip(names, pool.map(run, models, names), strict=True):
+            caught = check_result.verdict is Verdict.VIOLATED
             missed += not caught
-            steps = len(finding.counterexample) - 1
-            result = f"caught in {steps} steps" if caught else f"missed: {finding.verdict.value}"
+            steps = len(check_result.counterexample) - 1
+            result = (
+                f"caught in {steps} steps" if caught else f"missed: {check_result.verdict.value}"
+            )
             print(f"mutation {name}: {result}", flush=True)
     return EXIT_VIOLATED if missed else 0
 
