--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -21,7 +21,7 @@
 EXIT_NOT_DETERMINED = 3
 
 
-def owner_of(mutation: str) -> Model | None:
+def model_with_mutation(mutation: str) -> Model | None:
     """Return the model that has a mutation."""
     owners = [m for m in MODELS.values() if mutation in {known.name for known in m.mutations}]
     return owners[0] if owners else None
@@ -69,7 +69,7 @@
 
 def check_mutation(name: str) -> int:
     """Check that leaving one rule out gives a counterexample."""
-    model = owner_of(name)
+    model = model_with_mutation(name)
     if model is None:
         print(f"no mutation is named {name}; see --list-mutations", file=sys.stderr)
         return EXIT_USAGE
@@ -84,7 +84,7 @@
 def check_mutations() -> int:
     """Check that every mutation is caught; the exit status is 0 when all are."""
     names = [mutation.name for model in MODELS.values() for mutation in model.mutations]
-    models = [owner.name for owner in map(owner_of, names) if owner is not None]
+    models = [owner.name for owner in map(model_with_mutation, names) if owner is not None]
     missed = 0
     with ProcessPoolExecutor() as pool:
         for name, check_result in zip(names, pool.map(run, models, names), strict=True):
