--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -27,7 +27,7 @@
     return owners[0] if owners else None
 
 
-def run(model: str, mutation: str = "") -> CheckResult:
+def check_model(model: str, mutation: str = "") -> CheckResult:
     """Check one model; in a process of its own when several are checked."""
     return check(MODELS[model], frozenset({mutation} if mutation else ()))
 
@@ -52,7 +52,7 @@
     started = time.monotonic()
     worst = 0
     with ProcessPoolExecutor() as pool:
-        for check_result in pool.map(run, MODELS):
+        for check_result in pool.map(check_model, MODELS):
             print(describe(check_result), flush=True)
             if check_result.verdict is Verdict.VIOLATED:
                 print_counterexample(check_result)
@@ -73,7 +73,7 @@
     if model is None:
         print(f"no mutation is named {name}; see --list-mutations", file=sys.stderr)
         return EXIT_USAGE
-    check_result = run(model.name, name)
+    check_result = check_model(model.name, name)
     print(describe(check_result))
     if check_result.verdict is not Verdict.VIOLATED:
         return 0 if check_result.verdict is Verdict.HOLDS else EXIT_NOT_DETERMINED
@@ -87,7 +87,7 @@
     models = [owner.name for owner in map(model_with_mutation, names) if owner is not None]
     missed = 0
     with ProcessPoolExecutor() as pool:
-        for name, check_result in zip(names, pool.map(run, models, names), strict=True):
+        for name, check_result in zip(names, pool.map(check_model, models, names), strict=True):
             caught = check_result.verdict is Verdict.VIOLATED
             missed += not caught
             steps = len(check_result.counterexample) - 1
