--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -50,21 +50,21 @@
 def check_all() -> int:
     """Check all models side by side, then that code and specification agree."""
     started = time.monotonic()
-    worst = 0
+    exit_status = 0
     with ProcessPoolExecutor() as pool:
         for check_result in pool.map(check_model, MODELS):
             print(describe(check_result), flush=True)
             if check_result.verdict is Verdict.VIOLATED:
                 print_counterexample(check_result)
-                worst = max(worst, EXIT_VIOLATED)
+                exit_status = max(exit_status, EXIT_VIOLATED)
             elif check_result.verdict is Verdict.NOT_DETERMINED:
-                worst = max(worst, EXIT_NOT_DETERMINED)
+                exit_status = max(exit_status, EXIT_NOT_DETERMINED)
     steps = check_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     steps = check_lease_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"lease conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     print(f"took {time.monotonic() - started:.1f} s")
-    return worst
+    return exit_status
 
 
 def check_mutation(name: str) -> int:
