--- a/specification/model.py
+++ b/specification/model.py
@@ -95,7 +95,7 @@
             steps.append((label, known))
         return steps
 
-    def watch(self, invariant: Invariant) -> Invariant:
+    def stop_on_violation(self, invariant: Invariant) -> Invariant:
         """Return an invariant that notes its violation."""
 
         def watched(state: dict[str, Any]) -> bool:
@@ -115,7 +115,9 @@
         fields=model.fields,
         initial=model.canonical(model.initial),
         transitions=search.transitions,
-        invariants={name: search.watch(rule) for name, rule in model.invariants.items()},
+        invariants={
+            name: search.stop_on_violation(rule) for name, rule in model.invariants.items()
+        },
     )
     result = minicheck.check_safety(protocol, max_states=MAX_STATES)
     states = result["reachable_states"]
