--- a/specification/model.py
+++ b/specification/model.py
@@ -98,12 +98,12 @@
     def stop_on_violation(self, invariant: Invariant) -> Invariant:
         """Return an invariant that notes its violation."""
 
-        def watched(state: dict[str, Any]) -> bool:
+        def checked(state: dict[str, Any]) -> bool:
             holds = invariant(state)
             self._violated = self._violated or not holds
             return holds
 
-        return watched
+        return checked
 
 
 def check(model: Model, disabled: frozenset[str] = frozenset()) -> CheckResult:
