--- a/specification/model.py
+++ b/specification/model.py
@@ -79,7 +79,7 @@
         self._left_out = disabled
         self._depths = {model.canonical(model.initial): 0}
         self._violated = False
-        self.deepest = 0
+        self.max_depth = 0
 
     def transitions(self, state: State) -> list[Step]:
         """Return the canonical successors of a state; none once a violation was found."""
@@ -91,7 +91,7 @@
             known = self._model.canonical(successor)
             if known not in self._depths:
                 self._depths[known] = depth
-                self.deepest = max(self.deepest, depth)
+                self.max_depth = max(self.max_depth, depth)
             steps.append((label, known))
         return steps
 
@@ -124,6 +124,6 @@
     for name, found in result["properties"].items():
         if found["holds"] is False:
             trace = tuple(TraceStep(s["label"] or "", s["state"]) for s in found["counterexample"])
-            return CheckResult(model.name, Verdict.VIOLATED, states, search.deepest, name, trace)
+            return CheckResult(model.name, Verdict.VIOLATED, states, search.max_depth, name, trace)
     verdict = Verdict.HOLDS if result["exhaustive"] else Verdict.NOT_DETERMINED
-    return CheckResult(model.name, verdict, states, search.deepest)
+    return CheckResult(model.name, verdict, states, search.max_depth)
