--- a/specification/lease.py
+++ b/specification/lease.py
@@ -93,56 +93,60 @@
 
 def _lead(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     (version, holder), daemons, orders, given, server, ghost = state
-    me = daemons[d]
+    daemon = daemons[d]
     yield from _renew(state, d, disabled)
-    if me.good:
-        ended = _put(daemons, d, me._replace(good=False))
+    if daemon.good:
+        ended = _put(daemons, d, daemon._replace(good=False))
         yield f"lease-ends({d})", ((version, holder), ended, orders, given, server, ghost)
         return
     ended_holder = holder == NOBODY or not daemons[holder].good
     if holder == d:
         return
-    if me.expects < 0 and version < MAX_VERSION and (ended_holder or "wait-out-lease" in disabled):
-        deciding = _put(daemons, d, me._replace(expects=version))
+    if (
+        daemon.expects < 0
+        and version < MAX_VERSION
+        and (ended_holder or "wait-out-lease" in disabled)
+    ):
+        deciding = _put(daemons, d, daemon._replace(expects=version))
         yield f"decide-to-take({d})", ((version, holder), deciding, orders, given, server, ghost)
-    if me.expects < 0:
+    if daemon.expects < 0:
         return
-    if me.expects == version or "expected-row-version" in disabled:
+    if daemon.expects == version or "expected-row-version" in disabled:
         taken = version + 1
         fence = 1 if "rising-fence" in disabled else taken
         leading = _put(daemons, d, Daemon(True, fence, taken, -1, taken))
         if taken <= MAX_VERSION:
             yield f"take({d})", ((taken, d), leading, orders, given, server, ghost)
     else:
-        failed = _put(daemons, d, me._replace(expects=-1, wrote=0))
+        failed = _put(daemons, d, daemon._replace(expects=-1, wrote=0))
         yield f"conflict({d})", ((version, holder), failed, orders, given, server, ghost)
 
 
 def _renew(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """The holder writes its row again, in time or so late that its lease ends at once."""
     (version, holder), daemons, orders, given, server, ghost = state
-    me = daemons[d]
-    if me.wrote == 0 or version >= MAX_VERSION:
+    daemon = daemons[d]
+    if daemon.wrote == 0 or version >= MAX_VERSION:
         return
-    if me.wrote == version or "renew-own-row" in disabled:
-        renewed = me._replace(good=True, wrote=version + 1)
+    if daemon.wrote == version or "renew-own-row" in disabled:
+        renewed = daemon._replace(good=True, wrote=version + 1)
         row = (version + 1, d)
         yield f"renew({d})", (row, _put(daemons, d, renewed), orders, given, server, ghost)
         late = renewed._replace(good=False)
         yield f"renew-late({d})", (row, _put(daemons, d, late), orders, given, server, ghost)
     else:
-        lost = _put(daemons, d, me._replace(good=False, wrote=0))
+        lost = _put(daemons, d, daemon._replace(good=False, wrote=0))
         yield f"renewal-conflict({d})", ((version, holder), lost, orders, given, server, ghost)
 
 
 def _give(state: State, d: int) -> Iterator[Step]:
     """The leader reads the server and orders a load that fits; the order may arrive at any time."""
     row, daemons, orders, given, server, ghost = state
-    me = daemons[d]
-    if not me.good or given >= MAX_ORDERS or server.held:
+    daemon = daemons[d]
+    if not daemon.good or given >= MAX_ORDERS or server.held:
         return
     for model in MODELS:
-        order = Order(model, me.fence, me.term, server.instance, server.revision)
+        order = Order(model, daemon.fence, daemon.term, server.instance, server.revision)
         sent = tuple(sorted((*orders, order)))
         yield f"order({d},{model})", (row, daemons, sent, given + 1, server, ghost)
 
