--- a/specification/lease.py
+++ b/specification/lease.py
@@ -84,14 +84,14 @@
 def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for d in DAEMONS:
-        yield from _lead(state, d, disabled)
+        yield from _lease_steps(state, d, disabled)
         yield from _give(state, d)
     for index in range(len(state[2])):
         yield from _carry_out(state, index, disabled)
     yield from _restart(state)
 
 
-def _lead(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _lease_steps(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     (version, holder), daemons, orders, given, server, ghost = state
     daemon = daemons[d]
     yield from _renew(state, d, disabled)
