--- a/specification/lease.py
+++ b/specification/lease.py
@@ -85,7 +85,7 @@
     """Return the steps that are possible in a state."""
     for d in DAEMONS:
         yield from _lease_steps(state, d, disabled)
-        yield from _give(state, d)
+        yield from _send_order(state, d)
     for index in range(len(state[2])):
         yield from _carry_out(state, index, disabled)
     yield from _restart(state)
@@ -139,7 +139,7 @@
         yield f"renewal-conflict({d})", ((version, holder), lost, orders, given, server, ghost)
 
 
-def _give(state: State, d: int) -> Iterator[Step]:
+def _send_order(state: State, d: int) -> Iterator[Step]:
     """The leader reads the server and orders a load that fits; the order may arrive at any time."""
     row, daemons, orders, given, server, ghost = state
     daemon = daemons[d]
