--- a/specification/lease.py
+++ b/specification/lease.py
@@ -87,7 +87,7 @@
         yield from _lease_steps(state, d, disabled)
         yield from _send_order(state, d)
     for index in range(len(state[2])):
-        yield from _carry_out(state, index, disabled)
+        yield from _execute_order(state, index, disabled)
     yield from _restart(state)
 
 
@@ -151,7 +151,7 @@
         yield f"order({d},{model})", (row, daemons, sent, given + 1, server, ghost)
 
 
-def _carry_out(state: State, index: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _execute_order(state: State, index: int, disabled: frozenset[str]) -> Iterator[Step]:
     row, daemons, orders, given, server, ghost = state
     order = orders[index]
     rest = orders[:index] + orders[index + 1 :]
