--- a/specification/lease.py
+++ b/specification/lease.py
@@ -99,13 +99,13 @@
         ended = _put(daemons, d, daemon._replace(good=False))
         yield f"lease-ends({d})", ((version, holder), ended, orders, given, server, ghost)
         return
-    ended_holder = holder == NOBODY or not daemons[holder].good
+    holder_expired = holder == NOBODY or not daemons[holder].good
     if holder == d:
         return
     if (
         daemon.expects < 0
         and version < MAX_VERSION
-        and (ended_holder or "wait-out-lease" in disabled)
+        and (holder_expired or "wait-out-lease" in disabled)
     ):
         deciding = _put(daemons, d, daemon._replace(expects=version))
         yield f"decide-to-take({d})", ((version, holder), deciding, orders, given, server, ghost)
