--- a/specification/lease.py
+++ b/specification/lease.py
@@ -156,8 +156,8 @@
     order = orders[index]
     rest = orders[:index] + orders[index + 1 :]
     yield f"lost({order.model})", (row, daemons, rest, given, server, ghost)
-    same_life = order.instance == server.instance
-    if not same_life and "same-instance" not in disabled:
+    same_instance = order.instance == server.instance
+    if not same_instance and "same-instance" not in disabled:
         return
     if order.revision != server.revision and "expected-revision" not in disabled:
         return
@@ -168,7 +168,7 @@
     done = Server(server.instance, server.revision + 1, order.fence, held, term)
     seen = Ghost(
         ghost.older_after_newer or order.term < server.term,
-        ghost.other_life or not same_life,
+        ghost.other_life or not same_instance,
     )
     yield f"carry-out({order.model})", (row, daemons, rest, given, done, seen)
 
