--- a/specification/lease.py
+++ b/specification/lease.py
@@ -179,7 +179,7 @@
         yield "restart", (row, daemons, orders, given, Server(instance=1), ghost)
 
 
-def _one_good_lease(state: dict[str, Any]) -> bool:
+def _one_valid_lease(state: dict[str, Any]) -> bool:
     daemons: tuple[Daemon, ...] = state["daemons"]
     return sum(daemon.good for daemon in daemons) <= 1
 
@@ -210,7 +210,7 @@
     initial=INITIAL,
     transitions=transitions,
     invariants={
-        "one lease is good at a time": _one_good_lease,
+        "one lease is good at a time": _one_valid_lease,
         "no two leaders share a fence": _own_fence,
         "memory is never overcommitted": _memory_fits,
         "no order of an earlier leader follows one of a later": _no_older_leader,
