--- a/specification/lease.py
+++ b/specification/lease.py
@@ -184,7 +184,7 @@
     return sum(daemon.good for daemon in daemons) <= 1
 
 
-def _own_fence(state: dict[str, Any]) -> bool:
+def _fences_are_unique(state: dict[str, Any]) -> bool:
     led = [daemon for daemon in state["daemons"] if daemon.term]
     return len({daemon.fence for daemon in led}) == len(led)
 
@@ -211,7 +211,7 @@
     transitions=transitions,
     invariants={
         "one lease is good at a time": _one_valid_lease,
-        "no two leaders share a fence": _own_fence,
+        "no two leaders share a fence": _fences_are_unique,
         "memory is never overcommitted": _memory_fits,
         "no order of an earlier leader follows one of a later": _no_older_leader,
         "an order reaches only the life that it was decided for": _own_life,
