--- a/specification/lease.py
+++ b/specification/lease.py
@@ -194,7 +194,7 @@
     return len(server.held) <= 1
 
 
-def _no_older_leader(state: dict[str, Any]) -> bool:
+def _no_older_leader_after_newer(state: dict[str, Any]) -> bool:
     ghost: Ghost = state["ghost"]
     return not ghost.older_after_newer
 
@@ -213,7 +213,7 @@
         "one lease is good at a time": _one_valid_lease,
         "no two leaders share a fence": _fences_are_unique,
         "memory is never overcommitted": _memory_fits,
-        "no order of an earlier leader follows one of a later": _no_older_leader,
+        "no order of an earlier leader follows one of a later": _no_older_leader_after_newer,
         "an order reaches only the life that it was decided for": _own_life,
     },
     mutations=MUTATIONS,
