--- a/specification/lease.py
+++ b/specification/lease.py
@@ -199,7 +199,7 @@
     return not ghost.older_after_newer
 
 
-def _own_life(state: dict[str, Any]) -> bool:
+def _orders_reach_own_instance(state: dict[str, Any]) -> bool:
     ghost: Ghost = state["ghost"]
     return not ghost.other_life
 
@@ -214,7 +214,7 @@
         "no two leaders share a fence": _fences_are_unique,
         "memory is never overcommitted": _memory_fits,
         "no order of an earlier leader follows one of a later": _no_older_leader_after_newer,
-        "an order reaches only the life that it was decided for": _own_life,
+        "an order reaches only the life that it was decided for": _orders_reach_own_instance,
     },
     mutations=MUTATIONS,
 )
