--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -82,18 +82,18 @@
         """Do in the code what a step of the model does."""
         match = LABEL.fullmatch(label)
         assert match is not None, label
-        verb, first, second = match.group(1), int(match.group(2)), int(match.group(3) or 0)
-        if verb == "campaign":
+        action, first, second = match.group(1), int(match.group(2)), int(match.group(3) or 0)
+        if action == "campaign":
             self.candidates[first].campaign(1, VOTER_IDS)
-        elif verb.startswith("promise"):
-            self._promise(first, second, lost=verb.endswith("lost"))
-        elif verb.startswith("accept"):
-            self._accept(first, second, lost=verb.endswith("lost"))
-        elif verb.startswith("propose"):
+        elif action.startswith("promise"):
+            self._promise(first, second, lost=action.endswith("lost"))
+        elif action.startswith("accept"):
+            self._accept(first, second, lost=action.endswith("lost"))
+        elif action.startswith("propose"):
             wanted = after[1][first].pending.intents
             self.candidates[first].propose_placements(intents_of(wanted), ())
         else:
-            self._engine_step(verb, first, second, before, after)
+            self._engine_step(action, first, second, before, after)
 
     def _promise(self, c: int, v: int, lost: bool) -> None:
         answer = self.voters[v].on_prepare(Prepare(CELL, 1, ballot(c)))
@@ -112,17 +112,17 @@
         if not lost:
             self.candidates[c].on_accepted(answer)
 
-    def _engine_step(self, verb: str, first: int, e: int, before: State, after: State) -> None:
+    def _engine_step(self, action: str, first: int, e: int, before: State, after: State) -> None:
         name = engine_name(e)
-        if verb == "fence":
+        if action == "fence":
             tracker = self.trackers[first]
             for opened in tracker.records[name].orders:
                 tracker.on_order_lost(name, opened.order)
             tracker.on_inventory(name, _inventory(first, e, after))
-        elif verb == "order":
+        elif action == "order":
             sequence = after[1][first].sequence
             self.trackers[first].on_order_sent(name, _order(first, sequence))
-        elif verb == "answer":
+        elif action == "answer":
             c = first - 1
             opened = self.trackers[c].records[name].orders[0]
             answer = OrderAnswer(OrderResult.DONE, _inventory(c, e, after))
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -40,18 +40,18 @@
         match = LABEL.fullmatch(label)
         if match is None:
             return
-        verb, d = match[1], int(match[2])
+        action, d = match[1], int(match[2])
         version, holder = before[0]
-        if verb == "lease-ends":
+        if action == "lease-ends":
             self._now += DURATION_S
-        elif verb == "decide-to-take":
+        elif action == "decide-to-take":
             self._decide(d, version, holder)
-        elif verb == "take":
+        elif action == "take":
             self._leases[d].record_write(after[0][0], self._now)
-        elif verb in ("conflict", "renewal-conflict"):
+        elif action in ("conflict", "renewal-conflict"):
             self._leases[d].record_row(version, self._holders[holder], self._now)
-        elif verb in ("renew", "renew-late"):
-            self._renew(d, after[0][0], late=verb == "renew-late")
+        elif action in ("renew", "renew-late"):
+            self._renew(d, after[0][0], late=action == "renew-late")
 
     def _decide(self, d: int, version: int, holder: int) -> None:
         """A daemon sees the row, and nothing of its holder for the whole duration."""
--- a/specification/orders.py
+++ b/specification/orders.py
@@ -154,8 +154,8 @@
                 instance = me.read.instance
         order = Order(c + 1, me.sequence + 1, load, model, instance)
         told = _with(controllers, c, me._replace(sequence=me.sequence + 1, open=order))
-        verb = "load" if load else "unload"
-        yield f"{verb}({c},{model})", (intents, ballot, engine, told, orders | {order})
+        action = "load" if load else "unload"
+        yield f"{action}({c},{model})", (intents, ballot, engine, told, orders | {order})
 
 
 def _deliver(state: State, disabled: frozenset[str]) -> Iterator[Step]:
