--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -90,8 +90,8 @@
         elif action.startswith("accept"):
             self._accept(first, second, lost=action.endswith("lost"))
         elif action.startswith("propose"):
-            wanted = after[1][first].pending.intents
-            self.candidates[first].propose_placements(intents_of(wanted), ())
+            proposed = after[1][first].pending.intents
+            self.candidates[first].propose_placements(intents_of(proposed), ())
         else:
             self._engine_step(action, first, second, before, after)
 
--- a/specification/orders.py
+++ b/specification/orders.py
@@ -122,9 +122,9 @@
         counted = counted - {me.open.model}
     for model in MODELS:
         if model not in counted and len(counted) < CAPACITY:
-            wanted = intents | {Intent(model, me.read.instance)}
-            told = _with(controllers, c, me._replace(settled=wanted))
-            yield f"intend({c},{model})", (wanted, ballot, engine, told, orders)
+            proposed = intents | {Intent(model, me.read.instance)}
+            told = _with(controllers, c, me._replace(settled=proposed))
+            yield f"intend({c},{model})", (proposed, ballot, engine, told, orders)
     for intent in sorted(intents):
         unanswered = me.open is not None and me.open.model == intent.model
         unanswered = unanswered and "lost-is-unknown" not in disabled
--- a/specification/register.py
+++ b/specification/register.py
@@ -215,15 +215,15 @@
     held = {engine for engine in ENGINES if me.engines[engine] == HELD}
     may_hold = value.intents | held
     if e not in may_hold and me.engines[e] == ABSENT and len(may_hold) < LIMIT:
-        wanted = Value(ballot_of(c), value.version + 1, value.intents | {e})
-        proposing = me._replace(pending=wanted)
+        proposed = Value(ballot_of(c), value.version + 1, value.intents | {e})
+        proposing = me._replace(pending=proposed)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
     surely_absent = me.engines[e] == ABSENT
     if "unknown-is-not-not-run" in disabled:
         surely_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
     if e in value.intents and surely_absent:
-        wanted = Value(ballot_of(c), value.version + 1, value.intents - {e})
-        proposing = me._replace(pending=wanted)
+        proposed = Value(ballot_of(c), value.version + 1, value.intents - {e})
+        proposing = me._replace(pending=proposed)
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
 
 
--- a/specification/voters.py
+++ b/specification/voters.py
@@ -169,9 +169,9 @@
 ) -> Challenger:
     newest = _newest(promises)
     names = frozenset(name for name, _ in promises)
-    wanted = newest or Value(0, 0, False, OLD, NOBODY)
-    if _is_quorum(names, wanted, disabled):
-        return Challenger(recovered=wanted)
+    proposed = newest or Value(0, 0, False, OLD, NOBODY)
+    if _is_quorum(names, proposed, disabled):
+        return Challenger(recovered=proposed)
     return Challenger(promises)
 
 
