--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -158,8 +158,8 @@
     def _check_removable(self, c: int, e: int, expected: register.Candidate) -> None:
         intents = intents_of(frozenset({e}))
         removable = bool(self.trackers[c].removable_intents(intents))
-        surely_absent = expected.engines[e] == register.ABSENT
-        _same(f"intent for engine {e} of {c} may be removed", removable, surely_absent)
+        known_absent = expected.engines[e] == register.ABSENT
+        _same(f"intent for engine {e} of {c} may be removed", removable, known_absent)
 
 
 def _same(what: str, code: object, model: object) -> None:
--- a/specification/register.py
+++ b/specification/register.py
@@ -218,10 +218,10 @@
         proposed = Value(ballot_of(c), value.version + 1, value.intents | {e})
         proposing = me._replace(pending=proposed)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
-    surely_absent = me.engines[e] == ABSENT
+    known_absent = me.engines[e] == ABSENT
     if "unknown-is-not-not-run" in disabled:
-        surely_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
-    if e in value.intents and surely_absent:
+        known_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
+    if e in value.intents and known_absent:
         proposed = Value(ballot_of(c), value.version + 1, value.intents - {e})
         proposing = me._replace(pending=proposed)
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
