--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -137,12 +137,12 @@
         for v, expected in enumerate(voters):
             voter = self.voters[v]
             _same(f"promise of voter {v}", voter.promised.round, expected.promised)
-            _same(f"value of voter {v}", _abstract(voter.accepted), expected.accepted)
+            _same(f"value of voter {v}", _to_model_value(voter.accepted), expected.accepted)
         for c, expected in enumerate(candidates):
             candidate = self.candidates[c]
             _same(f"phase of candidate {c}", candidate.phase, Phase(expected.phase))
-            _same(f"pending of {c}", _abstract(candidate.pending), expected.pending)
-            _same(f"committed of {c}", _abstract(candidate.committed), expected.committed)
+            _same(f"pending of {c}", _to_model_value(candidate.pending), expected.pending)
+            _same(f"committed of {c}", _to_model_value(candidate.committed), expected.committed)
             for e in register.ENGINES:
                 _same(f"engine {e} for {c}", self._engine_status(c, e), expected.engines[e])
                 self._check_removable(c, e, expected)
@@ -167,7 +167,7 @@
         raise ConformanceError(f"{what}: the code has {code}, the model has {model}")
 
 
-def _abstract(value: RegisterValue | None) -> register.Value | None:
+def _to_model_value(value: RegisterValue | None) -> register.Value | None:
     """Return a register value in the model's terms."""
     if value is None:
         return None
