--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -136,15 +136,17 @@
         voters, candidates, _, _ = state
         for v, expected in enumerate(voters):
             voter = self.voters[v]
-            _same(f"promise of voter {v}", voter.promised.round, expected.promised)
-            _same(f"value of voter {v}", _to_model_value(voter.accepted), expected.accepted)
+            _check_equal(f"promise of voter {v}", voter.promised.round, expected.promised)
+            _check_equal(f"value of voter {v}", _to_model_value(voter.accepted), expected.accepted)
         for c, expected in enumerate(candidates):
             candidate = self.candidates[c]
-            _same(f"phase of candidate {c}", candidate.phase, Phase(expected.phase))
-            _same(f"pending of {c}", _to_model_value(candidate.pending), expected.pending)
-            _same(f"committed of {c}", _to_model_value(candidate.committed), expected.committed)
+            _check_equal(f"phase of candidate {c}", candidate.phase, Phase(expected.phase))
+            _check_equal(f"pending of {c}", _to_model_value(candidate.pending), expected.pending)
+            _check_equal(
+                f"committed of {c}", _to_model_value(candidate.committed), expected.committed
+            )
             for e in register.ENGINES:
-                _same(f"engine {e} for {c}", self._engine_status(c, e), expected.engines[e])
+                _check_equal(f"engine {e} for {c}", self._engine_status(c, e), expected.engines[e])
                 self._check_removable(c, e, expected)
 
     def _engine_status(self, c: int, e: int) -> str:
@@ -159,10 +161,10 @@
         intents = intents_of(frozenset({e}))
         removable = bool(self.trackers[c].removable_intents(intents))
         known_absent = expected.engines[e] == register.ABSENT
-        _same(f"intent for engine {e} of {c} may be removed", removable, known_absent)
+        _check_equal(f"intent for engine {e} of {c} may be removed", removable, known_absent)
 
 
-def _same(what: str, code: object, model: object) -> None:
+def _check_equal(what: str, code: object, model: object) -> None:
     if code != model:
         raise ConformanceError(f"{what}: the code has {code}, the model has {model}")
 
