--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -116,17 +116,17 @@
         name = engine_name(e)
         if action == "fence":
             tracker = self.trackers[first]
-            for opened in tracker.records[name].orders:
-                tracker.on_order_lost(name, opened.order)
+            for pending_order in tracker.records[name].orders:
+                tracker.on_order_lost(name, pending_order.order)
             tracker.on_inventory(name, _inventory(first, e, after))
         elif action == "order":
             sequence = after[1][first].sequence
             self.trackers[first].on_order_sent(name, _order(first, sequence))
         elif action == "answer":
             c = first - 1
-            opened = self.trackers[c].records[name].orders[0]
+            pending_order = self.trackers[c].records[name].orders[0]
             answer = OrderAnswer(OrderResult.DONE, _inventory(c, e, after))
-            self.trackers[c].on_order_answered(name, opened.order, answer)
+            self.trackers[c].on_order_answered(name, pending_order.order, answer)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
