--- a/specification/claims.py
+++ b/specification/claims.py
@@ -114,73 +114,73 @@
 
 def _claim(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase == START:
-        claiming = me._replace(phase=CLAIMING, granted=frozenset())
+    daemon = daemons[d]
+    if daemon.phase == START:
+        claiming = daemon._replace(phase=CLAIMING, granted=frozenset())
         yield f"begin({d})", (voters, fetched, epoch, _put(daemons, d, claiming), runs)
-    if me.phase == CLAIMING and me.epoch < epoch:
-        moved = me._replace(epoch=epoch, granted=frozenset())
+    if daemon.phase == CLAIMING and daemon.epoch < epoch:
+        moved = daemon._replace(epoch=epoch, granted=frozenset())
         yield f"learn-epoch({d})", (voters, fetched, epoch, _put(daemons, d, moved), runs)
-    if me.phase != CLAIMING:
+    if daemon.phase != CLAIMING:
         return
     known = dict(voters)
-    for name in SETS[me.epoch]:
+    for name in SETS[daemon.epoch]:
         voter = known[name]
-        blocked = voter.sealed and me.epoch == 0
-        if not voter.ready or blocked or name in me.granted or voter.claim not in (None, d):
+        blocked = voter.sealed and daemon.epoch == 0
+        if not voter.ready or blocked or name in daemon.granted or voter.claim not in (None, d):
             continue
         after = _set(voters, name, voter._replace(claim=d))
         if after != voters:
             yield f"grant-lost({d},{name})", (after, fetched, epoch, daemons, runs)
-        granted = me.granted | {name}
+        granted = daemon.granted | {name}
         needed = 1 if "claim-majority" in disabled else MAJORITY
         phase = CLAIMED if len(granted) >= needed else CLAIMING
-        counted = me._replace(phase=phase, granted=granted)
+        counted = daemon._replace(phase=phase, granted=granted)
         yield f"grant({d},{name})", (after, fetched, epoch, _put(daemons, d, counted), runs)
 
 
 def _release(state: State, d: int) -> Iterator[Step]:
     """A daemon gives a vote back: between two rounds of claiming, or after "not run"."""
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase != CLAIMING and (me.phase != REFUSED or me.handed_over):
+    daemon = daemons[d]
+    if daemon.phase != CLAIMING and (daemon.phase != REFUSED or daemon.handed_over):
         return
     for name, voter in voters:
         if voter.claim == d and name != "A'":
             after = _set(voters, name, voter._replace(claim=None))
-            given_back = me._replace(granted=me.granted - {name})
+            given_back = daemon._replace(granted=daemon.granted - {name})
             told = _put(daemons, d, given_back)
             yield f"release({d},{name})", (after, fetched, epoch, told, runs)
 
 
 def _run(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase == CLAIMED:
-        sent = me._replace(phase=SENT, handed_over=True)
+    daemon = daemons[d]
+    if daemon.phase == CLAIMED:
+        sent = daemon._replace(phase=SENT, handed_over=True)
         after = _put(daemons, d, sent)
         ran = (*runs[:d], runs[d] + 1, *runs[d + 1 :])
         yield f"run({d})", (voters, fetched, epoch, after, ran)
         yield f"not-reached({d})", (voters, fetched, epoch, after, runs)
-    if me.phase == SENT:
+    if daemon.phase == SENT:
         if runs[d]:
-            answered = me._replace(phase=ANSWERED)
+            answered = daemon._replace(phase=ANSWERED)
             yield f"answer({d})", (voters, fetched, epoch, _put(daemons, d, answered), runs)
-        if "retry-only-not-run" in disabled and me.tries == 0:
-            again = me._replace(phase=CLAIMED, tries=1)
+        if "retry-only-not-run" in disabled and daemon.tries == 0:
+            again = daemon._replace(phase=CLAIMED, tries=1)
             yield f"retry({d})", (voters, fetched, epoch, _put(daemons, d, again), runs)
 
 
 def _end(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """The deadline passes, or the daemon dies."""
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
+    daemon = daemons[d]
+    if daemon.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
         return
-    unknown = me.handed_over and "not-run-only-unsent" not in disabled
-    ended = me._replace(phase=UNKNOWN if unknown else REFUSED)
+    unknown = daemon.handed_over and "not-run-only-unsent" not in disabled
+    ended = daemon._replace(phase=UNKNOWN if unknown else REFUSED)
     yield f"refuse({d})", (voters, fetched, epoch, _put(daemons, d, ended), runs)
-    dead = me._replace(phase=DEAD)
+    dead = daemon._replace(phase=DEAD)
     yield f"die({d})", (voters, fetched, epoch, _put(daemons, d, dead), runs)
 
 
