--- a/specification/claims.py
+++ b/specification/claims.py
@@ -79,7 +79,7 @@
     return (*daemons[:d], daemon, *daemons[d + 1 :])
 
 
-def _set(voters: tuple[Any, ...], name: str, voter: Voter) -> tuple[Any, ...]:
+def _put_voter(voters: tuple[Any, ...], name: str, voter: Voter) -> tuple[Any, ...]:
     return tuple((n, voter if n == name else v) for n, v in voters)
 
 
@@ -94,14 +94,14 @@
         source = known[name]
         after = voters
         if "claim-seal" not in disabled:
-            after = _set(after, name, source._replace(sealed=True))
+            after = _put_voter(after, name, source._replace(sealed=True))
         merged = _merge(known["A'"].claim, source.claim, disabled)
-        after = _set(after, "A'", known["A'"]._replace(claim=merged))
+        after = _put_voter(after, "A'", known["A'"]._replace(claim=merged))
         if "claim-transfer" not in disabled:
             yield f"fetch({name})", (after, fetched | {name}, epoch, daemons, runs)
     enough = len(fetched) >= MAJORITY or "claim-transfer" in disabled
     if enough:
-        ready = _set(voters, "A'", known["A'"]._replace(ready=True))
+        ready = _put_voter(voters, "A'", known["A'"]._replace(ready=True))
         yield "replace(A)", (ready, fetched, 1, daemons, runs)
 
 
@@ -129,7 +129,7 @@
         blocked = voter.sealed and daemon.epoch == 0
         if not voter.ready or blocked or name in daemon.granted or voter.claim not in (None, d):
             continue
-        after = _set(voters, name, voter._replace(claim=d))
+        after = _put_voter(voters, name, voter._replace(claim=d))
         if after != voters:
             yield f"grant-lost({d},{name})", (after, fetched, epoch, daemons, runs)
         granted = daemon.granted | {name}
@@ -147,7 +147,7 @@
         return
     for name, voter in voters:
         if voter.claim == d and name != "A'":
-            after = _set(voters, name, voter._replace(claim=None))
+            after = _put_voter(voters, name, voter._replace(claim=None))
             given_back = daemon._replace(granted=daemon.granted - {name})
             told = _put(daemons, d, given_back)
             yield f"release({d},{name})", (after, fetched, epoch, told, runs)
