--- a/specification/claims.py
+++ b/specification/claims.py
@@ -71,7 +71,7 @@
     for d in DAEMONS:
         yield from _claim(state, d, disabled)
         yield from _release(state, d)
-        yield from _run(state, d, disabled)
+        yield from _run_request(state, d, disabled)
         yield from _end(state, d, disabled)
 
 
@@ -153,7 +153,7 @@
             yield f"release({d},{name})", (after, fetched, epoch, told, runs)
 
 
-def _run(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _run_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
     daemon = daemons[d]
     if daemon.phase == CLAIMED:
