--- a/specification/claims.py
+++ b/specification/claims.py
@@ -72,7 +72,7 @@
         yield from _claim(state, d, disabled)
         yield from _release(state, d)
         yield from _run_request(state, d, disabled)
-        yield from _end(state, d, disabled)
+        yield from _finish_request(state, d, disabled)
 
 
 def _put(daemons: tuple[Daemon, ...], d: int, daemon: Daemon) -> tuple[Daemon, ...]:
@@ -171,7 +171,7 @@
             yield f"retry({d})", (voters, fetched, epoch, _put(daemons, d, again), runs)
 
 
-def _end(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _finish_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """The deadline passes, or the daemon dies."""
     voters, fetched, epoch, daemons, runs = state
     daemon = daemons[d]
