--- a/specification/claims.py
+++ b/specification/claims.py
@@ -189,7 +189,7 @@
     return sum(runs) <= 1
 
 
-def _not_run_is_true(state: dict[str, Any]) -> bool:
+def _not_run_is_correct(state: dict[str, Any]) -> bool:
     pairs = zip(state["daemons"], state["runs"], strict=True)
     return all(daemon.phase != REFUSED or runs == 0 for daemon, runs in pairs)
 
@@ -201,7 +201,7 @@
     transitions=transitions,
     invariants={
         "a request runs at most once": _runs_at_most_once,
-        "what is said not to have run did not run": _not_run_is_true,
+        "what is said not to have run did not run": _not_run_is_correct,
     },
     mutations=MUTATIONS,
 )
