--- a/specification/claims.py
+++ b/specification/claims.py
@@ -148,8 +148,8 @@
     for name, voter in voters:
         if voter.claim == d and name != "A'":
             after = _put_voter(voters, name, voter._replace(claim=None))
-            given_back = daemon._replace(granted=daemon.granted - {name})
-            told = _put(daemons, d, given_back)
+            updated = daemon._replace(granted=daemon.granted - {name})
+            told = _put(daemons, d, updated)
             yield f"release({d},{name})", (after, fetched, epoch, told, runs)
 
 
