--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -51,13 +51,13 @@
 def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for o in (0, 1):
-        yield from _operate(state, o, disabled)
+        yield from _operator_steps(state, o, disabled)
     for d in DAEMONS:
         yield from _apply(state, d, disabled)
     yield from _replace(state, disabled)
 
 
-def _operate(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _operator_steps(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
     rows, operators, daemons, replaced = state
     me = operators[o]
     change = CHANGES[o]
