--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -80,10 +80,10 @@
             conflict = _put(operators, o, Operator(CONFLICT))
             yield f"conflict({change})", (rows, conflict, daemons, replaced)
     if me.phase == LOST:
-        yield from _settle_lost(state, o, disabled)
+        yield from _resolve_lost_write(state, o, disabled)
 
 
-def _settle_lost(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _resolve_lost_write(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
     rows, operators, daemons, replaced = state
     change = CHANGES[o]
     if "read-back" in disabled:
