--- a/specification/orders.py
+++ b/specification/orders.py
@@ -97,15 +97,17 @@
 def _read(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Fence the engine and read its inventory; that settles an order without an answer."""
     intents, ballot, engine, controllers, orders = state
-    me = controllers[c]
-    fence = (c + 1, me.sequence + 1)
-    if me.sequence >= MAX_SEQUENCE or (me.read is not None and me.open is None):
+    controller = controllers[c]
+    fence = (c + 1, controller.sequence + 1)
+    if controller.sequence >= MAX_SEQUENCE or (
+        controller.read is not None and controller.open is None
+    ):
         return
     if fence < engine.fence and "engine-fence" not in disabled:
         return
     fenced = engine._replace(fence=max(fence, engine.fence))
     read = Read(engine.instance, engine.holds)
-    knowing = me._replace(sequence=me.sequence + 1, read=read, open=None)
+    knowing = controller._replace(sequence=controller.sequence + 1, read=read, open=None)
     told = _with(controllers, c, knowing)
     yield f"read({c})", (intents, ballot, fenced, told, orders)
 
@@ -113,47 +115,49 @@
 def _write_intents(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Only the newest ballot can write the register."""
     intents, ballot, engine, controllers, orders = state
-    me = controllers[c]
-    if ballot != c + 1 or me.read is None:
+    controller = controllers[c]
+    if ballot != c + 1 or controller.read is None:
         return
-    counted = {intent.model for intent in intents} | me.read.holds
-    unloading = me.open is not None and not me.open.load
+    counted = {intent.model for intent in intents} | controller.read.holds
+    unloading = controller.open is not None and not controller.open.load
     if unloading and "reserve-until-unloaded" in disabled:
-        counted = counted - {me.open.model}
+        counted = counted - {controller.open.model}
     for model in MODELS:
         if model not in counted and len(counted) < CAPACITY:
-            proposed = intents | {Intent(model, me.read.instance)}
-            told = _with(controllers, c, me._replace(settled=proposed))
+            proposed = intents | {Intent(model, controller.read.instance)}
+            told = _with(controllers, c, controller._replace(settled=proposed))
             yield f"intend({c},{model})", (proposed, ballot, engine, told, orders)
     for intent in sorted(intents):
-        unanswered = me.open is not None and me.open.model == intent.model
+        unanswered = controller.open is not None and controller.open.model == intent.model
         unanswered = unanswered and "lost-is-unknown" not in disabled
-        absent = intent.model not in me.read.holds and not unanswered
-        if absent or intent.instance != me.read.instance:
+        absent = intent.model not in controller.read.holds and not unanswered
+        if absent or intent.instance != controller.read.instance:
             kept = intents - {intent}
-            told = _with(controllers, c, me._replace(settled=kept))
+            told = _with(controllers, c, controller._replace(settled=kept))
             yield f"forget({c},{intent.model})", (kept, ballot, engine, told, orders)
 
 
 def _give_order(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     intents, ballot, engine, controllers, orders = state
-    me = controllers[c]
-    if me.read is None or me.sequence >= MAX_SEQUENCE:
+    controller = controllers[c]
+    if controller.read is None or controller.sequence >= MAX_SEQUENCE:
         return
-    if me.open is not None and "lost-is-unknown" not in disabled:
+    if controller.open is not None and "lost-is-unknown" not in disabled:
         return
     for model in MODELS:
-        load = model not in me.read.holds
-        instance = me.read.instance
+        load = model not in controller.read.holds
+        instance = controller.read.instance
         if load and "intent-first" not in disabled:
-            decided = [intent for intent in me.settled if intent.model == model]
+            decided = [intent for intent in controller.settled if intent.model == model]
             if not decided:
                 continue
             instance = decided[0].instance
             if "intent-instance" in disabled:
-                instance = me.read.instance
-        order = Order(c + 1, me.sequence + 1, load, model, instance)
-        told = _with(controllers, c, me._replace(sequence=me.sequence + 1, open=order))
+                instance = controller.read.instance
+        order = Order(c + 1, controller.sequence + 1, load, model, instance)
+        told = _with(
+            controllers, c, controller._replace(sequence=controller.sequence + 1, open=order)
+        )
         action = "load" if load else "unload"
         yield f"{action}({c},{model})", (intents, ballot, engine, told, orders | {order})
 
