--- a/specification/orders.py
+++ b/specification/orders.py
@@ -90,7 +90,7 @@
     yield from _deliver(state, disabled)
 
 
-def _with(controllers: tuple[Any, ...], c: int, controller: Controller) -> tuple[Any, ...]:
+def _put(controllers: tuple[Any, ...], c: int, controller: Controller) -> tuple[Any, ...]:
     return (*controllers[:c], controller, *controllers[c + 1 :])
 
 
@@ -108,7 +108,7 @@
     fenced = engine._replace(fence=max(fence, engine.fence))
     read = Read(engine.instance, engine.holds)
     knowing = controller._replace(sequence=controller.sequence + 1, read=read, open=None)
-    told = _with(controllers, c, knowing)
+    told = _put(controllers, c, knowing)
     yield f"read({c})", (intents, ballot, fenced, told, orders)
 
 
@@ -125,7 +125,7 @@
     for model in MODELS:
         if model not in counted and len(counted) < CAPACITY:
             proposed = intents | {Intent(model, controller.read.instance)}
-            told = _with(controllers, c, controller._replace(settled=proposed))
+            told = _put(controllers, c, controller._replace(settled=proposed))
             yield f"intend({c},{model})", (proposed, ballot, engine, told, orders)
     for intent in sorted(intents):
         unanswered = controller.open is not None and controller.open.model == intent.model
@@ -133,7 +133,7 @@
         absent = intent.model not in controller.read.holds and not unanswered
         if absent or intent.instance != controller.read.instance:
             kept = intents - {intent}
-            told = _with(controllers, c, controller._replace(settled=kept))
+            told = _put(controllers, c, controller._replace(settled=kept))
             yield f"forget({c},{intent.model})", (kept, ballot, engine, told, orders)
 
 
@@ -155,7 +155,7 @@
             if "intent-instance" in disabled:
                 instance = controller.read.instance
         order = Order(c + 1, controller.sequence + 1, load, model, instance)
-        told = _with(
+        told = _put(
             controllers, c, controller._replace(sequence=controller.sequence + 1, open=order)
         )
         action = "load" if load else "unload"
@@ -180,7 +180,7 @@
         if controllers[c].open == order:
             read = Read(order.instance, holds)
             knowing = controllers[c]._replace(read=read, open=None)
-            told = _with(controllers, c, knowing)
+            told = _put(controllers, c, knowing)
             yield f"answer({order.ballot})", (intents, ballot, after, told, orders)
 
 
