--- a/specification/orders.py
+++ b/specification/orders.py
@@ -107,8 +107,8 @@
         return
     fenced = engine._replace(fence=max(fence, engine.fence))
     read = Read(engine.instance, engine.holds)
-    knowing = controller._replace(sequence=controller.sequence + 1, read=read, open=None)
-    told = _put(controllers, c, knowing)
+    updated = controller._replace(sequence=controller.sequence + 1, read=read, open=None)
+    told = _put(controllers, c, updated)
     yield f"read({c})", (intents, ballot, fenced, told, orders)
 
 
@@ -179,8 +179,8 @@
         c = order.ballot - 1
         if controllers[c].open == order:
             read = Read(order.instance, holds)
-            knowing = controllers[c]._replace(read=read, open=None)
-            told = _put(controllers, c, knowing)
+            updated = controllers[c]._replace(read=read, open=None)
+            told = _put(controllers, c, updated)
             yield f"answer({order.ballot})", (intents, ballot, after, told, orders)
 
 
