--- a/specification/orders.py
+++ b/specification/orders.py
@@ -108,8 +108,8 @@
     fenced = engine._replace(fence=max(fence, engine.fence))
     read = Read(engine.instance, engine.holds)
     updated = controller._replace(sequence=controller.sequence + 1, read=read, open=None)
-    told = _put(controllers, c, updated)
-    yield f"read({c})", (intents, ballot, fenced, told, orders)
+    new_controllers = _put(controllers, c, updated)
+    yield f"read({c})", (intents, ballot, fenced, new_controllers, orders)
 
 
 def _write_intents(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -125,16 +125,16 @@
     for model in MODELS:
         if model not in counted and len(counted) < CAPACITY:
             proposed = intents | {Intent(model, controller.read.instance)}
-            told = _put(controllers, c, controller._replace(settled=proposed))
-            yield f"intend({c},{model})", (proposed, ballot, engine, told, orders)
+            new_controllers = _put(controllers, c, controller._replace(settled=proposed))
+            yield f"intend({c},{model})", (proposed, ballot, engine, new_controllers, orders)
     for intent in sorted(intents):
         unanswered = controller.open is not None and controller.open.model == intent.model
         unanswered = unanswered and "lost-is-unknown" not in disabled
         absent = intent.model not in controller.read.holds and not unanswered
         if absent or intent.instance != controller.read.instance:
             kept = intents - {intent}
-            told = _put(controllers, c, controller._replace(settled=kept))
-            yield f"forget({c},{intent.model})", (kept, ballot, engine, told, orders)
+            new_controllers = _put(controllers, c, controller._replace(settled=kept))
+            yield f"forget({c},{intent.model})", (kept, ballot, engine, new_controllers, orders)
 
 
 def _give_order(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -155,11 +155,11 @@
             if "intent-instance" in disabled:
                 instance = controller.read.instance
         order = Order(c + 1, controller.sequence + 1, load, model, instance)
-        told = _put(
+        new_controllers = _put(
             controllers, c, controller._replace(sequence=controller.sequence + 1, open=order)
         )
         action = "load" if load else "unload"
-        yield f"{action}({c},{model})", (intents, ballot, engine, told, orders | {order})
+        yield f"{action}({c},{model})", (intents, ballot, engine, new_controllers, orders | {order})
 
 
 def _deliver(state: State, disabled: frozenset[str]) -> Iterator[Step]:
@@ -180,8 +180,8 @@
         if controllers[c].open == order:
             read = Read(order.instance, holds)
             updated = controllers[c]._replace(read=read, open=None)
-            told = _put(controllers, c, updated)
-            yield f"answer({order.ballot})", (intents, ballot, after, told, orders)
+            new_controllers = _put(controllers, c, updated)
+            yield f"answer({order.ballot})", (intents, ballot, after, new_controllers, orders)
 
 
 def _memory_not_overcommitted(state: dict[str, Any]) -> bool:
