--- a/specification/orders.py
+++ b/specification/orders.py
@@ -86,7 +86,7 @@
         if c + 1 <= ballot:
             yield from _read(state, c, disabled)
             yield from _write_intents(state, c, disabled)
-            yield from _give_order(state, c, disabled)
+            yield from _send_order(state, c, disabled)
     yield from _deliver(state, disabled)
 
 
@@ -137,7 +137,7 @@
             yield f"forget({c},{intent.model})", (kept, ballot, engine, new_controllers, orders)
 
 
-def _give_order(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _send_order(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     intents, ballot, engine, controllers, orders = state
     controller = controllers[c]
     if controller.read is None or controller.sequence >= MAX_SEQUENCE:
--- a/specification/register.py
+++ b/specification/register.py
@@ -187,7 +187,7 @@
     for e in ENGINES:
         yield from _read_engine(state, c, e, disabled)
         yield from _change_intents(state, c, e, disabled)
-        yield from _give_order(state, c, e, disabled)
+        yield from _send_order(state, c, e, disabled)
 
 
 def _read_engine(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -227,7 +227,7 @@
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
 
 
-def _give_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _send_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     me = candidates[c]
     settled = me.committed.intents if me.pending is None else frozenset()
