--- a/specification/orders.py
+++ b/specification/orders.py
@@ -87,7 +87,7 @@
             yield from _read(state, c, disabled)
             yield from _write_intents(state, c, disabled)
             yield from _send_order(state, c, disabled)
-    yield from _deliver(state, disabled)
+    yield from _deliver_order(state, disabled)
 
 
 def _put(controllers: tuple[Any, ...], c: int, controller: Controller) -> tuple[Any, ...]:
@@ -162,7 +162,7 @@
         yield f"{action}({c},{model})", (intents, ballot, engine, new_controllers, orders | {order})
 
 
-def _deliver(state: State, disabled: frozenset[str]) -> Iterator[Step]:
+def _deliver_order(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """An order arrives; the answer comes back or is lost."""
     intents, ballot, engine, controllers, orders = state
     for order in sorted(orders):
