--- a/specification/register.py
+++ b/specification/register.py
@@ -108,9 +108,9 @@
 
 def _election(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.phase == IDLE:
-        campaigning = me._replace(phase=PREPARING)
+    candidate = candidates[c]
+    if candidate.phase == IDLE:
+        campaigning = candidate._replace(phase=PREPARING)
         if "read-majority" in disabled:
             yield f"campaign({c})", _recover(state, c, Value(0, 0, frozenset()))
         else:
@@ -123,7 +123,7 @@
         raised = voter._replace(promised=ballot_of(c))
         if raised != voter:
             yield f"promise-lost({c},{v})", (put(voters, v, raised), candidates, engines, orders)
-        if me.phase == PREPARING:
+        if candidate.phase == PREPARING:
             promised = raised._replace(promises=put(voter.promises, c, (voter.accepted,)))
             counted = (put(voters, v, promised), candidates, engines, orders)
             yield f"promise({c},{v})", _recover_if_majority(counted, c, disabled)
@@ -155,14 +155,14 @@
 
 def _writing(state: State, c: int) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.pending is None:
+    candidate = candidates[c]
+    if candidate.pending is None:
         return
     for v in VOTERS:
         voter = voters[v]
         if voter.promised > ballot_of(c) or voter.acks[c]:
             continue
-        accepted = voter._replace(promised=ballot_of(c), accepted=me.pending)
+        accepted = voter._replace(promised=ballot_of(c), accepted=candidate.pending)
         if accepted != voter:
             yield f"accept-lost({c},{v})", (put(voters, v, accepted), candidates, engines, orders)
         acknowledged = accepted._replace(acks=put(voter.acks, c, True))
@@ -175,14 +175,14 @@
     if sum(voter.acks[c] for voter in voters) < MAJORITY:
         return state
     voters = tuple(voter._replace(acks=put(voter.acks, c, False)) for voter in voters)
-    me = candidates[c]
-    settled = me._replace(phase=LEADING, committed=me.pending, pending=None)
+    candidate = candidates[c]
+    settled = candidate._replace(phase=LEADING, committed=candidate.pending, pending=None)
     return (voters, put(candidates, c, settled), engines, orders)
 
 
 def _leading(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
-    me = state[1][c]
-    if me.phase != LEADING:
+    candidate = state[1][c]
+    if candidate.phase != LEADING:
         return
     for e in ENGINES:
         yield from _read_engine(state, c, e, disabled)
@@ -193,50 +193,52 @@
 def _read_engine(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Raise the engine's fence and read whether it holds the model."""
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.engines[e] not in (UNKNOWN, ORDERED) or me.sequence >= MAX_SEQUENCE:
+    candidate = candidates[c]
+    if candidate.engines[e] not in (UNKNOWN, ORDERED) or candidate.sequence >= MAX_SEQUENCE:
         return
-    fence = (ballot_of(c), me.sequence + 1)
+    fence = (ballot_of(c), candidate.sequence + 1)
     engine = engines[e]
     if engine.fence >= fence and "fence" not in disabled:
         return
     raised = engine._replace(fence=max(engine.fence, fence))
-    known = put(me.engines, e, HELD if engine.holds else ABSENT)
-    read = me._replace(engines=known, sequence=me.sequence + 1)
+    known = put(candidate.engines, e, HELD if engine.holds else ABSENT)
+    read = candidate._replace(engines=known, sequence=candidate.sequence + 1)
     yield f"fence({c},{e})", (voters, put(candidates, c, read), put(engines, e, raised), orders)
 
 
 def _change_intents(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    value = me.committed
-    if me.pending is not None or value.version >= MAX_VERSION:
+    candidate = candidates[c]
+    value = candidate.committed
+    if candidate.pending is not None or value.version >= MAX_VERSION:
         return
-    held = {engine for engine in ENGINES if me.engines[engine] == HELD}
+    held = {engine for engine in ENGINES if candidate.engines[engine] == HELD}
     may_hold = value.intents | held
-    if e not in may_hold and me.engines[e] == ABSENT and len(may_hold) < LIMIT:
+    if e not in may_hold and candidate.engines[e] == ABSENT and len(may_hold) < LIMIT:
         proposed = Value(ballot_of(c), value.version + 1, value.intents | {e})
-        proposing = me._replace(pending=proposed)
+        proposing = candidate._replace(pending=proposed)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
-    known_absent = me.engines[e] == ABSENT
+    known_absent = candidate.engines[e] == ABSENT
     if "unknown-is-not-not-run" in disabled:
-        known_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
+        known_absent = candidate.engines[e] in (ABSENT, UNKNOWN, ORDERED)
     if e in value.intents and known_absent:
         proposed = Value(ballot_of(c), value.version + 1, value.intents - {e})
-        proposing = me._replace(pending=proposed)
+        proposing = candidate._replace(pending=proposed)
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
 
 
 def _send_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    settled = me.committed.intents if me.pending is None else frozenset()
-    if "intent-before-order" in disabled and me.pending is not None:
-        settled = me.pending.intents
-    if e not in settled or me.engines[e] != ABSENT or me.sequence >= MAX_SEQUENCE:
+    candidate = candidates[c]
+    settled = candidate.committed.intents if candidate.pending is None else frozenset()
+    if "intent-before-order" in disabled and candidate.pending is not None:
+        settled = candidate.pending.intents
+    if e not in settled or candidate.engines[e] != ABSENT or candidate.sequence >= MAX_SEQUENCE:
         return
-    order = Order(ballot_of(c), me.sequence + 1, e)
-    ordered = me._replace(engines=put(me.engines, e, ORDERED), sequence=me.sequence + 1)
+    order = Order(ballot_of(c), candidate.sequence + 1, e)
+    ordered = candidate._replace(
+        engines=put(candidate.engines, e, ORDERED), sequence=candidate.sequence + 1
+    )
     yield f"order({c},{e})", (voters, put(candidates, c, ordered), engines, orders | {order})
 
 
