--- a/specification/register.py
+++ b/specification/register.py
@@ -100,13 +100,13 @@
 def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for candidate in CANDIDATES:
-        yield from _election(state, candidate, disabled)
+        yield from _campaign(state, candidate, disabled)
         yield from _writing(state, candidate)
         yield from _leading(state, candidate, disabled)
     yield from _delivery(state, disabled)
 
 
-def _election(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _campaign(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     candidate = candidates[c]
     if candidate.phase == IDLE:
