--- a/specification/register.py
+++ b/specification/register.py
@@ -101,7 +101,7 @@
     """Return the steps that are possible in a state."""
     for candidate in CANDIDATES:
         yield from _campaign(state, candidate, disabled)
-        yield from _writing(state, candidate)
+        yield from _write_register(state, candidate)
         yield from _leading(state, candidate, disabled)
     yield from _delivery(state, disabled)
 
@@ -153,7 +153,7 @@
     return (voters, put(candidates, c, recovering), engines, orders)
 
 
-def _writing(state: State, c: int) -> Iterator[Step]:
+def _write_register(state: State, c: int) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     candidate = candidates[c]
     if candidate.pending is None:
