--- a/specification/register.py
+++ b/specification/register.py
@@ -167,10 +167,10 @@
             yield f"accept-lost({c},{v})", (put(voters, v, accepted), candidates, engines, orders)
         acknowledged = accepted._replace(acks=put(voter.acks, c, True))
         counted = (put(voters, v, acknowledged), candidates, engines, orders)
-        yield f"accept({c},{v})", _settle_if_majority(counted, c)
+        yield f"accept({c},{v})", _commit_if_majority(counted, c)
 
 
-def _settle_if_majority(state: State, c: int) -> State:
+def _commit_if_majority(state: State, c: int) -> State:
     voters, candidates, engines, orders = state
     if sum(voter.acks[c] for voter in voters) < MAJORITY:
         return state
