--- a/specification/register.py
+++ b/specification/register.py
@@ -102,7 +102,7 @@
     for candidate in CANDIDATES:
         yield from _campaign(state, candidate, disabled)
         yield from _write_register(state, candidate)
-        yield from _leading(state, candidate, disabled)
+        yield from _leader_steps(state, candidate, disabled)
     yield from _delivery(state, disabled)
 
 
@@ -180,7 +180,7 @@
     return (voters, put(candidates, c, settled), engines, orders)
 
 
-def _leading(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
+def _leader_steps(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     candidate = state[1][c]
     if candidate.phase != LEADING:
         return
