--- a/specification/register.py
+++ b/specification/register.py
@@ -103,7 +103,7 @@
         yield from _campaign(state, candidate, disabled)
         yield from _write_register(state, candidate)
         yield from _leader_steps(state, candidate, disabled)
-    yield from _delivery(state, disabled)
+    yield from _deliver_order(state, disabled)
 
 
 def _campaign(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -242,7 +242,7 @@
     yield f"order({c},{e})", (voters, put(candidates, c, ordered), engines, orders | {order})
 
 
-def _delivery(state: State, disabled: frozenset[str]) -> Iterator[Step]:
+def _deliver_order(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """An order arrives; its answer may be lost."""
     voters, candidates, engines, orders = state
     for order in sorted(orders):
