--- a/specification/register.py
+++ b/specification/register.py
@@ -266,7 +266,7 @@
     return 1 - engine
 
 
-def _rename(value: Value | None) -> Value | None:
+def _swap_intents(value: Value | None) -> Value | None:
     if value is None:
         return None
     return value._replace(intents=frozenset(map(_swap_engine, value.intents)))
@@ -278,15 +278,15 @@
     return (
         tuple(
             voter._replace(
-                accepted=_rename(voter.accepted),
-                promises=tuple(tuple(_rename(v) for v in held) for held in voter.promises),
+                accepted=_swap_intents(voter.accepted),
+                promises=tuple(tuple(_swap_intents(v) for v in held) for held in voter.promises),
             )
             for voter in voters
         ),
         tuple(
             candidate._replace(
-                pending=_rename(candidate.pending),
-                committed=_rename(candidate.committed),
+                pending=_swap_intents(candidate.pending),
+                committed=_swap_intents(candidate.committed),
                 engines=candidate.engines[::-1],
             )
             for candidate in candidates
