--- a/specification/register.py
+++ b/specification/register.py
@@ -272,7 +272,7 @@
     return value._replace(intents=frozenset(map(_swap_engine, value.intents)))
 
 
-def _swapped(state: State) -> State:
+def _swap_engines(state: State) -> State:
     """Return the state with the two engines' names exchanged."""
     voters, candidates, engines, orders = state
     return (
@@ -309,7 +309,7 @@
 def canonical(state: State) -> State:
     """Return one state for all that differ by the names of voters and engines."""
     forms = []
-    for form in (state, _swapped(state)):
+    for form in (state, _swap_engines(state)):
         voters = tuple(sorted(form[0], key=_key))
         forms.append((voters, *form[1:]))
     return forms[0] if forms[0] == forms[1] else min(forms, key=_key)
