--- a/specification/register.py
+++ b/specification/register.py
@@ -297,12 +297,12 @@
 
 
 @functools.cache
-def _key(value: Any) -> str:
+def _sort_key(value: Any) -> str:
     """Return a text of any part of a state, equal for equal parts, to order them by."""
     if isinstance(value, tuple):
-        return "(" + ",".join(map(_key, value)) + ")"
+        return "(" + ",".join(map(_sort_key, value)) + ")"
     if isinstance(value, frozenset):
-        return "{" + ",".join(sorted(map(_key, value))) + "}"
+        return "{" + ",".join(sorted(map(_sort_key, value))) + "}"
     return str(value)
 
 
@@ -310,9 +310,9 @@
     """Return one state for all that differ by the names of voters and engines."""
     forms = []
     for form in (state, _swap_engines(state)):
-        voters = tuple(sorted(form[0], key=_key))
+        voters = tuple(sorted(form[0], key=_sort_key))
         forms.append((voters, *form[1:]))
-    return forms[0] if forms[0] == forms[1] else min(forms, key=_key)
+    return forms[0] if forms[0] == forms[1] else min(forms, key=_sort_key)
 
 
 def _replicas_within_limit(state: dict[str, Any]) -> bool:
