--- a/specification/voters.py
+++ b/specification/voters.py
@@ -175,7 +175,7 @@
     return Challenger(promises)
 
 
-def _settled_is_remembered(state: dict[str, Any]) -> bool:
+def _committed_intent_is_known(state: dict[str, Any]) -> bool:
     """A challenger that leads knows the intent, if the leader had settled it."""
     recovered = state["challenger"].recovered
     return recovered is None or not state["settled"] or recovered.intent
@@ -186,6 +186,6 @@
     fields=FIELDS,
     initial=INITIAL,
     transitions=transitions,
-    invariants={"a settled intent is never forgotten": _settled_is_remembered},
+    invariants={"a settled intent is never forgotten": _committed_intent_is_known},
     mutations=MUTATIONS,
 )
