--- a/specification/register.py
+++ b/specification/register.py
@@ -258,8 +258,8 @@
         c = order.ballot - 1
         if candidates[c].engines[order.engine] == ORDERED:
             known = put(candidates[c].engines, order.engine, HELD)
-            told = put(candidates, c, candidates[c]._replace(engines=known))
-            yield f"answer({order.ballot},{order.engine})", (voters, told, after, orders)
+            new_candidates = put(candidates, c, candidates[c]._replace(engines=known))
+            yield f"answer({order.ballot},{order.engine})", (voters, new_candidates, after, orders)
 
 
 def _swap_engine(engine: int) -> int:
