--- a/specification/claims.py
+++ b/specification/claims.py
@@ -149,8 +149,8 @@
         if voter.claim == d and name != "A'":
             after = _put_voter(voters, name, voter._replace(claim=None))
             updated = daemon._replace(granted=daemon.granted - {name})
-            told = _put(daemons, d, updated)
-            yield f"release({d},{name})", (after, fetched, epoch, told, runs)
+            new_daemons = _put(daemons, d, updated)
+            yield f"release({d},{name})", (after, fetched, epoch, new_daemons, runs)
 
 
 def _run_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
