--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -54,7 +54,7 @@
         yield from _operator_steps(state, o, disabled)
     for d in DAEMONS:
         yield from _apply(state, d, disabled)
-    yield from _replace(state, disabled)
+    yield from _replace_daemon(state, disabled)
 
 
 def _operator_steps(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -110,7 +110,7 @@
             yield f"apply({d},{version})", (rows, operators, after, replaced)
 
 
-def _replace(state: State, disabled: frozenset[str]) -> Iterator[Step]:
+def _replace_daemon(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Daemon 0 is replaced while the table is down; the new one asks daemon 1 and the table."""
     rows, operators, daemons, replaced = state
     me, other = daemons
