--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -59,27 +59,27 @@
 
 def _operator_steps(state: State, o: int, disabled: frozenset[str]) -> Iterator[Step]:
     rows, operators, daemons, replaced = state
-    me = operators[o]
+    operator = operators[o]
     change = CHANGES[o]
-    if me.phase == IDLE:
+    if operator.phase == IDLE:
         writing = Operator(WRITING, len(rows) + 1)
         yield f"begin({change})", (rows, _put(operators, o, writing), daemons, replaced)
-    if me.phase == WRITING:
-        free = me.version == len(rows) + 1
+    if operator.phase == WRITING:
+        free = operator.version == len(rows) + 1
         if free:
             written = (*rows, change)
-            accepted = _put(operators, o, me._replace(phase=ACCEPTED))
+            accepted = _put(operators, o, operator._replace(phase=ACCEPTED))
             yield f"write({change})", (written, accepted, daemons, replaced)
-            lost = _put(operators, o, me._replace(phase=LOST))
+            lost = _put(operators, o, operator._replace(phase=LOST))
             yield f"write-lost({change})", (written, lost, daemons, replaced)
         elif "compare-and-set" in disabled:
-            written = _put(rows, me.version - 1, change)
-            accepted = _put(operators, o, me._replace(phase=ACCEPTED))
+            written = _put(rows, operator.version - 1, change)
+            accepted = _put(operators, o, operator._replace(phase=ACCEPTED))
             yield f"overwrite({change})", (written, accepted, daemons, replaced)
         else:
             conflict = _put(operators, o, Operator(CONFLICT))
             yield f"conflict({change})", (rows, conflict, daemons, replaced)
-    if me.phase == LOST:
+    if operator.phase == LOST:
         yield from _resolve_lost_write(state, o, disabled)
 
 
@@ -100,12 +100,12 @@
 def _apply(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     """A push or an anti-entropy answer arrives: any prefix of the log, at any time."""
     rows, operators, daemons, replaced = state
-    me = daemons[d]
+    daemon = daemons[d]
     for version in range(1, len(rows) + 1):
-        newer = version == len(me.log) + 1
+        newer = version == len(daemon.log) + 1
         if newer or "no-lower-version" in disabled:
             log = rows[:version]
-            applied = Daemon(log, me.serving, max(me.seen, version))
+            applied = Daemon(log, daemon.serving, max(daemon.seen, version))
             after = _put(daemons, d, applied)
             yield f"apply({d},{version})", (rows, operators, after, replaced)
 
@@ -113,16 +113,16 @@
 def _replace_daemon(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Daemon 0 is replaced while the table is down; the new one asks daemon 1 and the table."""
     rows, operators, daemons, replaced = state
-    me, other = daemons
+    daemon, other = daemons
     if not replaced:
         serving = "learn-before-serving" in disabled
-        fresh = Daemon((), serving, me.seen)
+        fresh = Daemon((), serving, daemon.seen)
         yield "replace(0)", (rows, operators, (fresh, other), True)
-    if replaced and not me.serving:
+    if replaced and not daemon.serving:
         # Accepted changes are on a majority of the voters before the operator is told; in this
         # model the other daemon and the table stand for what a majority knows together.
-        known = max(len(other.log), me.seen)
-        learned = Daemon(rows[:known], True, max(me.seen, known))
+        known = max(len(other.log), daemon.seen)
+        learned = Daemon(rows[:known], True, max(daemon.seen, known))
         yield "learn(0)", (rows, operators, (learned, other), True)
 
 
