--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -11,7 +11,7 @@
 import fire
 
 from specification import catalog, claims, lease, orders, register, voters
-from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, check_conformance
+from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, replay_walks
 from specification.lease_conformance import check_lease_conformance
 from specification.model import CheckResult, Model, Verdict, check
 
@@ -59,7 +59,7 @@
                 exit_status = max(exit_status, EXIT_VIOLATED)
             elif check_result.verdict is Verdict.NOT_DETERMINED:
                 exit_status = max(exit_status, EXIT_NOT_DETERMINED)
-    steps = check_conformance(DEFAULT_SEED, DEFAULT_WALKS)
+    steps = replay_walks(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     steps = check_lease_conformance(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"lease conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
@@ -120,9 +120,7 @@
                 print(f"{known.name:28} {model.name:10} {known.rule}")
         return
     if seed:
-        print(
-            f"conformance: {check_conformance(seed, walks)} steps of {walks} walks agree, seed {seed}"
-        )
+        print(f"conformance: {replay_walks(seed, walks)} steps of {walks} walks agree, seed {seed}")
         steps = check_lease_conformance(seed, walks)
         print(f"lease conformance: {steps} steps of {walks} walks agree, seed {seed}")
         return
--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -190,7 +190,7 @@
     return Inventory(INSTANCE, fence, MEMORY_MIB, 1, False, items)
 
 
-def check_conformance(seed: int, walks: int) -> int:
+def replay_walks(seed: int, walks: int) -> int:
     """Replay walks and compare after each step.
 
     :returns: how many steps were compared.
