--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -12,7 +12,7 @@
 
 from specification import catalog, claims, lease, orders, register, voters
 from specification.conformance import DEFAULT_SEED, DEFAULT_WALKS, replay_walks
-from specification.lease_conformance import check_lease_conformance
+from specification.lease_conformance import replay_lease_walks
 from specification.model import CheckResult, Model, Verdict, check
 
 MODELS = {m.MODEL.name: m.MODEL for m in (register, voters, orders, claims, catalog, lease)}
@@ -61,7 +61,7 @@
                 exit_status = max(exit_status, EXIT_NOT_DETERMINED)
     steps = replay_walks(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
-    steps = check_lease_conformance(DEFAULT_SEED, DEFAULT_WALKS)
+    steps = replay_lease_walks(DEFAULT_SEED, DEFAULT_WALKS)
     print(f"lease conformance: {steps} steps of {DEFAULT_WALKS} walks agree, seed {DEFAULT_SEED}")
     print(f"took {time.monotonic() - started:.1f} s")
     return exit_status
@@ -121,7 +121,7 @@
         return
     if seed:
         print(f"conformance: {replay_walks(seed, walks)} steps of {walks} walks agree, seed {seed}")
-        steps = check_lease_conformance(seed, walks)
+        steps = replay_lease_walks(seed, walks)
         print(f"lease conformance: {steps} steps of {walks} walks agree, seed {seed}")
         return
     if all_mutations:
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -91,7 +91,7 @@
     return lease.transitions(state, frozenset())
 
 
-def check_lease_conformance(seed: int, walks: int) -> int:
+def replay_lease_walks(seed: int, walks: int) -> int:
     """Replay walks and compare after each step.
 
     :returns: how many steps were compared.
