--- a/specification/__init__.py
+++ b/specification/__init__.py
@@ -1,5 +1,6 @@
-"""A small specification of the core protocol, checked exhaustively by ``python -m specification``.
+"""A small specification of the core protocols, model-checked by ``python -m specification``.
 
-Each module is one model: a state machine over tuples with its invariants and the rules that can be
-left out (mutations). A model is small enough to read beside the code that it specifies.
+Most modules define one model: a state machine over tuples, its invariants, and its mutations
+(protocol rules that can be disabled). The models are small enough to read next to the code that
+they specify.
 """
