--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -1,7 +1,7 @@
 """Checks the specification: ``python -m specification [--mutation NAME] [--list-mutations]``.
 
-Exit status 0 when every model holds, 1 when a counterexample was found, 3 when a search did not
-finish, which proves nothing.
+Exit status: 0 if every model holds, 1 if a counterexample was found, 2 for a usage error, and 3 if
+a search did not finish and so proves nothing.
 """
 
 import sys
@@ -22,25 +22,25 @@
 
 
 def model_with_mutation(mutation: str) -> Model | None:
-    """Return the model that has a mutation."""
+    """Return the model that defines a mutation, or None if there is none."""
     owners = [m for m in MODELS.values() if mutation in {known.name for known in m.mutations}]
     return owners[0] if owners else None
 
 
 def check_model(model: str, mutation: str = "") -> CheckResult:
-    """Check one model; in a process of its own when several are checked."""
+    """Check one model, with a mutation if one is given. Runs in a worker process for several."""
     return check(MODELS[model], frozenset({mutation} if mutation else ()))
 
 
 def describe(check_result: CheckResult) -> str:
-    """Return one line on a finding."""
+    """Return a one-line summary of a result."""
     line = f"{check_result.model}: {check_result.states} states, depth {check_result.depth}"
     violated = f" ({check_result.invariant})" if check_result.invariant else ""
     return f"{line}: {check_result.verdict.value}{violated}"
 
 
 def print_counterexample(check_result: CheckResult) -> None:
-    """Print each step of a counterexample, and the state that it ends in."""
+    """Print the steps of a counterexample and its last state."""
     for number, step in enumerate(check_result.counterexample):
         print(f"  {number:3} {step.label or 'initial state'}")
     for name, value in check_result.counterexample[-1].state.items():
@@ -48,7 +48,7 @@
 
 
 def check_all() -> int:
-    """Check all models side by side, then that code and specification agree."""
+    """Check all models in parallel, then compare the code with them; return the exit status."""
     started = time.monotonic()
     exit_status = 0
     with ProcessPoolExecutor() as pool:
@@ -68,7 +68,7 @@
 
 
 def check_mutation(name: str) -> int:
-    """Check that leaving one rule out gives a counterexample."""
+    """Check a model with one rule disabled; return the exit status."""
     model = model_with_mutation(name)
     if model is None:
         print(f"no mutation is named {name}; see --list-mutations", file=sys.stderr)
@@ -82,7 +82,7 @@
 
 
 def check_mutations() -> int:
-    """Check that every mutation is caught; the exit status is 0 when all are."""
+    """Check that each mutation gives a counterexample; return 0 if all do, else 1."""
     names = [mutation.name for model in MODELS.values() for mutation in model.mutations]
     models = [owner.name for owner in map(model_with_mutation, names) if owner is not None]
     missed = 0
@@ -105,14 +105,14 @@
     seed: int = 0,
     walks: int = DEFAULT_WALKS,
 ) -> None:
-    """Check the specification of the core protocol.
+    """Check the specification of the core protocols.
 
     Args:
-        mutation: leave out the rule of this name and expect a counterexample.
-        list_mutations: list the rules that can be left out.
-        all_mutations: check that each of them gives a counterexample.
-        seed: only compare code and specification, on walks of this seed.
-        walks: how many walks to compare.
+        mutation: disable the rule with this name, which should give a counterexample.
+        list_mutations: list the rules that can be disabled.
+        all_mutations: check that each mutation gives a counterexample.
+        seed: only compare the code with the models, on random walks from this seed.
+        walks: number of random walks per comparison.
     """
     if list_mutations:
         for model in MODELS.values():
