--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -1,9 +1,9 @@
-"""The catalog: an accepted configuration is not lost and never goes back.
+"""The catalog: an accepted configuration change is neither lost nor rolled back.
 
-Two operators race with one change each, through a table row for each version that is written by
-compare-and-set; the answer of a write may be lost, and the table may be down. Two daemons apply
-changes that are pushed to them, repeated and out of order; one of them may be replaced while the
-table is down, and then learns from the other before it serves.
+Two operators write one change each, concurrently. Each version is a table row, created by
+compare-and-set. The response to a write may be lost, and the table may be unavailable. Two daemons
+apply changes that are pushed to them repeatedly and out of order. One daemon may be replaced while
+the table is unavailable; it then fetches the catalog from the other daemon before it serves.
 """
 
 from collections.abc import Iterator
@@ -19,14 +19,14 @@
 
 
 class Operator(NamedTuple):
-    """An operator's change; ``version`` is the row that it is written to."""
+    """An operator with one change; ``version`` is the row that it writes the change to."""
 
     phase: str = IDLE
     version: int = 0
 
 
 class Daemon(NamedTuple):
-    """A daemon; ``seen`` is the highest version that was ever in force at its seat."""
+    """A daemon; ``seen`` is the highest version that it or its predecessor has applied."""
 
     log: tuple[str, ...] = ()
     serving: bool = True
@@ -35,9 +35,11 @@
 
 MUTATIONS = (
     Mutation("compare-and-set", "a row is created once, by one writer"),
-    Mutation("read-back", "a lost answer is settled by reading the change id back"),
-    Mutation("no-lower-version", "a daemon applies only the version that comes next"),
-    Mutation("learn-before-serving", "a new daemon learns the catalog before it serves"),
+    Mutation(
+        "read-back", "a write whose response was lost is resolved by reading the change ID back"
+    ),
+    Mutation("no-lower-version", "a daemon applies only the next version"),
+    Mutation("learn-before-serving", "a new daemon fetches the catalog before it serves"),
 )
 
 FIELDS = ("rows", "operators", "daemons", "replaced")
@@ -98,7 +100,7 @@
 
 
 def _apply(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
-    """A push or an anti-entropy answer arrives: any prefix of the log, at any time."""
+    """A push or an anti-entropy response arrives: any prefix of the log, at any time."""
     rows, operators, daemons, replaced = state
     daemon = daemons[d]
     for version in range(1, len(rows) + 1):
@@ -111,7 +113,7 @@
 
 
 def _replace_daemon(state: State, disabled: frozenset[str]) -> Iterator[Step]:
-    """Daemon 0 is replaced while the table is down; the new one asks daemon 1 and the table."""
+    """Daemon 0 is replaced while the table is unavailable; its successor fetches the catalog."""
     rows, operators, daemons, replaced = state
     daemon, other = daemons
     if not replaced:
@@ -119,8 +121,8 @@
         fresh = Daemon((), serving, daemon.seen)
         yield "replace(0)", (rows, operators, (fresh, other), True)
     if replaced and not daemon.serving:
-        # Accepted changes are on a majority of the voters before the operator is told; in this
-        # model the other daemon and the table stand for what a majority knows together.
+        # A change is on a majority of the voters before its operator gets the acceptance. Here
+        # the other daemon and ``seen`` stand for what such a majority knows.
         known = max(len(other.log), daemon.seen)
         learned = Daemon(rows[:known], True, max(daemon.seen, known))
         yield "learn(0)", (rows, operators, (learned, other), True)
