--- a/specification/claims.py
+++ b/specification/claims.py
@@ -1,9 +1,11 @@
-"""A request that may not be repeated runs at most once, and "not run" is never said of a run.
+"""At-most-once execution of non-repeatable requests, and correct reports of "not run".
 
-Two daemons have the same request with the same key. Voters A, B and C record claims; A may die and
-be replaced by A', which first fetches the claims of a majority of the old set, and whoever hands
-them out grants no more in the old epoch. A daemon may die at any point, and the answer of the back
-end may be lost.
+Two daemons have the same request with the same key. Voters A, B and C record claims. A may fail and
+be replaced by A', which first fetches the claims of a majority of the old voter set; a voter that
+has sent its claims grants no more claims in the old epoch. A daemon may crash at any point, and the
+response of the backend may be lost.
+
+Code: ``loomwind/control/claims.py``.
 """
 
 from collections.abc import Iterator
@@ -29,7 +31,12 @@
 
 
 class Voter(NamedTuple):
-    """A voter; ``claim`` is the daemon that it granted the key to, or CONFLICT."""
+    """A voter.
+
+    :param claim: the daemon that the key is granted to, or CONFLICT.
+    :param sealed: it has sent its claims, and grants no more in the old epoch.
+    :param ready: it may grant claims.
+    """
 
     claim: int | None = None
     sealed: bool = False
@@ -37,7 +44,11 @@
 
 
 class Daemon(NamedTuple):
-    """A daemon with the request; ``epoch`` is the voter set that it counts in."""
+    """A daemon with the request.
+
+    :param epoch: index of the voter set whose grants it counts.
+    :param handed_over: it has begun to send the request to the backend.
+    """
 
     phase: str = START
     epoch: int = 0
@@ -47,12 +58,12 @@
 
 
 MUTATIONS = (
-    Mutation("claim-majority", "a claim counts only on a majority of the voters"),
+    Mutation("claim-majority", "a claim is valid only if granted by a majority of the voters"),
     Mutation("claim-transfer", "a new voter fetches the claims of a majority of the old set"),
-    Mutation("claim-conflict", "a key that two daemons claimed is granted to nobody any more"),
-    Mutation("claim-seal", "a voter that handed its claims out grants no more in the old epoch"),
-    Mutation("retry-only-not-run", "a request that may have run is not tried again"),
-    Mutation("not-run-only-unsent", "not-run is said only if no byte was handed over"),
+    Mutation("claim-conflict", "a key that two daemons claimed is not granted again"),
+    Mutation("claim-seal", "a voter that sent its claims grants no more in the old epoch"),
+    Mutation("retry-only-not-run", "a request that may have run is not retried"),
+    Mutation("not-run-only-unsent", "not-run is reported only if no byte was sent to the backend"),
 )
 
 FIELDS = ("voters", "fetched", "epoch", "daemons", "runs")
@@ -106,7 +117,7 @@
 
 
 def _merge(held: int | None, fetched: int | None, disabled: frozenset[str]) -> int | None:
-    """Return the claim that a new voter holds after it fetched one more."""
+    """Return the claim of the new voter after it fetched one from another voter."""
     if fetched is None or held is None:
         return held if fetched is None else fetched
     return fetched if held == fetched or "claim-conflict" in disabled else CONFLICT
@@ -140,7 +151,7 @@
 
 
 def _release(state: State, d: int) -> Iterator[Step]:
-    """A daemon gives a vote back: between two rounds of claiming, or after "not run"."""
+    """A daemon releases a grant, while it is claiming or after it reported "not run"."""
     voters, fetched, epoch, daemons, runs = state
     daemon = daemons[d]
     if daemon.phase != CLAIMING and (daemon.phase != REFUSED or daemon.handed_over):
@@ -172,7 +183,7 @@
 
 
 def _finish_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
-    """The deadline passes, or the daemon dies."""
+    """The deadline of the request passes, or the daemon crashes."""
     voters, fetched, epoch, daemons, runs = state
     daemon = daemons[d]
     if daemon.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
