--- a/specification/conformance.py
+++ b/specification/conformance.py
@@ -1,7 +1,7 @@
-"""Replays random walks of the register's model against the code's own state machines.
+"""Replays random walks of the register model against the state machines of the code.
 
-After each step the voters, the candidates and the trackers must be in the state that the model is
-in. The walks are of the model as it is, without canonical renaming.
+After each step, the voters, candidates and engine trackers must be in the same state as the model.
+The walks use the states as they are, without mapping them to canonical ones.
 """
 
 import random
@@ -48,26 +48,26 @@
 
 
 class ConformanceError(AssertionError):
-    """Code and specification are in different states after the same steps."""
+    """Code and model are in different states after the same steps."""
 
 
 def engine_name(engine: int) -> str:
-    """Return the name of an engine of the model."""
+    """Return the engine name in the code for an engine of the model."""
     return f"engine-{engine}"
 
 
 def ballot(candidate: int) -> Ballot:
-    """Return the code's ballot for a candidate of the model."""
+    """Return the ballot in the code for a candidate of the model."""
     return Ballot(register.ballot_of(candidate), CANDIDATE_IDS[candidate])
 
 
 def intents_of(engines: frozenset[int]) -> tuple[Intent, ...]:
-    """Return the code's intents for a set of engines of the model."""
+    """Return the intents in the code for a set of engines of the model."""
     return tuple(Intent(engine_name(e), INSTANCE, ARTIFACT, MEMORY_MIB) for e in sorted(engines))
 
 
 class Replay:
-    """The code's state machines, driven by the model's steps."""
+    """The state machines of the code, driven by steps of the model."""
 
     def __init__(self) -> None:
         self.voters = [Voter(CELL, identity) for identity in VOTER_IDS]
@@ -79,7 +79,7 @@
                 self.trackers[c].add_or_update(engine_name(e), "address", "zone", False)
 
     def step(self, label: str, before: State, after: State) -> None:
-        """Do in the code what a step of the model does."""
+        """Apply a step of the model to the code."""
         match = LABEL.fullmatch(label)
         assert match is not None, label
         action, first, second = match.group(1), int(match.group(2)), int(match.group(3) or 0)
@@ -105,7 +105,7 @@
     def _accept(self, c: int, v: int, lost: bool) -> None:
         pending = self.candidates[c].pending
         if pending is None:
-            raise ConformanceError(f"candidate {c} writes nothing")
+            raise ConformanceError(f"candidate {c} has no pending value to write")
         answer = self.voters[v].on_accept(Accept(CELL, pending))
         if not isinstance(answer, Accepted):
             raise ConformanceError(f"voter {v} refused the value of candidate {c}")
@@ -131,7 +131,7 @@
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
 
-        :raises Disagreement: they differ.
+        :raises ConformanceError: if they differ.
         """
         voters, candidates, _, _ = state
         for v, expected in enumerate(voters):
@@ -170,7 +170,7 @@
 
 
 def _to_model_value(value: RegisterValue | None) -> register.Value | None:
-    """Return a register value in the model's terms."""
+    """Convert a register value of the code to one of the model."""
     if value is None:
         return None
     engines = frozenset(int(intent.engine.rpartition("-")[2]) for intent in value.intents)
@@ -183,7 +183,7 @@
 
 
 def _inventory(c: int, e: int, after: State) -> Inventory:
-    """Return what an engine of the model answers to a controller."""
+    """Return the inventory that an engine of the model reports to a controller."""
     item = InventoryItem(ARTIFACT, ReplicaState.READY, MEMORY_MIB)
     items = (item,) if after[2][e].holds else ()
     fence = Fence(1, ballot(c), after[1][c].sequence)
@@ -191,10 +191,10 @@
 
 
 def replay_walks(seed: int, walks: int) -> int:
-    """Replay walks and compare after each step.
+    """Replay random walks of the register model and compare after each step.
 
-    :returns: how many steps were compared.
-    :raises Disagreement: code and model differ.
+    :returns: the number of steps compared.
+    :raises ConformanceError: if code and model differ.
     """
     source = random.Random(seed)
     compared = 0
