--- a/specification/lease.py
+++ b/specification/lease.py
@@ -1,14 +1,18 @@
-"""The lease in a row of the store, and orders that may be carried out late.
-
-Two daemons take one row in turn, each only after the holder's own clock has ended its lease. A
-holder renews its row under the version that it wrote last, and keeps its fence; a renewal may be
-done so late that its lease has ended meanwhile. One whose lease has ended may lead again by a
-renewal as long as nobody else has written the row. The leader orders loads at one model server
-whose memory holds one model; orders stay on their way as long as they like, and the server may
-restart, after which it has forgotten revision and fence. The search shows that the expected
-revision alone keeps an older leader's order from following a newer one's; the fence is a second
-guard, for servers that are asked without a revision.
-Code: ``loomwind/leadership/lease.py`` and ``loomwind/placement/ledger.py``.
+"""The leader lease in a row of the store, and orders that are executed late.
+
+Two daemons compete for one row. A daemon acquires the lease only after it has expired by its
+holder's own clock. A holder renews the lease with a write conditional on the row version that it
+wrote last, and keeps its fencing token. A renewal may finish after the lease has expired. A former
+holder may lead again by a renewal as long as no other daemon has written the row.
+
+The leader sends load orders to one model server, whose memory holds one model. Orders may be
+delayed indefinitely. The server may restart, which resets its revision and fencing token.
+
+The search shows that the expected revision alone prevents an order of an older leader from being
+executed after one of a newer leader. The fencing token is a second safeguard, for servers that get
+orders without a revision.
+
+Code: ``loomwind/leadership/lease.py`` and ``loomwind/placement/server_tracker.py``.
 """
 
 from collections.abc import Iterator
@@ -24,10 +28,12 @@
 
 
 class Daemon(NamedTuple):
-    """A daemon; ``expects`` is the row version that its taking expects, -1 when it takes nothing.
+    """A daemon.
 
-    ``good`` says whether its own clock holds its lease for good; ``wrote`` is the row's version
-    at its last write, 0 once it knows of a newer one.
+    :param good: whether its lease is valid by its own clock.
+    :param term: the row version at its last acquisition, 0 before the first.
+    :param expects: the row version that its pending acquisition expects, -1 without one.
+    :param wrote: the row version of its last write, 0 once it knows of a newer one.
     """
 
     good: bool = False
@@ -38,7 +44,7 @@
 
 
 class Order(NamedTuple):
-    """An order on its way."""
+    """A load order in flight."""
 
     model: str
     fence: int
@@ -48,7 +54,7 @@
 
 
 class Server(NamedTuple):
-    """One model server; ``term`` is that of the newest order carried out in this life."""
+    """A model server; ``term`` is the newest term of an order executed by this instance."""
 
     instance: int = 0
     revision: int = 0
@@ -58,19 +64,29 @@
 
 
 class Ghost(NamedTuple):
-    """What went wrong, for the invariants."""
+    """History variables for the invariants, not part of the protocol.
+
+    :param older_after_newer: an older leader's order was executed after a newer leader's.
+    :param other_life: an order was executed by an instance other than the intended one.
+    """
 
     older_after_newer: bool = False
     other_life: bool = False
 
 
 MUTATIONS = (
-    Mutation("wait-out-lease", "the lease is taken only when its holder's clock has ended it"),
-    Mutation("expected-row-version", "the row is written only if it is as it was seen"),
-    Mutation("renew-own-row", "a renewal is done only on the row that its holder wrote last"),
-    Mutation("rising-fence", "each leader has a higher fence than the one before"),
-    Mutation("expected-revision", "an order is carried out only at the revision it was decided at"),
-    Mutation("same-instance", "an order is carried out only by the life it was decided for"),
+    Mutation(
+        "wait-out-lease", "the lease is acquired only after it has expired by its holder's clock"
+    ),
+    Mutation("expected-row-version", "the row is written only if its version is the expected one"),
+    Mutation(
+        "renew-own-row", "a renewal succeeds only on the row version that the holder wrote last"
+    ),
+    Mutation("rising-fence", "each leader has a higher fencing token than the one before"),
+    Mutation(
+        "expected-revision", "an order is executed only at the server revision it was based on"
+    ),
+    Mutation("same-instance", "an order is executed only by the server instance it was sent to"),
 )
 
 FIELDS = ("row", "daemons", "orders", "given", "server", "ghost")
@@ -123,7 +139,7 @@
 
 
 def _renew(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
-    """The holder writes its row again, in time or so late that its lease ends at once."""
+    """A daemon renews its lease, in time or so late that the lease has already expired."""
     (version, holder), daemons, orders, given, server, ghost = state
     daemon = daemons[d]
     if daemon.wrote == 0 or version >= MAX_VERSION:
@@ -140,7 +156,7 @@
 
 
 def _send_order(state: State, d: int) -> Iterator[Step]:
-    """The leader reads the server and orders a load that fits; the order may arrive at any time."""
+    """The leader reads the server and orders a load if its memory is free."""
     row, daemons, orders, given, server, ghost = state
     daemon = daemons[d]
     if not daemon.good or given >= MAX_ORDERS or server.held:
