--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -1,7 +1,7 @@
-"""Replays random walks of the lease's model against the code's lease state machine.
+"""Replays random walks of the lease model against the lease state machine of the code.
 
-The walk drives one lease for each daemon over one row and one steady clock. After each step who may
-lead, and under which fence, must be what the model says.
+The replay has one ``Lease`` per daemon, one row and one monotonic clock. After each step, code and
+model must agree on which daemons lead, and on their fencing tokens.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 
 class LeaseReplay:
-    """The code's leases, driven by the model's steps."""
+    """The leases of the code, driven by steps of the model."""
 
     def __init__(self) -> None:
         self._now = 100.0
@@ -36,7 +36,7 @@
             each.record_ended_process(free.life, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
-        """Do in the code what a step of the model does."""
+        """Apply a step of the model to the code."""
         match = LABEL.fullmatch(label)
         if match is None:
             return
@@ -54,29 +54,33 @@
             self._renew(d, after[0][0], late=action == "renew-late")
 
     def _decide(self, d: int, version: int, holder: int) -> None:
-        """A daemon sees the row, and nothing of its holder for the whole duration."""
+        """A daemon reads the row, and does not hear from its holder for the lease duration."""
         own = self._leases[d]
         if holder != lease.NOBODY:
             own.record_row(version, self._holders[holder], self._now)
             self._now += DURATION_S
         if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
-            raise ConformanceError(f"daemon {d} does not take the row at version {version}")
+            raise ConformanceError(
+                f"daemon {d} does not acquire the lease at row version {version}"
+            )
         if own.expected_version != version:
-            raise ConformanceError(f"daemon {d} expects {own.expected_version}, not {version}")
+            raise ConformanceError(
+                f"daemon {d} expects row version {own.expected_version}, not {version}"
+            )
 
     def _renew(self, d: int, version: int, late: bool) -> None:
         own = self._leases[d]
         sent_at = self._now - DURATION_S if late else self._now
         if own.expected_version != version - 1:
             raise ConformanceError(
-                f"daemon {d} renews at {own.expected_version}, not {version - 1}"
+                f"daemon {d} renews at row version {own.expected_version}, not {version - 1}"
             )
         own.record_write(version, sent_at)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
 
-        :raises Disagreement: they differ.
+        :raises ConformanceError: if they differ.
         """
         for d, expected in enumerate(state[1]):
             own = self._leases[d]
@@ -92,10 +96,10 @@
 
 
 def replay_lease_walks(seed: int, walks: int) -> int:
-    """Replay walks and compare after each step.
+    """Replay random walks of the lease model and compare after each step.
 
-    :returns: how many steps were compared.
-    :raises Disagreement: code and model differ.
+    :returns: the number of steps compared.
+    :raises ConformanceError: if code and model differ.
     """
     source = random.Random(seed)
     compared = 0
