--- a/specification/model.py
+++ b/specification/model.py
@@ -1,4 +1,4 @@
-"""What every model of the specification has in common."""
+"""The model type and the exhaustive search that all models of the specification share."""
 
 import enum
 from collections.abc import Callable, Iterable
@@ -17,10 +17,10 @@
 
 
 class Mutation(Struct, frozen=True):
-    """A rule that can be left out.
+    """A protocol rule that can be disabled, to show that the invariants depend on it.
 
-    :param name: how it is named on the command line.
-    :param rule: what the protocol asks for and the mutation leaves out.
+    :param name: its name on the command line.
+    :param rule: a description of the rule.
     """
 
     name: str
@@ -28,9 +28,12 @@
 
 
 class Model(Struct, frozen=True):
-    """A model: its states, its steps, what must hold in each state, and its mutations.
+    """A state machine with its invariants and mutations.
 
-    :param canonical: maps states that differ only by renaming to one of them.
+    :param fields: names of the items of a state.
+    :param transitions: yields the steps from a state, given the names of the disabled rules.
+    :param invariants: predicates that must hold in each reachable state.
+    :param canonical: maps equivalent states to one representative, to reduce the search.
     """
 
     name: str
@@ -43,7 +46,7 @@
 
 
 class Verdict(enum.Enum):
-    """What a search found."""
+    """The outcome of a search."""
 
     HOLDS = "holds"
     VIOLATED = "violated"
@@ -60,7 +63,7 @@
 class CheckResult(Struct, frozen=True):
     """The result of one search.
 
-    :param depth: the longest shortest path to any state.
+    :param depth: the largest distance of a reached state from the initial state.
     """
 
     model: str
@@ -72,7 +75,7 @@
 
 
 class _Search:
-    """One search by minicheck: counts depths, and ends soon after a violation was found."""
+    """Wraps a model for minicheck: tracks depths, and stops expanding after a violation."""
 
     def __init__(self, model: Model, disabled: frozenset[str]) -> None:
         self._model = model
@@ -82,7 +85,7 @@
         self.max_depth = 0
 
     def transitions(self, state: State) -> list[Step]:
-        """Return the canonical successors of a state; none once a violation was found."""
+        """Return the canonical successors of a state, or none after a violation."""
         steps: list[Step] = []
         if self._violated:
             return steps
@@ -96,7 +99,7 @@
         return steps
 
     def stop_on_violation(self, invariant: Invariant) -> Invariant:
-        """Return an invariant that notes its violation."""
+        """Wrap an invariant so that its violation ends the search."""
 
         def checked(state: dict[str, Any]) -> bool:
             holds = invariant(state)
@@ -107,7 +110,7 @@
 
 
 def check(model: Model, disabled: frozenset[str] = frozenset()) -> CheckResult:
-    """Search a model, with some rules left out, for a state that breaks an invariant."""
+    """Search a model, with some rules disabled, for a state that violates an invariant."""
     search = _Search(model, disabled)
     protocol = minicheck.Protocol(
         name=model.name,
