--- a/specification/orders.py
+++ b/specification/orders.py
@@ -1,11 +1,11 @@
-"""Orders to engines: memory, lost answers, restarts of an engine, a controller that was paused.
+"""Orders to an engine: memory limits, lost responses, engine restarts and paused controllers.
 
-One engine with room for one of two models. The register is one cell here that only the newest
-ballot may write (``register`` and ``voters`` specify how). Two controllers; the first may go on
-after the second took over. Orders stay in flight for ever and arrive at any time; answers may be
-lost; the engine may restart once, empty and without its fence, as another instance.
+One engine has memory for one of two models. The register is a single cell that only the newest
+ballot may write (``register`` and ``voters`` specify how). There are two controllers, and the first
+may continue after the second took over. Orders may be delayed indefinitely and repeated; responses
+may be lost. The engine may restart once, as a new instance without models and fencing token.
 
-The engine itself refuses what does not fit, but the model does not count on that.
+The engine also refuses loads that exceed its memory, but the model does not rely on this.
 """
 
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 
 
 class Engine(NamedTuple):
-    """The engine; ``went_back`` notes that it carried out an order older than one it accepted."""
+    """The engine; ``went_back`` is set if it executed an order older than one it accepted."""
 
     instance: int = 1
     fence: tuple[int, int] = (0, 0)
@@ -39,21 +39,21 @@
 
 
 class Read(NamedTuple):
-    """What a controller read from the engine last."""
+    """The last inventory that a controller read from the engine."""
 
     instance: int
     holds: frozenset[str]
 
 
 class Intent(NamedTuple):
-    """A decision that one life of the engine may hold a model."""
+    """A decision that one instance of the engine may hold a model."""
 
     model: str
     instance: int
 
 
 class Controller(NamedTuple):
-    """A controller; ``open`` is the order without an answer, ``settled`` what it wrote last."""
+    """A controller; ``open`` is its unanswered order, ``settled`` the intents it wrote last."""
 
     sequence: int = 0
     read: Read | None = UNKNOWN
@@ -63,9 +63,11 @@
 
 MUTATIONS = (
     Mutation("engine-fence", "an engine refuses an order that is not above its fence"),
-    Mutation("engine-instance", "an engine refuses an order for another life of it"),
-    Mutation("intent-instance", "an order is for the life that its intent was decided for"),
-    Mutation("lost-is-unknown", "an order without an answer counts until an inventory says"),
+    Mutation("engine-instance", "an engine refuses an order for another instance of it"),
+    Mutation("intent-instance", "an order is sent to the engine instance of its intent"),
+    Mutation(
+        "lost-is-unknown", "an unanswered order may have been executed until an inventory is read"
+    ),
     Mutation("reserve-until-unloaded", "memory stays reserved until the unload is confirmed"),
     Mutation("intent-first", "a load is ordered only after its intent is in the register"),
 )
@@ -95,7 +97,7 @@
 
 
 def _read(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
-    """Fence the engine and read its inventory; that settles an order without an answer."""
+    """Fence the engine and read its inventory, which resolves an unanswered order."""
     intents, ballot, engine, controllers, orders = state
     controller = controllers[c]
     fence = (c + 1, controller.sequence + 1)
@@ -113,7 +115,7 @@
 
 
 def _write_intents(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
-    """Only the newest ballot can write the register."""
+    """The controller with the newest ballot adds or removes an intent in the register."""
     intents, ballot, engine, controllers, orders = state
     controller = controllers[c]
     if ballot != c + 1 or controller.read is None:
@@ -163,7 +165,7 @@
 
 
 def _deliver_order(state: State, disabled: frozenset[str]) -> Iterator[Step]:
-    """An order arrives; the answer comes back or is lost."""
+    """An order arrives; its response is received or lost."""
     intents, ballot, engine, controllers, orders = state
     for order in sorted(orders):
         fence = (order.ballot, order.sequence)
@@ -193,7 +195,7 @@
 
 
 def canonical(state: State) -> State:
-    """Drop orders that can never be carried out any more; they change nothing."""
+    """Drop orders that can no longer be executed, since they have no effect."""
     intents, ballot, engine, controllers, orders = state
     open_orders = {controller.open for controller in controllers}
     live = frozenset(
