--- a/specification/register.py
+++ b/specification/register.py
@@ -1,12 +1,15 @@
-"""Ballots, majorities, intents before orders, and fences: one model, at most one replica of it.
+"""The replicated register (Paxos), intents and fencing: a model has at most one replica.
 
-Three voters, two controllers with one ballot each, two engines. The first controller may be paused
-at any point and go on after the second took over. Messages are lost, delayed, repeated and
-reordered: a promise or an acknowledgement may be lost after it took effect, an order stays in
-flight for ever and may arrive at any time and any number of times.
+Three voters, two controllers with one ballot each, and two engines. The first controller may be
+paused at any point and continue after the second took over. Messages may be lost, delayed, repeated
+and reordered: a promise or acknowledgement may be lost after it took effect, and an order may
+arrive at any time and any number of times.
 
-A voter accepts only the value that its candidate wrote last: to accept an earlier one late is the
-same as to have accepted it early and lost the acknowledgement.
+A voter accepts only the newest value of a candidate. Accepting an earlier value late is equivalent
+to accepting it early and losing the acknowledgement.
+
+Code: ``loomwind/control/voter.py``, ``candidate.py`` and ``engine_tracker.py``, compared with this
+model by ``specification/conformance.py``.
 """
 
 import functools
@@ -28,7 +31,7 @@
 
 
 class Value(NamedTuple):
-    """What voters hold; ``intents`` are the engines that may hold the model."""
+    """A value of the register; ``intents`` are the engines that may hold the model."""
 
     ballot: int
     version: int
@@ -36,7 +39,7 @@
 
 
 class Voter(NamedTuple):
-    """A voter; ``promises`` and ``acks`` are what each candidate has from it."""
+    """A voter; ``promises`` and ``acks`` are what each candidate has received from it."""
 
     promised: int = 0
     accepted: Value | None = None
@@ -45,7 +48,7 @@
 
 
 class Candidate(NamedTuple):
-    """A controller; ``engines`` is what it knows of each engine."""
+    """A controller; ``engines`` is the state of each engine as far as it knows."""
 
     phase: str = IDLE
     pending: Value | None = None
@@ -55,7 +58,11 @@
 
 
 class Engine(NamedTuple):
-    """An engine; ``fence`` is ballot and sequence of the newest order or fence it took."""
+    """An engine.
+
+    :param fence: the highest fencing token that it accepted: ballot and sequence.
+    :param went_back: it executed an order older than one it accepted.
+    """
 
     fence: tuple[int, int] = (0, 0)
     holds: bool = False
@@ -72,10 +79,15 @@
 
 MUTATIONS = (
     Mutation("read-majority", "a candidate reads a majority before it leads"),
-    Mutation("version-in-ballot", "the newest value is the one of highest ballot, then version"),
-    Mutation("intent-before-order", "an order goes out only after its intent is on a majority"),
+    Mutation(
+        "version-in-ballot", "the newest value is the one with the highest ballot, then version"
+    ),
+    Mutation("intent-before-order", "an order is sent only after a majority accepted its intent"),
     Mutation("fence", "an engine refuses an order that is not above its fence"),
-    Mutation("unknown-is-not-not-run", "an intent without an answer stays until an inventory"),
+    Mutation(
+        "unknown-is-not-not-run",
+        "an intent whose order is unanswered is kept until an inventory is read",
+    ),
 )
 
 FIELDS = ("voters", "candidates", "engines", "orders")
@@ -88,7 +100,7 @@
 
 
 def ballot_of(candidate: int) -> int:
-    """Return the ballot that a candidate takes."""
+    """Return the ballot of a candidate."""
     return candidate + 1
 
 
@@ -136,7 +148,7 @@
         return state
     values = [value for value in promises if value is not None]
     if "version-in-ballot" in disabled:
-        # By ballot alone, any of the values of the highest ballot may be taken: the oldest here.
+        # Any value with the highest ballot may be chosen; the oldest is the worst case.
         newest = min(values, key=lambda v: (-v.ballot, v.version), default=None)
     else:
         newest = max(values, key=lambda v: (v.ballot, v.version), default=None)
@@ -144,10 +156,10 @@
 
 
 def _recover(state: State, c: int, newest: Value) -> State:
-    """Write the newest value back under the own ballot."""
+    """Start to write the newest value back under the candidate's own ballot."""
     voters, candidates, engines, orders = state
     pending = Value(ballot_of(c), newest.version, newest.intents)
-    # The promises are used up; the candidate's own state says that they were counted.
+    # The promises are no longer needed: the candidate's phase shows that they were counted.
     voters = tuple(v._replace(promises=put(v.promises, c, ())) for v in voters)
     recovering = candidates[c]._replace(phase=RECOVERING, pending=pending)
     return (voters, put(candidates, c, recovering), engines, orders)
@@ -243,7 +255,7 @@
 
 
 def _deliver_order(state: State, disabled: frozenset[str]) -> Iterator[Step]:
-    """An order arrives; its answer may be lost."""
+    """An order arrives; its response is received or lost."""
     voters, candidates, engines, orders = state
     for order in sorted(orders):
         engine = engines[order.engine]
@@ -273,7 +285,7 @@
 
 
 def _swap_engines(state: State) -> State:
-    """Return the state with the two engines' names exchanged."""
+    """Return the state with the two engines swapped."""
     voters, candidates, engines, orders = state
     return (
         tuple(
@@ -298,7 +310,7 @@
 
 @functools.cache
 def _sort_key(value: Any) -> str:
-    """Return a text of any part of a state, equal for equal parts, to order them by."""
+    """Return a sort key for any part of a state; equal parts have equal keys."""
     if isinstance(value, tuple):
         return "(" + ",".join(map(_sort_key, value)) + ")"
     if isinstance(value, frozenset):
@@ -307,7 +319,7 @@
 
 
 def canonical(state: State) -> State:
-    """Return one state for all that differ by the names of voters and engines."""
+    """Return one representative of the states that differ only in voter and engine names."""
     forms = []
     for form in (state, _swap_engines(state)):
         voters = tuple(sorted(form[0], key=_sort_key))
@@ -325,7 +337,7 @@
 
 
 def steps_of(state: State) -> Iterable[Step]:
-    """Return the steps of the unchanged protocol."""
+    """Return the steps of the protocol with all rules enabled."""
     return transitions(state, frozenset())
 
 
