--- a/specification/voters.py
+++ b/specification/voters.py
@@ -1,9 +1,9 @@
-"""Restarts that forget, and changes of the voter set: a settled intent is never forgotten.
+"""Voter restarts without stable storage, and voter set changes: a committed intent is not lost.
 
-Voters A, B and C; A may restart once, after which it is A', another identity with empty memory. A
-may be replaced by A' through a change of the voter set that counts on a majority of the old set
-and of the new one. Two candidates with one ballot each; answers may be lost. The first candidate
-leads from the start, with the empty value settled; it may write one intent.
+Voters are A, B and C. A may restart once, and is then A', a new identity without state. A' may
+replace A by a change of the voter set, which needs a majority of the old set and of the new one
+(joint consensus). There are two candidates with one ballot each. Responses may be lost. The first
+candidate leads from the start, with the empty value committed, and may write one intent.
 """
 
 from collections.abc import Iterator
@@ -17,7 +17,10 @@
 
 
 class Value(NamedTuple):
-    """What voters hold: whether the intent is in it, and the voter sets that must settle it."""
+    """A value of the register; majorities of ``voters`` and ``joint`` must accept it.
+
+    :param joint: the old voter set during a change, otherwise empty.
+    """
 
     ballot: int
     version: int
@@ -27,7 +30,7 @@
 
 
 class Voter(NamedTuple):
-    """The memory of a voter."""
+    """The state of a voter, which is lost on a restart."""
 
     promised: int = 1
     accepted: Value | None = Value(1, 0, False, OLD, NOBODY)
@@ -42,16 +45,16 @@
 
 
 class Challenger(NamedTuple):
-    """The second candidate; ``promises`` maps voters to what they had accepted."""
+    """The second candidate; ``promises`` pairs voters with the value they had accepted."""
 
     promises: frozenset[tuple[str, Value | None]] = frozenset()
     recovered: Value | None = None
 
 
 MUTATIONS = (
-    Mutation("forgetful-restart", "a restarted voter has another identity and no vote"),
-    Mutation("incarnation-in-quorums", "answers of an earlier incarnation are not counted"),
-    Mutation("joint-quorum", "a change of voters counts on a majority of the old set too"),
+    Mutation("forgetful-restart", "a restarted voter has a new identity and no vote"),
+    Mutation("incarnation-in-quorums", "responses of an earlier incarnation are not counted"),
+    Mutation("joint-quorum", "a change of voters also needs a majority of the old set"),
 )
 
 FIELDS = ("memory", "restarted", "leader", "challenger", "settled")
@@ -70,7 +73,7 @@
 
 def _is_quorum(acknowledged: frozenset[str], value: Value, disabled: frozenset[str]) -> bool:
     if "incarnation-in-quorums" in disabled:
-        # Counted by name alone, what the earlier A answered and what A' answers are the same vote.
+        # Counted by name alone, responses of A and of its successor A' are the same vote.
         acknowledged = frozenset(a for n in acknowledged for a in (n, n.strip("'"), f"{n}'"))
     joint = value.joint if "joint-quorum" not in disabled else NOBODY
     new = _is_majority(acknowledged, value.voters)
@@ -176,7 +179,7 @@
 
 
 def _committed_intent_is_known(state: dict[str, Any]) -> bool:
-    """A challenger that leads knows the intent, if the leader had settled it."""
+    """If the leader committed the intent, a challenger that leads knows it."""
     recovered = state["challenger"].recovered
     return recovered is None or not state["settled"] or recovered.intent
 
