--- a/specification/walks.py
+++ b/specification/walks.py
@@ -1,4 +1,4 @@
-"""Random walks over a model, for comparing the code with it step by step."""
+"""Random walks over a model, used to compare the code with it step by step."""
 
 import random
 from collections.abc import Callable, Iterable, Iterator
@@ -21,7 +21,7 @@
     steps_of: Callable[[State], Iterable[Step]],
     length: int,
 ) -> Iterator[WalkStep]:
-    """Yield the steps of a walk; it ends early where no step is possible."""
+    """Yield up to ``length`` random steps; stop early in a state without successors."""
     state = initial
     for _ in range(length):
         steps = list(steps_of(state))
