--- a/specification/register.py
+++ b/specification/register.py
@@ -188,8 +188,8 @@
         return state
     voters = tuple(voter._replace(acks=put(voter.acks, c, False)) for voter in voters)
     candidate = candidates[c]
-    settled = candidate._replace(phase=LEADING, committed=candidate.pending, pending=None)
-    return (voters, put(candidates, c, settled), engines, orders)
+    committed = candidate._replace(phase=LEADING, committed=candidate.pending, pending=None)
+    return (voters, put(candidates, c, committed), engines, orders)
 
 
 def _leader_steps(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
@@ -242,10 +242,10 @@
 def _send_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
     candidate = candidates[c]
-    settled = candidate.committed.intents if candidate.pending is None else frozenset()
+    committed = candidate.committed.intents if candidate.pending is None else frozenset()
     if "intent-before-order" in disabled and candidate.pending is not None:
-        settled = candidate.pending.intents
-    if e not in settled or candidate.engines[e] != ABSENT or candidate.sequence >= MAX_SEQUENCE:
+        committed = candidate.pending.intents
+    if e not in committed or candidate.engines[e] != ABSENT or candidate.sequence >= MAX_SEQUENCE:
         return
     order = Order(ballot_of(c), candidate.sequence + 1, e)
     ordered = candidate._replace(
