--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -95,8 +95,8 @@
         return
     ours = rows[operators[o].version - 1] == change
     phase = ACCEPTED if ours else CONFLICT
-    settled = _put(operators, o, operators[o]._replace(phase=phase))
-    yield f"read-back({change})", (rows, settled, daemons, replaced)
+    resolved = _put(operators, o, operators[o]._replace(phase=phase))
+    yield f"read-back({change})", (rows, resolved, daemons, replaced)
 
 
 def _apply(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
