--- a/specification/register.py
+++ b/specification/register.py
@@ -22,7 +22,7 @@
 MAJORITY = 2
 CANDIDATES = (0, 1)
 ENGINES = (0, 1)
-LIMIT = 1
+MAX_REPLICAS = 1
 MAX_VERSION = 3
 MAX_SEQUENCE = 4
 
@@ -226,7 +226,7 @@
         return
     held = {engine for engine in ENGINES if candidate.engines[engine] == HELD}
     may_hold = value.intents | held
-    if e not in may_hold and candidate.engines[e] == ABSENT and len(may_hold) < LIMIT:
+    if e not in may_hold and candidate.engines[e] == ABSENT and len(may_hold) < MAX_REPLICAS:
         proposed = Value(ballot_of(c), value.version + 1, value.intents | {e})
         proposing = candidate._replace(pending=proposed)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
@@ -329,7 +329,7 @@
 
 def _replicas_within_limit(state: dict[str, Any]) -> bool:
     held = [engine for engine in state["engines"] if engine.holds]
-    return len(held) <= LIMIT
+    return len(held) <= MAX_REPLICAS
 
 
 def _no_older_order(state: dict[str, Any]) -> bool:
