--- a/specification/claims.py
+++ b/specification/claims.py
@@ -14,7 +14,7 @@
 from specification.model import Model, Mutation, State, Step
 
 DAEMONS = (0, 1)
-SETS = (("A", "B", "C"), ("A'", "B", "C"))
+VOTER_SETS = (("A", "B", "C"), ("A'", "B", "C"))
 MAJORITY = 2
 CONFLICT = -1
 
@@ -135,7 +135,7 @@
     if daemon.phase != CLAIMING:
         return
     known = dict(voters)
-    for name in SETS[daemon.epoch]:
+    for name in VOTER_SETS[daemon.epoch]:
         voter = known[name]
         blocked = voter.sealed and daemon.epoch == 0
         if not voter.ready or blocked or name in daemon.granted or voter.claim not in (None, d):
