--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -31,9 +31,9 @@
         self._leases = [Lease(h, DURATION_S, RENEW_S, MARGIN_S) for h in self._holders]
         version, _ = lease.INITIAL[0]
         initial_holder = LeaseHolder("daemon-9", "life-9", "a:9")
-        for each in self._leases:
-            each.record_row(version, initial_holder, self._now)
-            each.record_ended_process(initial_holder.life, self._now)
+        for own in self._leases:
+            own.record_row(version, initial_holder, self._now)
+            own.record_ended_process(initial_holder.life, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Apply a step of the model to the code."""
