--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -14,7 +14,7 @@
 from specification.model import State, Step
 from specification.walks import random_walk
 
-DURATION_S = 3.0
+LEASE_DURATION_SECONDS = 3.0
 RENEW_S = 0.5
 MARGIN_S = 0.3
 ANSWERS_S = 60.0
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._now = 100.0
         self._holders = [LeaseHolder(f"daemon-{d}", f"life-{d}", f"a:{d}") for d in lease.DAEMONS]
-        self._leases = [Lease(h, DURATION_S, RENEW_S, MARGIN_S) for h in self._holders]
+        self._leases = [Lease(h, LEASE_DURATION_SECONDS, RENEW_S, MARGIN_S) for h in self._holders]
         version, _ = lease.INITIAL[0]
         initial_holder = LeaseHolder("daemon-9", "life-9", "a:9")
         for own in self._leases:
@@ -43,7 +43,7 @@
         action, d = match[1], int(match[2])
         version, holder = before[0]
         if action == "lease-ends":
-            self._now += DURATION_S
+            self._now += LEASE_DURATION_SECONDS
         elif action == "decide-to-take":
             self._decide(d, version, holder)
         elif action == "take":
@@ -58,7 +58,7 @@
         own = self._leases[d]
         if holder != lease.NOBODY:
             own.record_row(version, self._holders[holder], self._now)
-            self._now += DURATION_S
+            self._now += LEASE_DURATION_SECONDS
         if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
             raise ConformanceError(
                 f"daemon {d} does not acquire the lease at row version {version}"
@@ -70,7 +70,7 @@
 
     def _renew(self, d: int, version: int, late: bool) -> None:
         own = self._leases[d]
-        sent_at = self._now - DURATION_S if late else self._now
+        sent_at = self._now - LEASE_DURATION_SECONDS if late else self._now
         if own.expected_version != version - 1:
             raise ConformanceError(
                 f"daemon {d} renews at row version {own.expected_version}, not {version - 1}"
