--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -15,7 +15,7 @@
 from specification.walks import random_walk
 
 LEASE_DURATION_SECONDS = 3.0
-RENEW_S = 0.5
+RENEWAL_INTERVAL_SECONDS = 0.5
 MARGIN_S = 0.3
 ANSWERS_S = 60.0
 WALK_STEPS = 40
@@ -28,7 +28,10 @@
     def __init__(self) -> None:
         self._now = 100.0
         self._holders = [LeaseHolder(f"daemon-{d}", f"life-{d}", f"a:{d}") for d in lease.DAEMONS]
-        self._leases = [Lease(h, LEASE_DURATION_SECONDS, RENEW_S, MARGIN_S) for h in self._holders]
+        self._leases = [
+            Lease(h, LEASE_DURATION_SECONDS, RENEWAL_INTERVAL_SECONDS, MARGIN_S)
+            for h in self._holders
+        ]
         version, _ = lease.INITIAL[0]
         initial_holder = LeaseHolder("daemon-9", "life-9", "a:9")
         for own in self._leases:
