--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -16,7 +16,7 @@
 
 LEASE_DURATION_SECONDS = 3.0
 RENEWAL_INTERVAL_SECONDS = 0.5
-MARGIN_S = 0.3
+MARGIN_SECONDS = 0.3
 ANSWERS_S = 60.0
 WALK_STEPS = 40
 LABEL = re.compile(r"([a-z-]+)\((\d)\)")
@@ -29,7 +29,7 @@
         self._now = 100.0
         self._holders = [LeaseHolder(f"daemon-{d}", f"life-{d}", f"a:{d}") for d in lease.DAEMONS]
         self._leases = [
-            Lease(h, LEASE_DURATION_SECONDS, RENEWAL_INTERVAL_SECONDS, MARGIN_S)
+            Lease(h, LEASE_DURATION_SECONDS, RENEWAL_INTERVAL_SECONDS, MARGIN_SECONDS)
             for h in self._holders
         ]
         version, _ = lease.INITIAL[0]
