--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -17,7 +17,7 @@
 LEASE_DURATION_SECONDS = 3.0
 RENEWAL_INTERVAL_SECONDS = 0.5
 MARGIN_SECONDS = 0.3
-ANSWERS_S = 60.0
+STORE_AVAILABLE_SECONDS = 60.0
 WALK_STEPS = 40
 LABEL = re.compile(r"([a-z-]+)\((\d)\)")
 
@@ -62,7 +62,7 @@
         if holder != lease.NOBODY:
             own.record_row(version, self._holders[holder], self._now)
             self._now += LEASE_DURATION_SECONDS
-        if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
+        if own.action(self._now, STORE_AVAILABLE_SECONDS) is not LeaseAction.ACQUIRE:
             raise ConformanceError(
                 f"daemon {d} does not acquire the lease at row version {version}"
             )
