--- a/specification/voters.py
+++ b/specification/voters.py
@@ -151,10 +151,10 @@
     if challenger.recovered is not None:
         return
     newest = _newest(challenger.promises)
-    audience = newest.voters | newest.joint if newest else OLD
+    electorate = newest.voters | newest.joint if newest else OLD
     asked = {name for name, _ in challenger.promises}
     for name, voter in memory:
-        reached = name in audience or ("incarnation-in-quorums" in disabled and name == "A'")
+        reached = name in electorate or ("incarnation-in-quorums" in disabled and name == "A'")
         if not reached or name in asked:
             continue
         held = dict(memory)
