--- a/specification/voters.py
+++ b/specification/voters.py
@@ -104,16 +104,16 @@
     if leader.pending is not None or leader.committed.version >= 3:
         return
     value = leader.committed
-    following = value._replace(version=value.version + 1, joint=NOBODY)
+    next_value = value._replace(version=value.version + 1, joint=NOBODY)
     if not value.intent:
-        proposing = leader._replace(pending=following._replace(intent=True), acks=NOBODY)
+        proposing = leader._replace(pending=next_value._replace(intent=True), acks=NOBODY)
         yield "propose-intent", (memory, restarted, proposing, challenger, settled)
     if restarted and value.voters == OLD:
-        changed = following._replace(voters=NEW, joint=OLD)
+        changed = next_value._replace(voters=NEW, joint=OLD)
         proposing = leader._replace(pending=changed, acks=NOBODY)
         yield "propose-voters", (memory, restarted, proposing, challenger, settled)
     if value.joint:
-        proposing = leader._replace(pending=following, acks=NOBODY)
+        proposing = leader._replace(pending=next_value, acks=NOBODY)
         yield "propose-settled", (memory, restarted, proposing, challenger, settled)
 
 
