--- a/specification/catalog.py
+++ b/specification/catalog.py
@@ -93,8 +93,8 @@
         if len(rows) < MAX_VERSION:
             yield f"write-again({change})", (rows, again, daemons, replaced)
         return
-    ours = rows[operators[o].version - 1] == change
-    phase = ACCEPTED if ours else CONFLICT
+    is_ours = rows[operators[o].version - 1] == change
+    phase = ACCEPTED if is_ours else CONFLICT
     resolved = _put(operators, o, operators[o]._replace(phase=phase))
     yield f"read-back({change})", (rows, resolved, daemons, replaced)
 
