--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.catalog.changes import Kind
+from loomwind.catalog.changes import ObjectKind
 from loomwind.catalog.model import Catalog
 from loomwind.control.cluster_view import (
     cluster_view,
@@ -149,7 +149,7 @@
                 self.fleet.watch(machine.name, machine.address, machine.zone, leaving)
         for machine in self._machines.in_role(MachineRole.DAEMON):
             if machine.state is MachineState.GONE:
-                self._membership.detector.listed_gone(machine.name)
+                self._membership.detector.mark_gone(machine.name)
 
     async def _step(self) -> None:
         """Publish routes, make a plan, commit its intents and send the orders."""
@@ -230,7 +230,7 @@
             self._send_routing(router, update)
 
     def _shares(self) -> dict[str, float]:
-        entries = self._catalog().values(Kind.GROUP)
+        entries = self._catalog().entries_of_kind(ObjectKind.GROUP)
         return {entry.group.name: entry.group.share for entry in entries if entry.group}
 
     def _applications(self) -> tuple[ApplicationRoute, ...]:
--- a/loomwind/membership/detector.py
+++ b/loomwind/membership/detector.py
@@ -1,8 +1,8 @@
-"""Failure detection of daemons: a state machine without I/O. Times in seconds, passed in.
+"""Failure detector for daemons: a state machine without I/O. Callers pass the time in seconds.
 
-Three kinds of evidence: heartbeats heard, connections refused (the host is up and the process is
-gone), and what peers near a suspect found when they probed it. The latter two follow "World Wide
-Failures" (Vogels, 1996); docs/DESIGN.md gives the measurement that speaks for each.
+It uses three kinds of evidence: received heartbeats, refused connections (the host is up, but the
+process has ended), and indirect probes of a suspect by peers near it. The latter two follow "World
+Wide Failures" (Vogels, 1996); docs/DESIGN.md gives the measurements that support each of them.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class MemberState(enum.Enum):
-    """What is believed of a member."""
+    """The state of a member according to the available evidence."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -24,23 +24,23 @@
 class Member(Struct, frozen=True):
     """A member and the evidence about it.
 
-    :param heard_at: when it was last heard, directly or through a peer that reached it.
-    :param refused: whether its host refused a connection since.
-    :param ended: whether its process is known to have ended, rather than just silent.
+    :param last_heard_at: the time of its last message, or of the last successful indirect probe.
+    :param connection_refused: whether its host has refused a connection since its last message.
+    :param process_ended: whether its process is known to have ended; silence alone is no proof.
     """
 
     info: MemberInfo
     state: MemberState
-    heard_at: float
-    refused: bool = False
-    ended: bool = False
+    last_heard_at: float
+    connection_refused: bool = False
+    process_ended: bool = False
 
 
 class DetectorSettings(Struct, frozen=True):
-    """Times of the detector.
+    """Timeouts of the detector, and the evidence that it uses.
 
-    :param trust_refusals: whether a refused connection counts as proof that a process is gone.
-    :param indirect_probes: whether a peer's success in reaching a suspect keeps it from gone.
+    :param trust_refusals: whether a refused connection proves that the process has ended.
+    :param indirect_probes: whether a successful probe by a peer keeps a suspect from being gone.
     """
 
     suspect_after_seconds: float
@@ -50,7 +50,7 @@
 
 
 class Detector:
-    """The members of one cell as one daemon sees them."""
+    """Tracks the state of the other daemons of a cell, as observed by this daemon."""
 
     def __init__(self, settings: DetectorSettings) -> None:
         self._settings = settings
@@ -58,29 +58,31 @@
 
     @property
     def suspect_after_seconds(self) -> float:
-        """Return the silence after which a member is suspected, in seconds."""
+        """Return the time without a heartbeat after which a member is suspected, in seconds."""
         return self._settings.suspect_after_seconds
 
-    def heard(self, info: MemberInfo, now: float) -> bool:
-        """Take in a sign of life.
+    def record_heartbeat(self, info: MemberInfo, now: float) -> bool:
+        """Record a heartbeat, or its answer, from a member.
 
-        :returns: whether the member is new here or came back.
+        :returns: whether the member is new or was gone.
         """
         known = self.members.get(info.identity)
         state = MemberState.LEAVING if info.leaving else MemberState.ALIVE
         self.members[info.identity] = Member(info, state, now)
-        self._retire_earlier_lives(info)
+        self._mark_earlier_incarnations_gone(info)
         return known is None or known.state is MemberState.GONE
 
-    def _retire_earlier_lives(self, info: MemberInfo) -> None:
-        """A name that is heard under a new incarnation has ended its earlier one."""
+    def _mark_earlier_incarnations_gone(self, info: MemberInfo) -> None:
+        """Mark other incarnations of the name as gone: a newer process has replaced them."""
         for identity, member in self.members.items():
             same_name = identity.name == info.identity.name
             if same_name and identity != info.identity:
-                self.members[identity] = structs.replace(member, state=MemberState.GONE, ended=True)
+                self.members[identity] = structs.replace(
+                    member, state=MemberState.GONE, process_ended=True
+                )
 
-    def introduce(self, info: MemberInfo, now: float) -> None:
-        """Take in a member that a peer named, without evidence that it is alive."""
+    def add_unconfirmed(self, info: MemberInfo, now: float) -> None:
+        """Add a member reported by a peer as a suspect, as nothing shows yet that it is alive."""
         if info.identity in self.members:
             return
         newer = any(
@@ -90,56 +92,60 @@
         if not newer:
             self.members[info.identity] = Member(info, MemberState.SUSPECT, now)
 
-    def refused(self, identity: VoterId) -> None:
-        """Note that the member's host refused a connection."""
+    def record_connection_refused(self, identity: VoterId) -> None:
+        """Record that the member's host refused a connection."""
         member = self.members.get(identity)
         if member is not None:
-            ended = member.ended or self._settings.trust_refusals
-            self.members[identity] = structs.replace(member, refused=True, ended=ended)
+            process_ended = member.process_ended or self._settings.trust_refusals
+            self.members[identity] = structs.replace(
+                member, connection_refused=True, process_ended=process_ended
+            )
 
-    def reached_by_peer(self, identity: VoterId, now: float) -> None:
-        """Note that a peer near a suspect reached it: the link is at fault, not the member."""
+    def record_reached_by_peer(self, identity: VoterId, now: float) -> None:
+        """Record that a peer reached a suspect, so only the connection to it has failed."""
         member = self.members.get(identity)
         if self._settings.indirect_probes and member is not None:
-            self.members[identity] = structs.replace(member, heard_at=now)
+            self.members[identity] = structs.replace(member, last_heard_at=now)
 
-    def listed_gone(self, name: str) -> None:
-        """Note that the machine list has a daemon as gone."""
+    def mark_gone(self, name: str) -> None:
+        """Mark a daemon as gone because the machine list says so."""
         for identity, member in self.members.items():
             if identity.name == name:
-                self.members[identity] = structs.replace(member, state=MemberState.GONE, ended=True)
+                self.members[identity] = structs.replace(
+                    member, state=MemberState.GONE, process_ended=True
+                )
 
     def tick(self, now: float) -> list[Member]:
-        """Let time pass.
+        """Update the state of all members for the current time.
 
         :returns: the members whose state changed.
         """
         changed = []
         for identity, member in list(self.members.items()):
-            state = self._judge(member, now)
+            state = self._next_state(member, now)
             if state is not member.state:
                 self.members[identity] = structs.replace(member, state=state)
                 changed.append(self.members[identity])
         return changed
 
-    def _judge(self, member: Member, now: float) -> MemberState:
-        silent = now - member.heard_at
+    def _next_state(self, member: Member, now: float) -> MemberState:
+        silent_seconds = now - member.last_heard_at
         if member.state is MemberState.GONE:
             return MemberState.GONE
-        if member.refused and self._settings.trust_refusals:
+        if member.connection_refused and self._settings.trust_refusals:
             return MemberState.GONE
-        if silent >= self._settings.gone_after_seconds:
+        if silent_seconds >= self._settings.gone_after_seconds:
             return MemberState.GONE
         if member.state is MemberState.LEAVING:
             return MemberState.LEAVING
-        if silent >= self._settings.suspect_after_seconds:
+        if silent_seconds >= self._settings.suspect_after_seconds:
             return MemberState.SUSPECT
         return member.state
 
     def prune(self, now: float, after_seconds: float) -> None:
-        """Forget members that have been gone for long."""
+        """Remove gone members that were last heard more than ``after_seconds`` ago."""
         for identity, member in list(self.members.items()):
-            if member.state is MemberState.GONE and now - member.heard_at > after_seconds:
+            if member.state is MemberState.GONE and now - member.last_heard_at > after_seconds:
                 del self.members[identity]
 
     def in_state(self, *states: MemberState) -> list[Member]:
@@ -147,6 +153,6 @@
         return [m for _, m in sorted(self.members.items()) if m.state in states]
 
     def state_of(self, identity: VoterId) -> MemberState | None:
-        """Return what is believed of a member; None when it is not known."""
+        """Return the state of a member, or None when it is unknown."""
         member = self.members.get(identity)
         return member.state if member else None
--- a/loomwind/membership/service.py
+++ b/loomwind/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership service of a daemon: heartbeats, gossip of members, and probes of suspects."""
+"""Membership service of a daemon: heartbeats, member gossip and indirect probes of suspects."""
 
 import asyncio
 import random
@@ -27,16 +27,17 @@
 
 DigestListener = Callable[[MemberInfo, Digest], None]
 
-FORGET_AFTER_SECONDS = 60.0
-GOSSIP_PEERS = 2
+GONE_RETENTION_SECONDS = 60.0
+GOSSIP_FANOUT = 2
+# Fixed, so that the contacts in other cells do not grow in number with the fleet.
 MAX_REMOTE_CONTACTS = 16
 
 
 class Membership:
-    """Keeps the member view of one daemon.
+    """Maintains a daemon's view of the members of its cell.
 
-    Heartbeats go to all daemons of the own cell; to other cells only a rare one, to a single
-    daemon, so that the work of a daemon does not grow with the number of cells.
+    Heartbeats go to all daemons of the cell. Other cells are contacted only at the gossip interval,
+    one daemon at a time, so that the load on a daemon does not grow with the number of cells.
     """
 
     def __init__(
@@ -51,13 +52,13 @@
         self.leader: MemberInfo | None = None
         self.leader_heard_at = float("-inf")
         self._leader_term = Stamp()
-        self._relay: MemberInfo | None = None
-        self._relay_heard_at = float("-inf")
+        self._leader_relay: MemberInfo | None = None
+        self._leader_relay_heard_at = float("-inf")
         self.digest: Callable[[], Digest] = Digest
         self.is_leader: Callable[[], bool] = bool
         self.on_digest: DigestListener = lambda member, digest: None
         self.on_change: Callable[[], None] = lambda: None
-        self.remote: dict[VoterId, MemberInfo] = {}
+        self.remote_contacts: dict[VoterId, MemberInfo] = {}
         self._seeds = seeds
         self._settings = settings
         self._transport = transport
@@ -71,16 +72,16 @@
 
     @property
     def has_seeds(self) -> bool:
-        """Return whether other daemons are expected."""
+        """Return whether seed addresses of other daemons are configured."""
         return bool(self._seeds)
 
     @property
     def now(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return the time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     def alive(self) -> list[MemberInfo]:
-        """Return the daemons of the cell that are alive, this one among them."""
+        """Return the live daemons of the cell, including this one unless it is leaving."""
         others = [member.info for member in self.detector.in_state(MemberState.ALIVE)]
         own = [] if self.own.leaving else [self.own]
         return sorted([*own, *others])
@@ -91,40 +92,40 @@
         return [member.info for member in self.detector.in_state(*states)]
 
     def hears_leader(self) -> bool:
-        """Return whether this daemon leads, or hears the leader itself."""
+        """Return whether this daemon is the leader, or receives its heartbeats directly."""
         silence = self.now - self.leader_heard_at
         heard = self.leader is not None and silence < self._settings.suspect_after_seconds
         return self.is_leader() or heard
 
     def leader_silence_seconds(self) -> float:
-        """Return how long no leader was heard, directly or of through a peer that hears it."""
+        """Return the time since the last direct or relayed contact with a leader, in seconds."""
         if self.is_leader():
             return 0.0
-        return self.now - max(self.leader_heard_at, self._relay_heard_at)
+        return self.now - max(self.leader_heard_at, self._leader_relay_heard_at)
 
     def controller_contact(self) -> MemberInfo | None:
-        """Return whom to tell what is for the controller: it, or a peer that hears it."""
-        if self.hears_leader() or self._relay is None:
+        """Return where to send messages for the controller: to it, or to a peer that hears it."""
+        if self.hears_leader() or self._leader_relay is None:
             return self.leader
-        return self._relay
+        return self._leader_relay
 
     def find(self, identity: VoterId) -> MemberInfo | None:
-        """Return a member by identity, whatever its state."""
+        """Return a member in any state by its identity, or None when it is unknown."""
         if identity == self.own.identity:
             return self.own
         member = self.detector.members.get(identity)
         return member.info if member else None
 
     async def run(self) -> None:
-        """Send heartbeats and judge members until cancelled."""
+        """Send heartbeats and gossip and update the state of members, until cancelled."""
         next_gossip = 0.0
         while True:
             now = self.now
-            self._beat()
+            self._send_heartbeats()
             if now >= next_gossip:
                 self._gossip()
                 next_gossip = now + constants.MEMBER_GOSSIP_INTERVAL_SECONDS
-            self._judge(now)
+            self._update_states(now)
             await asyncio.sleep(self._settings.heartbeat_seconds)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
@@ -134,67 +135,71 @@
         return task
 
     def heartbeat(self) -> Heartbeat:
-        """Return the heartbeat to send now."""
+        """Return a heartbeat with the current state of this daemon."""
         return Heartbeat(self.own, self.digest(), self.is_leader())
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         message = self.heartbeat()
         for info in self.reachable():
             running = self._heartbeats.get(info.identity)
             if running is None or running.done():
-                self._heartbeats[info.identity] = self._spawn(self._beat_one(info, message))
+                self._heartbeats[info.identity] = self._spawn(self._send_heartbeat(info, message))
 
-    async def _beat_one(self, info: MemberInfo, message: Heartbeat) -> None:
+    async def _send_heartbeat(self, info: MemberInfo, message: Heartbeat) -> None:
         try:
             answer = await self._transport.call(info.address, message)
         except PeerUnreachable as error:
             if error.refused:
-                self.detector.refused(info.identity)
-                self._judge(self.now)
+                self.detector.record_connection_refused(info.identity)
+                self._update_states(self.now)
             elif self.detector.state_of(info.identity) is MemberState.SUSPECT:
-                await self._ask_neighbour(info)
+                await self._probe_indirectly(info)
             return
         if isinstance(answer, HeartbeatAnswer):
-            self._hear(answer.sender, answer.digest)
+            self._record_sender(answer.sender, answer.digest)
 
     def _gossip(self) -> None:
-        """Tell a few daemons about the members, and find new ones through the seeds."""
+        """Send the member list to a few daemons, and contact seeds that are not yet members."""
         known = {info.address for info in self.reachable()} | {self.own.address}
         for address in self._seeds:
             if address not in known:
-                self._spawn(self._greet(address))
+                self._spawn(self._contact(address))
         targets = self.reachable()
         message = MemberList((*self.alive(), *self._sample_remote()))
-        for info in self._random.sample(targets, min(GOSSIP_PEERS, len(targets))):
+        for info in self._random.sample(targets, min(GOSSIP_FANOUT, len(targets))):
             self._transport.send(info.address, message)
         for info in self._sample_remote()[:1]:
-            self._spawn(self._greet(info.address))
+            self._spawn(self._contact(info.address))
 
     def _sample_remote(self) -> list[MemberInfo]:
-        remote = sorted(self.remote.values())
-        return self._random.sample(remote, min(GOSSIP_PEERS, len(remote)))
+        remote_contacts = sorted(self.remote_contacts.values())
+        return self._random.sample(remote_contacts, min(GOSSIP_FANOUT, len(remote_contacts)))
 
-    async def _greet(self, address: str) -> None:
+    async def _contact(self, address: str) -> None:
         try:
             answer = await self._transport.call(address, self.heartbeat())
         except PeerUnreachable:
-            self.remote = {k: v for k, v in self.remote.items() if v.address != address}
+            self.remote_contacts = {
+                k: v for k, v in self.remote_contacts.items() if v.address != address
+            }
             return
         if isinstance(answer, HeartbeatAnswer):
-            self._hear(answer.sender, answer.digest)
+            self._record_sender(answer.sender, answer.digest)
             self._transport.send(address, MemberList((self.own, *self.alive())))
 
     def on_heartbeat(self, message: Heartbeat) -> HeartbeatAnswer:
-        """Take in a heartbeat and answer with the own state."""
-        self._hear(message.sender, message.digest)
+        """Record a heartbeat and answer with the state of this daemon."""
+        self._record_sender(message.sender, message.digest)
         if message.leader and message.sender.cell == self.own.cell:
-            self.hear_leader(message.sender, message.digest.register)
+            self.record_leader(message.sender, message.digest.register)
         return HeartbeatAnswer(self.own, self.digest())
 
-    def hear_leader(self, info: MemberInfo, register: Stamp) -> None:
-        """Note who leads the cell; one of a lower ballot was replaced and does not know it yet.
+    def record_leader(self, info: MemberInfo, register: Stamp) -> None:
+        """Record the leader of the cell. An announcement from an earlier term is ignored.
 
-        :param register: the newest register value that the leader knows.
+        A leader with a lower ballot was replaced and has not noticed it yet.
+
+        :param register: the stamp of the newest register value that the leader has.
         """
         term = Stamp(register.generation, register.ballot)
         if term < self._leader_term:
@@ -205,76 +210,79 @@
         self.leader = info
         self.leader_heard_at = self.now
 
-    def _hear(self, info: MemberInfo, digest: Digest) -> None:
+    def _record_sender(self, info: MemberInfo, digest: Digest) -> None:
         if info.identity == self.own.identity:
             return
         if info.cell == self.own.cell:
-            self._hear_mate(info, digest)
+            self._record_cell_member(info, digest)
         else:
-            self._hear_remote(info)
+            self._record_remote_daemon(info)
         self.on_digest(info, digest)
 
-    def _hear_mate(self, info: MemberInfo, digest: Digest) -> None:
+    def _record_cell_member(self, info: MemberInfo, digest: Digest) -> None:
         leader = self.leader
         if leader is not None and leader.identity.name == info.identity.name:
-            # A leader whose name is heard under another incarnation has ended.
+            # Another incarnation under the leader's name means that the leader's process has ended.
             self.leader = leader if leader.identity == info.identity else None
-        if self.detector.heard(info, self.now):
+        if self.detector.record_heartbeat(info, self.now):
             log_state("member", "alive", name=info.identity.name, zone=info.zone)
             self.on_change()
             self._transport.send(info.address, MemberList(tuple(self.alive())))
         if digest.hears_leader:
-            self._relay = info
-            self._relay_heard_at = self.now
+            self._leader_relay = info
+            self._leader_relay_heard_at = self.now
 
-    def _hear_remote(self, info: MemberInfo) -> None:
-        same_name = [k for k in self.remote if k.name == info.identity.name]
+    def _record_remote_daemon(self, info: MemberInfo) -> None:
+        same_name = [k for k in self.remote_contacts if k.name == info.identity.name]
         for identity in same_name:
-            del self.remote[identity]
-        self._keep_remote(info)
-
-    def _keep_remote(self, info: MemberInfo) -> None:
-        """Keep a daemon of another cell as a contact; their number does not grow with the fleet."""
-        if len(self.remote) >= MAX_REMOTE_CONTACTS and info.identity not in self.remote:
-            del self.remote[self._random.choice(sorted(self.remote))]
-        self.remote[info.identity] = info
+            del self.remote_contacts[identity]
+        self._add_remote_contact(info)
+
+    def _add_remote_contact(self, info: MemberInfo) -> None:
+        """Add a daemon of another cell as a contact, replacing a random one at the limit."""
+        if (
+            len(self.remote_contacts) >= MAX_REMOTE_CONTACTS
+            and info.identity not in self.remote_contacts
+        ):
+            del self.remote_contacts[self._random.choice(sorted(self.remote_contacts))]
+        self.remote_contacts[info.identity] = info
 
     def on_member_list(self, message: MemberList) -> None:
-        """Take in members that a peer knows."""
+        """Add the members that a peer reports."""
         for info in message.members:
             if info.identity == self.own.identity:
                 continue
             if info.cell == self.own.cell:
-                self.detector.introduce(info, self.now)
-            elif len(self.remote) < MAX_REMOTE_CONTACTS:
-                self.remote.setdefault(info.identity, info)
+                self.detector.add_unconfirmed(info, self.now)
+            elif len(self.remote_contacts) < MAX_REMOTE_CONTACTS:
+                self.remote_contacts.setdefault(info.identity, info)
 
     async def on_probe(self, message: ProbeRequest) -> ProbeAnswer:
-        """Try to reach a suspect for a peer."""
+        """Probe a suspect on behalf of a peer."""
         try:
             await self._transport.call(message.suspect.address, self.heartbeat())
         except PeerUnreachable as error:
             return ProbeAnswer(reached=False, refused=error.refused)
         return ProbeAnswer(reached=True, refused=False)
 
-    def _judge(self, now: float) -> None:
+    def _update_states(self, now: float) -> None:
         changed = self.detector.tick(now)
         if changed:
             self.on_change()
         for member in changed:
             log_state("member", member.state.value, name=member.info.identity.name)
             if member.state is MemberState.SUSPECT:
-                self._spawn(self._ask_neighbour(member.info))
+                self._spawn(self._probe_indirectly(member.info))
             if member.state is MemberState.GONE:
                 self._transport.disconnect(member.info.address)
                 if self.leader is not None and self.leader.identity == member.info.identity:
                     self.leader = None
-        self.detector.prune(now, FORGET_AFTER_SECONDS)
+        self.detector.prune(now, GONE_RETENTION_SECONDS)
         for state in MemberState:
             self._metrics.members.labels(state.value).set(len(self.detector.in_state(state)))
 
-    async def _ask_neighbour(self, suspect: MemberInfo) -> None:
-        """Ask a daemon of the suspect's zone, or any other, to probe it."""
+    async def _probe_indirectly(self, suspect: MemberInfo) -> None:
+        """Ask another live daemon, preferably in the suspect's zone, to probe the suspect."""
         others = [info for info in self.alive() if info not in (self.own, suspect)]
         others.sort(key=lambda info: info.zone != suspect.zone)
         for info in others[:1]:
@@ -283,15 +291,15 @@
             except PeerUnreachable:
                 return
             if isinstance(answer, ProbeAnswer) and answer.reached:
-                self.detector.reached_by_peer(suspect.identity, self.now)
+                self.detector.record_reached_by_peer(suspect.identity, self.now)
 
-    def announce_leading(self) -> None:
-        """Tell all peers at once that this daemon leads, so that none campaigns against it."""
-        self.hear_leader(self.own, self.digest().register)
+    def announce_leadership(self) -> None:
+        """Send heartbeats to all peers at once, so that none of them starts an election."""
+        self.record_leader(self.own, self.digest().register)
         self._heartbeats.clear()
-        self._beat()
+        self._send_heartbeats()
 
     def announce_leaving(self) -> None:
-        """Tell all peers that this daemon is leaving."""
+        """Mark this daemon as leaving and tell all peers."""
         self.own = msgspec.structs.replace(self.own, leaving=True)
-        self._beat()
+        self._send_heartbeats()
--- a/standins/application.py
+++ b/standins/application.py
@@ -1,4 +1,4 @@
-"""Stand-in for an application server: counts each request that it runs, by request id and key."""
+"""Stand-in for an application server that counts executions by idempotency key or request id."""
 
 import asyncio
 from collections import Counter
@@ -15,11 +15,11 @@
 )
 from loomwind.http.messages import Headers
 from loomwind.http.server import Exchange, HttpServer
-from standins.faults import Faults, decode_faults, json_response, pause
+from standins.faults import Faults, apply_delay, decode_faults, json_response
 
 
 class Application:
-    """An application server with faults."""
+    """Application server with injectable faults."""
 
     def __init__(self, name: str, work_seconds: float = 0.0) -> None:
         self.name = name
@@ -43,11 +43,11 @@
             report = StatusReport(self.name, self.faults.leaving, self._running)
             response = json_response(report)
         else:
-            await self._work(exchange)
+            await self._run_request(exchange)
             return
         await exchange.respond(response.status, response.headers, response.body)
 
-    async def _work(self, exchange: Exchange) -> None:
+    async def _run_request(self, exchange: Exchange) -> None:
         request = exchange.request
         assert request is not None
         request_id = request.header(REQUEST_ID_HEADER) or ""
@@ -61,7 +61,7 @@
         self.executions[key] += 1
         self._running += 1
         try:
-            await pause(self.faults, request.path)
+            await apply_delay(self.faults, request.path)
             await asyncio.sleep(self._work_seconds)
         finally:
             self._running -= 1
@@ -81,7 +81,7 @@
 def main(
     name: str = "application", port: int = 0, host: str = "127.0.0.1", work_seconds: float = 0.0
 ) -> None:
-    """Run the application stand-in until it is killed."""
+    """Run the application stand-in until the process is killed."""
     asyncio.run(_serve(Application(name, work_seconds), host, port))
 
 
