--- a/loomwind/engines/client.py
+++ b/loomwind/engines/client.py
@@ -1,10 +1,10 @@
-"""A client for the control half of an engine's protocol."""
+"""Client for the control calls of the engine protocol."""
 
 from typing import TypeVar
 
 import msgspec
 
-from loomwind.engines.errors import EngineAnswerLost, EngineUnreachable
+from loomwind.engines.errors import EngineResponseLost, EngineUnreachable
 from loomwind.engines.protocol import (
     FenceRequest,
     Inventory,
@@ -20,55 +20,64 @@
 
 
 class EngineClient:
-    """Speaks to engines by address."""
+    """Sends control requests to engines by address."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
-    async def fence(self, address: str, request: FenceRequest, timeout: float) -> Inventory:
+    async def fence(self, address: str, request: FenceRequest, timeout_seconds: float) -> Inventory:
         """Raise an engine's fence and return its inventory.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: the fence may have been raised.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: the fence may have been raised.
         """
         body = msgspec.json.encode(request)
-        return await self._post(address, "/v1/fence", body, Inventory, timeout)
+        return await self._post(address, "/v1/fence", body, Inventory, timeout_seconds)
 
-    async def order(self, address: str, order: Order, timeout: float) -> OrderAnswer:
-        """Give an order and return its answer once it is carried out or refused.
+    async def order(self, address: str, order: Order, timeout_seconds: float) -> OrderAnswer:
+        """Send an order and return the answer once the order is executed or refused.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: the order may have been carried out, or may yet be.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: the order may have been executed, or may still be.
         """
         body = msgspec.json.encode(order)
-        return await self._post(address, "/v1/orders", body, OrderAnswer, timeout)
+        return await self._post(address, "/v1/orders", body, OrderAnswer, timeout_seconds)
 
-    async def status(self, address: str, timeout: float) -> StatusReport:
+    async def status(self, address: str, timeout_seconds: float) -> StatusReport:
         """Return an engine's load report.
 
-        :raises EngineUnreachable: nothing was handed over.
-        :raises EngineAnswerLost: no whole answer came.
+        :raises EngineUnreachable: nothing was sent.
+        :raises EngineResponseLost: no complete, valid response was received.
         """
         request = HttpRequest("GET", "/v1/status")
-        return await self._exchange(address, request, StatusReport, timeout)
+        return await self._exchange(address, request, StatusReport, timeout_seconds)
 
     async def _post(
-        self, address: str, path: str, body: bytes, kind: type[Answer], timeout: float
+        self,
+        address: str,
+        path: str,
+        body: bytes,
+        response_type: type[Answer],
+        timeout_seconds: float,
     ) -> Answer:
         headers = (("content-type", "application/json"),)
         return await self._exchange(
-            address, HttpRequest("POST", path, headers, body), kind, timeout
+            address, HttpRequest("POST", path, headers, body), response_type, timeout_seconds
         )
 
     async def _exchange(
-        self, address: str, request: HttpRequest, kind: type[Answer], timeout: float
+        self,
+        address: str,
+        request: HttpRequest,
+        response_type: type[Answer],
+        timeout_seconds: float,
     ) -> Answer:
         try:
-            response = await self._http.request(address, request, timeout)
-            return msgspec.json.decode(response.body, type=kind)
+            response = await self._http.request(address, request, timeout_seconds)
+            return msgspec.json.decode(response.body, type=response_type)
         except ConnectRefused as error:
             raise EngineUnreachable(str(error), refused=True) from error
         except ConnectFailed as error:
             raise EngineUnreachable(str(error)) from error
         except (HttpError, msgspec.MsgspecError) as error:
-            raise EngineAnswerLost(str(error)) from error
+            raise EngineResponseLost(str(error)) from error
