--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about configurations and lists of servers in the store."""
+"""Steps for the configuration and the server list in the store."""
 
 import socket
 import subprocess
@@ -23,8 +23,8 @@
 @then("check-config accepts it")
 def step_check_config(context: Any) -> None:
     command = [sys.executable, "-m", "loomwind", "check-config", str(context.settings_path)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert done.returncode == 0, done.stdout + done.stderr
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert result.returncode == 0, result.stdout + result.stderr
 
 
 @when("a route {name} to {service} is added")
@@ -100,7 +100,7 @@
 @given("a daemon while the store is away")
 def step_daemon_no_store(context: Any) -> None:
     site = pool(context)
-    site.store_fault(mode="busy")
+    site.set_store_faults(mode="busy")
     site.add_daemon("alone")
     daemon = first_daemon(context)
     wait_until(lambda: daemon.ready_status() == 503, "the daemon answers that it is not ready")
