--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -19,7 +19,7 @@
 }
 
 
-def kind_of(value: "pb.Kind.ValueType") -> ObjectKind:
+def to_object_kind(value: "pb.Kind.ValueType") -> ObjectKind:
     """Return the catalog's kind of a schema's one.
 
     :raises InvalidChange: none is given.
@@ -63,4 +63,4 @@
 
     :raises InvalidChange: no kind is given.
     """
-    return ObjectKey(kind_of(kind), name)
+    return ObjectKey(to_object_kind(kind), name)
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import key_of, kind_of, message_of, object_of
+from loomwind.operator.convert import key_of, to_object_kind, message_of, object_of
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
@@ -116,7 +116,7 @@
 
     async def _list(self, request: pb.ListRequest) -> pb.ListReply:
         catalog = self._catalog.catalog
-        entries = catalog.entries_of_kind(kind_of(request.kind))
+        entries = catalog.entries_of_kind(to_object_kind(request.kind))
         objects = [message_of(entry) for entry in entries]
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
