--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -35,7 +35,7 @@
     return names[value]
 
 
-def object_of(message: pb.Object) -> CatalogObject:
+def parse_object(message: pb.Object) -> CatalogObject:
     """Return the object that a message carries.
 
     :raises InvalidChange: it carries none, or one with a value out of range.
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import key_of, to_object_kind, message_of, object_of
+from loomwind.operator.convert import key_of, to_object_kind, message_of, parse_object
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
@@ -99,7 +99,7 @@
         return pb.ChangeReply(version=record.version)
 
     async def _put(self, request: pb.PutRequest) -> pb.ChangeReply:
-        value = object_of(request.object)
+        value = parse_object(request.object)
         key = object_key(value)
         return await self._submit(make_change(request.change_id, key, request.base_version, value))
 
