--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -50,7 +50,7 @@
         raise InvalidChange(f"{field}: {error}") from error
 
 
-def message_of(entry: Entry) -> pb.Object:
+def to_message(entry: Entry) -> pb.Object:
     """Return the message for a catalog entry."""
     value = entry.value
     field = next(name for name, kind in TYPES.items() if isinstance(value, kind))
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import key_of, to_object_kind, message_of, parse_object
+from loomwind.operator.convert import key_of, to_object_kind, to_message, parse_object
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
@@ -112,12 +112,12 @@
         entry = self._catalog.catalog.entries.get(key)
         if entry is None:
             raise NotFound(f"{key.kind.value} {key.name} does not exist")
-        return message_of(entry)
+        return to_message(entry)
 
     async def _list(self, request: pb.ListRequest) -> pb.ListReply:
         catalog = self._catalog.catalog
         entries = catalog.entries_of_kind(to_object_kind(request.kind))
-        objects = [message_of(entry) for entry in entries]
+        objects = [to_message(entry) for entry in entries]
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
     async def _drain(self, request: pb.DrainRequest) -> pb.DrainReply:
