--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -58,7 +58,7 @@
     return ParseDict(raw, pb.Object())
 
 
-def key_of(kind: "pb.Kind.ValueType", name: str) -> ObjectKey:
+def to_object_key(kind: "pb.Kind.ValueType", name: str) -> ObjectKey:
     """Return the catalog's key for a kind and name of the schema.
 
     :raises InvalidChange: no kind is given.
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import key_of, to_object_kind, to_message, parse_object
+from loomwind.operator.convert import to_object_key, to_object_kind, to_message, parse_object
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
@@ -104,11 +104,11 @@
         return await self._submit(make_change(request.change_id, key, request.base_version, value))
 
     async def _delete(self, request: pb.DeleteRequest) -> pb.ChangeReply:
-        key = key_of(request.kind, request.name)
+        key = to_object_key(request.kind, request.name)
         return await self._submit(make_change(request.change_id, key, request.base_version, None))
 
     async def _get(self, request: pb.GetRequest) -> pb.Object:
-        key = key_of(request.kind, request.name)
+        key = to_object_key(request.kind, request.name)
         entry = self._catalog.catalog.entries.get(key)
         if entry is None:
             raise NotFound(f"{key.kind.value} {key.name} does not exist")
