--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -11,7 +11,7 @@
 from loomwind.operator import operator_pb2 as pb
 from loomwind.schema import Adapter, Group, Model, Route
 
-TYPES: dict[str, type[CatalogObject]] = {
+OBJECT_TYPES: dict[str, type[CatalogObject]] = {
     "group": Group,
     "model": Model,
     "adapter": Adapter,
@@ -45,7 +45,7 @@
         raise InvalidChange("no object is given")
     raw: dict[str, Any] = MessageToDict(getattr(message, field), preserving_proto_field_name=True)
     try:
-        return msgspec.convert(raw, TYPES[field], strict=False)
+        return msgspec.convert(raw, OBJECT_TYPES[field], strict=False)
     except msgspec.ValidationError as error:
         raise InvalidChange(f"{field}: {error}") from error
 
@@ -53,7 +53,7 @@
 def to_message(entry: Entry) -> pb.Object:
     """Return the message for a catalog entry."""
     value = entry.value
-    field = next(name for name, kind in TYPES.items() if isinstance(value, kind))
+    field = next(name for name, kind in OBJECT_TYPES.items() if isinstance(value, kind))
     raw = {"version": entry.version, field: msgspec.to_builtins(value)}
     return ParseDict(raw, pb.Object())
 
