--- a/loomwind/operator/client.py
+++ b/loomwind/operator/client.py
@@ -52,7 +52,7 @@
     exit_status = 2
 
 
-ERRORS: dict[Status, type[OperatorError]] = {
+ERROR_TYPES: dict[Status, type[OperatorError]] = {
     Status.ABORTED: ChangeConflict,
     Status.NOT_FOUND: ObjectNotFound,
     Status.UNAVAILABLE: OperatorUnavailable,
@@ -80,7 +80,7 @@
         try:
             return await method(request, timeout=CALL_TIMEOUT_SECONDS, metadata=self._metadata)
         except GRPCError as error:
-            kind = ERRORS.get(error.status, OperatorError)
+            kind = ERROR_TYPES.get(error.status, OperatorError)
             raise kind(error.message or error.status.name) from error
         except (OSError, StreamTerminatedError, TimeoutError) as error:
             raise OperatorUnavailable(str(error) or type(error).__name__) from error
