--- a/loomwind/operator/client.py
+++ b/loomwind/operator/client.py
@@ -80,8 +80,8 @@
         try:
             return await method(request, timeout=CALL_TIMEOUT_SECONDS, metadata=self._metadata)
         except GRPCError as error:
-            kind = ERROR_TYPES.get(error.status, OperatorError)
-            raise kind(error.message or error.status.name) from error
+            error_type = ERROR_TYPES.get(error.status, OperatorError)
+            raise error_type(error.message or error.status.name) from error
         except (OSError, StreamTerminatedError, TimeoutError) as error:
             raise OperatorUnavailable(str(error) or type(error).__name__) from error
 
