--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -55,7 +55,7 @@
         self._membership = membership
         self._router = router
 
-    async def _answer(self, stream: Stream[Any, Any], act: Callable[[Any], Awaitable[Any]]) -> None:
+    async def _handle(self, stream: Stream[Any, Any], act: Callable[[Any], Awaitable[Any]]) -> None:
         """Read the request, act, and send the reply or the typed error."""
         request = await stream.recv_message()
         try:
@@ -70,27 +70,27 @@
 
     async def Put(self, stream: Stream[pb.PutRequest, pb.ChangeReply]) -> None:
         """Create or replace an object."""
-        await self._answer(stream, self._put)
+        await self._handle(stream, self._put)
 
     async def Delete(self, stream: Stream[pb.DeleteRequest, pb.ChangeReply]) -> None:
         """Delete an object."""
-        await self._answer(stream, self._delete)
+        await self._handle(stream, self._delete)
 
     async def Get(self, stream: Stream[pb.GetRequest, pb.Object]) -> None:
         """Return an object with its version."""
-        await self._answer(stream, self._get)
+        await self._handle(stream, self._get)
 
     async def List(self, stream: Stream[pb.ListRequest, pb.ListReply]) -> None:
         """Return all objects of a kind."""
-        await self._answer(stream, self._list)
+        await self._handle(stream, self._list)
 
     async def Drain(self, stream: Stream[pb.DrainRequest, pb.DrainReply]) -> None:
         """Give a back end no new work, or end that."""
-        await self._answer(stream, self._drain)
+        await self._handle(stream, self._drain)
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
         """Return placements, queues, daemons and the configuration version."""
-        await self._answer(stream, self._status)
+        await self._handle(stream, self._status)
 
     async def _submit(self, change: Change) -> pb.ChangeReply:
         if not change.change_id:
