--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -55,11 +55,13 @@
         self._membership = membership
         self._router = router
 
-    async def _handle(self, stream: Stream[Any, Any], act: Callable[[Any], Awaitable[Any]]) -> None:
+    async def _handle(
+        self, stream: Stream[Any, Any], handler: Callable[[Any], Awaitable[Any]]
+    ) -> None:
         """Read the request, act, and send the reply or the typed error."""
         request = await stream.recv_message()
         try:
-            reply = await act(request)
+            reply = await handler(request)
         except CatalogError as error:
             status = STATUSES.get(type(error), Status.INTERNAL)
             await stream.send_trailing_metadata(
