--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -156,12 +156,12 @@
     def _daemons(self) -> list[pb.DaemonStatus]:
         own = self._membership.own
         own_state = "leaving" if own.leaving else "alive"
-        daemons = [self._daemon(own, own_state)]
+        daemons = [self._daemon_status(own, own_state)]
         for _, member in sorted(self._membership.detector.members.items()):
-            daemons.append(self._daemon(member.info, member.state.value))
+            daemons.append(self._daemon_status(member.info, member.state.value))
         return daemons
 
-    def _daemon(self, info: MemberInfo, state: str) -> pb.DaemonStatus:
+    def _daemon_status(self, info: MemberInfo, state: str) -> pb.DaemonStatus:
         leader = self._membership.leader
         leads = leader is not None and leader.identity == info.identity
         return pb.DaemonStatus(
