--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -150,10 +150,10 @@
             catalog_version=self._catalog.catalog.version,
             replicas=replicas,
             queues=queues,
-            daemons=self._daemons(),
+            daemons=self._daemon_statuses(),
         )
 
-    def _daemons(self) -> list[pb.DaemonStatus]:
+    def _daemon_statuses(self) -> list[pb.DaemonStatus]:
         own = self._membership.own
         own_state = "leaving" if own.leaving else "alive"
         daemons = [self._daemon_status(own, own_state)]
