--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -174,8 +174,8 @@
     expected = f"Bearer {token}".encode()
 
     async def authenticate(event: RecvRequest) -> None:
-        given = str(event.metadata.get("authorization", "")).encode()
-        if not hmac.compare_digest(given, expected):
+        received = str(event.metadata.get("authorization", "")).encode()
+        if not hmac.compare_digest(received, expected):
             raise GRPCError(Status.UNAUTHENTICATED, "the operator token is missing or wrong")
 
     server = Server([service])
