--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -32,7 +32,7 @@
     VoterId,
 )
 from loomwind.metrics import Metrics
-from loomwind.operator.server import OperatorService, operator_server
+from loomwind.operator.server import OperatorService, create_operator_server
 from loomwind.peer_dispatch import PeerDispatch
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
@@ -206,7 +206,7 @@
             log_state("operator", "closed", reason="no operator_token in the settings")
             return None
         service = OperatorService(self.catalog, self.membership, self.router)
-        server = operator_server(service, token)
+        server = create_operator_server(service, token)
         await server.start(*split_address(self.settings.listen.operator))
         return server
 
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -169,7 +169,7 @@
         )
 
 
-def operator_server(service: OperatorService, token: str) -> Server:
+def create_operator_server(service: OperatorService, token: str) -> Server:
     """Return a server that refuses calls without the token."""
     expected = f"Bearer {token}".encode()
 
