--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -31,12 +31,12 @@
         self._address = address
         self._token = token or os.environ.get(TOKEN_VARIABLE, "")
 
-    def run(self, act: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
+    def run(self, operation: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
         """Do calls; a failed one ends the program with its exit status."""
 
         async def call() -> Result:
             async with OperatorClient(self._address, self._token) as client:
-                return await act(client)
+                return await operation(client)
 
         try:
             return asyncio.run(call())
@@ -127,7 +127,7 @@
             fields: the object's fields, such as --share=2.
         """
 
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             present = await self._present(client, str(name))
             row = {**_row(present), **fields} if present else dict(fields)
             row.pop("version", None)
@@ -135,7 +135,7 @@
             base = base_version if base_version >= 0 else (present.version if present else 0)
             return await client.put(change_id or uuid.uuid4().hex, base, self._object(row))
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
     async def _present(self, client: OperatorClient, name: str) -> pb.Object | None:
         try:
@@ -159,13 +159,13 @@
     ) -> None:
         """Delete an object."""
 
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             base = base_version
             if base < 0:
                 base = (await client.get(self._kind, str(name))).version
             return await client.delete(change_id or uuid.uuid4().hex, base, self._kind, str(name))
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
 
 class VersionCommands:
@@ -212,12 +212,12 @@
 
     @staticmethod
     def _change(model: str, change: Callable[[pb.Model], None], address: str, token: str) -> None:
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             found = await client.get(pb.KIND_MODEL, model)
             change(found.model)
             return await client.put(uuid.uuid4().hex, found.version, found)
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
 
 def show_status(address: str, token: str, as_json: bool) -> None:
