--- a/features/support/operator.py
+++ b/features/support/operator.py
@@ -18,10 +18,10 @@
         self._address = address
         self._token = token
 
-    def _run(self, act: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
+    def _run(self, operation: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
         async def call() -> Result:
             async with OperatorClient(self._address, self._token) as client:
-                return await act(client)
+                return await operation(client)
 
         return asyncio.run(call())
 
@@ -42,12 +42,12 @@
     def use_version(self, model: str, version: str) -> int:
         """Make a version the current one of a model."""
 
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             found = await client.get(pb.KIND_MODEL, model)
             found.model.current = version
             return await client.put(uuid.uuid4().hex, found.version, found)
 
-        return self._run(act)
+        return self._run(operation)
 
     def drain(self, backend: str) -> None:
         """Give a back end no new work."""
