--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -128,7 +128,7 @@
         """
 
         async def operation(client: OperatorClient) -> int:
-            present = await self._present(client, str(name))
+            present = await self._get_or_none(client, str(name))
             row = {**_row(present), **fields} if present else dict(fields)
             row.pop("version", None)
             row["prefix" if self._field == "route" else "name"] = str(name)
@@ -137,7 +137,7 @@
 
         print(f"version {Connection(address, token).run(operation)}")
 
-    async def _present(self, client: OperatorClient, name: str) -> pb.Object | None:
+    async def _get_or_none(self, client: OperatorClient, name: str) -> pb.Object | None:
         try:
             return await client.get(self._kind, name)
         except ObjectNotFound:
