--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -128,11 +128,11 @@
         """
 
         async def operation(client: OperatorClient) -> int:
-            present = await self._get_or_none(client, str(name))
-            row = {**_row(present), **fields} if present else dict(fields)
+            existing = await self._get_or_none(client, str(name))
+            row = {**_row(existing), **fields} if existing else dict(fields)
             row.pop("version", None)
             row["prefix" if self._field == "route" else "name"] = str(name)
-            base = base_version if base_version >= 0 else (present.version if present else 0)
+            base = base_version if base_version >= 0 else (existing.version if existing else 0)
             return await client.put(change_id or uuid.uuid4().hex, base, self._object(row))
 
         print(f"version {Connection(address, token).run(operation)}")
