--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -133,7 +133,7 @@
             row.pop("version", None)
             row["prefix" if self._field == "route" else "name"] = str(name)
             base = base_version if base_version >= 0 else (existing.version if existing else 0)
-            return await client.put(change_id or uuid.uuid4().hex, base, self._object(row))
+            return await client.put(change_id or uuid.uuid4().hex, base, self._parse_object(row))
 
         print(f"version {Connection(address, token).run(operation)}")
 
@@ -143,7 +143,7 @@
         except ObjectNotFound:
             return None
 
-    def _object(self, row: dict[str, Any]) -> pb.Object:
+    def _parse_object(self, row: dict[str, Any]) -> pb.Object:
         try:
             return ParseDict({self._field: row}, pb.Object())
         except ParseError as error:
