--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -70,7 +70,7 @@
     )
 
 
-def _row(found: pb.Object) -> dict[str, Any]:
+def _to_row(found: pb.Object) -> dict[str, Any]:
     field = found.WhichOneof("value")
     values = _as_dict(getattr(found, field)) if field else {}
     return {**values, "version": found.version}
@@ -94,7 +94,7 @@
             json: print JSON for programs.
         """
         reply = Connection(address, token).run(lambda client: client.list(self._kind))
-        _show([_row(found) for found in reply.objects], json)
+        _show([_to_row(found) for found in reply.objects], json)
 
     def get(
         self,
@@ -105,7 +105,7 @@
     ) -> None:
         """Show one object with its version."""
         found = Connection(address, token).run(lambda client: client.get(self._kind, str(name)))
-        _show([_row(found)], json)
+        _show([_to_row(found)], json)
 
     def put(
         self,
@@ -129,7 +129,7 @@
 
         async def operation(client: OperatorClient) -> int:
             existing = await self._get_or_none(client, str(name))
-            row = {**_row(existing), **fields} if existing else dict(fields)
+            row = {**_to_row(existing), **fields} if existing else dict(fields)
             row.pop("version", None)
             row["prefix" if self._field == "route" else "name"] = str(name)
             base = base_version if base_version >= 0 else (existing.version if existing else 0)
