--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -64,7 +64,7 @@
     return str(value)
 
 
-def _as_dict(message: Message) -> dict[str, Any]:
+def _to_dict(message: Message) -> dict[str, Any]:
     return MessageToDict(
         message, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
@@ -72,7 +72,7 @@
 
 def _to_row(found: pb.Object) -> dict[str, Any]:
     field = found.WhichOneof("value")
-    values = _as_dict(getattr(found, field)) if field else {}
+    values = _to_dict(getattr(found, field)) if field else {}
     return {**values, "version": found.version}
 
 
@@ -223,7 +223,7 @@
 def show_status(address: str, token: str, as_json: bool) -> None:
     """Print placements, queues, daemons and the configuration version."""
     reply = Connection(address, token).run(lambda client: client.status())
-    status = _as_dict(reply)
+    status = _to_dict(reply)
     if as_json:
         print(json.dumps(status))
         return
