--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -51,14 +51,14 @@
         print("none")
         return
     columns = list(dict.fromkeys(key for row in rows for key in row))
-    lines = [columns, *([_cell(row.get(column, "")) for column in columns] for row in rows)]
+    lines = [columns, *([_format_cell(row.get(column, "")) for column in columns] for row in rows)]
     widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
     for line in lines:
         cells = [cell.ljust(width) for cell, width in zip(line, widths, strict=True)]
         print("  ".join(cells).rstrip())
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list):
         return ",".join(str(v.get("name", v)) if isinstance(v, dict) else str(v) for v in value)
     return str(value)
