--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -94,7 +94,7 @@
             json: print JSON for programs.
         """
         reply = Connection(address, token).run(lambda client: client.list(self._kind))
-        _show([_to_row(found) for found in reply.objects], json)
+        _print_rows([_to_row(found) for found in reply.objects], json)
 
     def get(
         self,
@@ -105,7 +105,7 @@
     ) -> None:
         """Show one object with its version."""
         found = Connection(address, token).run(lambda client: client.get(self._kind, str(name)))
-        _show([_to_row(found)], json)
+        _print_rows([_to_row(found)], json)
 
     def put(
         self,
@@ -239,7 +239,7 @@
     print(f"{backend} {'gets no new work' if leaving else 'takes work again'}")
 
 
-def _show(rows: list[dict[str, Any]], as_json: bool) -> None:
+def _print_rows(rows: list[dict[str, Any]], as_json: bool) -> None:
     if as_json:
         print(json.dumps(rows))
     else:
