--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -194,9 +194,9 @@
         """Remove a version that is not the current one."""
 
         def change(model_message: pb.Model) -> None:
-            kept = [v for v in model_message.versions if v.name != str(version)]
+            remaining = [v for v in model_message.versions if v.name != str(version)]
             del model_message.versions[:]
-            model_message.versions.extend(kept)
+            model_message.versions.extend(remaining)
 
         self._change(model, change, address, token)
 
