--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import to_object_key, to_object_kind, to_message, parse_object
+from loomwind.operator.convert import parse_object, to_message, to_object_key, to_object_kind
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
