--- a/loomwind/operator/__init__.py
+++ b/loomwind/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Operator calls: the published schema ``operator.proto``, generated code, server and client."""
+"""Operator API: the published schema ``operator.proto``, generated code, server and client."""
