--- a/loomwind/operator/client.py
+++ b/loomwind/operator/client.py
@@ -1,4 +1,4 @@
-"""A client for operator calls, with typed errors."""
+"""gRPC client for operator calls, with typed errors."""
 
 from typing import Any
 
@@ -16,14 +16,14 @@
 class OperatorError(LoomwindError):
     """A call failed.
 
-    :param exit_status: what the command line exits with.
+    :cvar exit_status: the exit status of the command line.
     """
 
     exit_status = 1
 
 
 class ChangeConflict(OperatorError):
-    """The object is at another version than the change was based on."""
+    """The change is not based on the current version of the object."""
 
     exit_status = 3
 
@@ -35,7 +35,7 @@
 
 
 class OperatorUnavailable(OperatorError):
-    """The daemon, or the table service behind it, does not answer."""
+    """The daemon or its table service is unavailable."""
 
     exit_status = 5
 
@@ -47,7 +47,7 @@
 
 
 class InvalidArgument(OperatorError):
-    """The call's arguments are not valid."""
+    """The arguments of the call are invalid."""
 
     exit_status = 2
 
@@ -62,7 +62,7 @@
 
 
 class OperatorClient:
-    """Calls one daemon. Use as an asynchronous context manager."""
+    """Calls the operator endpoint of a daemon. Use it as an asynchronous context manager."""
 
     def __init__(self, address: str, token: str) -> None:
         host, _, port = address.rpartition(":")
@@ -94,7 +94,7 @@
     async def delete(
         self, change_id: str, base_version: int, kind: "pb.Kind.ValueType", name: str
     ) -> int:
-        """Delete an object and return the catalog version after it."""
+        """Delete an object and return the resulting catalog version."""
         request = pb.DeleteRequest(
             change_id=change_id, base_version=base_version, kind=kind, name=name
         )
@@ -117,7 +117,7 @@
         return reply
 
     async def drain(self, backend: str, leaving: bool) -> None:
-        """Give a back end no new work, or end that."""
+        """Drain a back end, so that it gets no new requests, or stop draining it."""
         await self._call(self._stub.Drain, pb.DrainRequest(backend=backend, leaving=leaving))
 
     async def status(self) -> pb.StatusReply:
