--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -1,7 +1,8 @@
-"""The operator's command line: ``loomwind group|model|adapter|route ...``, ``drain``, ``status``.
+"""Operator commands: ``loomwind group|model|adapter|route|version ...``, ``drain``, ``status``.
 
-Exit statuses: 0 done, 1 failed, 2 wrong arguments, 3 conflict with another operator, 4 not found,
-5 unavailable (nothing changed, or unknown: repeat with the same --change_id), 6 not authenticated.
+Exit statuses: 0 success, 1 failure, 2 invalid arguments, 3 conflict with another change, 4 not
+found, 5 unavailable, 6 not authenticated. After status 5 a change may have taken effect: repeat it
+with the same --change_id.
 """
 
 import asyncio
@@ -25,14 +26,14 @@
 
 
 class Connection:
-    """Where and how to reach a daemon, from flags and the environment."""
+    """Runs calls to a daemon with the address and token from the flags or the environment."""
 
     def __init__(self, address: str, token: str) -> None:
         self._address = address
         self._token = token or os.environ.get(TOKEN_VARIABLE, "")
 
     def run(self, operation: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
-        """Do calls; a failed one ends the program with its exit status."""
+        """Return the result of an operation; on an error, print it and exit with its status."""
 
         async def call() -> Result:
             async with OperatorClient(self._address, self._token) as client:
@@ -46,7 +47,7 @@
 
 
 def print_table(rows: list[dict[str, Any]]) -> None:
-    """Print rows as a table with a heading; columns in the order of the first row."""
+    """Print rows as a table with a heading; columns are in the order of first appearance."""
     if not rows:
         print("none")
         return
@@ -77,7 +78,7 @@
 
 
 class ObjectCommands:
-    """List, show, put and delete objects of one kind."""
+    """Lists, shows, puts and deletes objects of one kind."""
 
     def __init__(self, field: str, kind: "pb.Kind.ValueType") -> None:
         self._field = field
@@ -90,8 +91,8 @@
 
         Args:
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
-            json: print JSON for programs.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
+            json: print JSON instead of text.
         """
         reply = Connection(address, token).run(lambda client: client.list(self._kind))
         _print_rows([_to_row(found) for found in reply.objects], json)
@@ -116,15 +117,15 @@
         token: str = "",
         **fields: Any,
     ) -> None:
-        """Create or change an object. Fields not given keep their values.
+        """Create or change an object. Fields that are not given keep their values.
 
         Args:
-            name: its name (a route's prefix).
-            base_version: the version the change is based on; without it, the present one.
-            change_id: choose one to be able to repeat a call whose answer was lost.
+            name: the name of the object (the prefix of a route).
+            base_version: the version that the change is based on; default: the current one.
+            change_id: an ID that makes it safe to repeat the call; default: a random one.
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
-            fields: the object's fields, such as --share=2.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
+            fields: the fields of the object, such as --share=2.
         """
 
         async def operation(client: OperatorClient) -> int:
@@ -169,7 +170,7 @@
 
 
 class VersionCommands:
-    """Add, remove and choose versions of a model."""
+    """Adds and removes versions of a model, and selects the current one."""
 
     def add(
         self,
@@ -234,7 +235,7 @@
 
 
 def set_drain(backend: str, leaving: bool, address: str, token: str) -> None:
-    """Give a back end no new work, or end that."""
+    """Drain a back end, so that it gets no new requests, or stop draining it."""
     Connection(address, token).run(lambda client: client.drain(backend, leaving))
     print(f"{backend} {'gets no new work' if leaving else 'takes work again'}")
 
