--- a/loomwind/operator/convert.py
+++ b/loomwind/operator/convert.py
@@ -1,4 +1,4 @@
-"""Turns messages of the published schema into the types of ``loomwind.schema`` and back."""
+"""Converts between the operator API's messages and the types of ``loomwind.schema``."""
 
 from typing import Any
 
@@ -20,9 +20,9 @@
 
 
 def to_object_kind(value: "pb.Kind.ValueType") -> ObjectKind:
-    """Return the catalog's kind of a schema's one.
+    """Return the catalog's object kind for a kind of the API.
 
-    :raises InvalidChange: none is given.
+    :raises InvalidChange: no kind is given.
     """
     names = {
         pb.KIND_GROUP: ObjectKind.GROUP,
@@ -36,9 +36,9 @@
 
 
 def parse_object(message: pb.Object) -> CatalogObject:
-    """Return the object that a message carries.
+    """Return the catalog object in a message.
 
-    :raises InvalidChange: it carries none, or one with a value out of range.
+    :raises InvalidChange: the message has no object, or one with an invalid value.
     """
     field = message.WhichOneof("value")
     if field is None:
@@ -51,7 +51,7 @@
 
 
 def to_message(entry: Entry) -> pb.Object:
-    """Return the message for a catalog entry."""
+    """Return the API message for a catalog entry."""
     value = entry.value
     field = next(name for name, kind in OBJECT_TYPES.items() if isinstance(value, kind))
     raw = {"version": entry.version, field: msgspec.to_builtins(value)}
@@ -59,7 +59,7 @@
 
 
 def to_object_key(kind: "pb.Kind.ValueType", name: str) -> ObjectKey:
-    """Return the catalog's key for a kind and name of the schema.
+    """Return the catalog key for a kind and name of the API.
 
     :raises InvalidChange: no kind is given.
     """
