--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -1,4 +1,4 @@
-"""The operator endpoint of a daemon: gRPC over asyncio, guarded by a token."""
+"""Operator endpoint of a daemon: a gRPC server on asyncio with token authentication."""
 
 import hmac
 import uuid
@@ -39,7 +39,7 @@
 
 
 def error_metadata(error: CatalogError) -> dict[str, str]:
-    """Return what an error says besides its text."""
+    """Return the trailing metadata for an error."""
     if isinstance(error, Conflict):
         return {CURRENT_VERSION_KEY: str(error.current_version)}
     if isinstance(error, CatalogUnavailable) and error.outcome_unknown:
@@ -48,7 +48,7 @@
 
 
 class OperatorService(OperatorBase):
-    """Answers operators from this daemon's catalog and views."""
+    """Handles operator calls with this daemon's catalog, membership and routing table."""
 
     def __init__(self, catalog: CatalogService, membership: Membership, router: Router) -> None:
         self._catalog = catalog
@@ -58,7 +58,7 @@
     async def _handle(
         self, stream: Stream[Any, Any], handler: Callable[[Any], Awaitable[Any]]
     ) -> None:
-        """Read the request, act, and send the reply or the typed error."""
+        """Read the request, run the handler, and send its reply or the status of its error."""
         request = await stream.recv_message()
         try:
             reply = await handler(request)
@@ -87,7 +87,7 @@
         await self._handle(stream, self._list)
 
     async def Drain(self, stream: Stream[pb.DrainRequest, pb.DrainReply]) -> None:
-        """Give a back end no new work, or end that."""
+        """Drain a back end, so that it gets no new requests, or stop draining it."""
         await self._handle(stream, self._drain)
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
@@ -170,7 +170,7 @@
 
 
 def create_operator_server(service: OperatorService, token: str) -> Server:
-    """Return a server that refuses calls without the token."""
+    """Return a server that rejects calls without the operator token."""
     expected = f"Bearer {token}".encode()
 
     async def authenticate(event: RecvRequest) -> None:
