--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,11 +1,11 @@
-Feature: An accepted configuration is in force everywhere and never reverts
+Feature: An accepted configuration change reaches every daemon and is never reverted
 
-  Scenario: changes are in force on every daemon
+  Scenario: changes reach every daemon
     Given a site of 3 daemons and 1 engines
     When an operator creates 20 groups through different daemons
     Then all daemons have the same catalog version, at least 20 higher
 
-  Scenario: operators race with conflicting changes
+  Scenario: operators make conflicting changes at the same time
     Given a site of 3 daemons and 1 engines
     When 6 operators change the share of group school at the same version
     Then exactly 1 of the changes is accepted and the others are conflicts
@@ -18,11 +18,11 @@
     Then the change is refused as unavailable
     And no daemon shows group late
 
-  Scenario: the answer is lost after the change took effect
+  Scenario: the response is lost after the change took effect
     Given a site of 3 daemons and 1 engines
-    When the platform loses the answers to writes
+    When the platform loses the responses to writes
     And an operator tries with change id c-1 to create group late
-    And the platform answers again
+    And the platform responds again
     And the operator repeats the change with change id c-1 through another daemon
     Then group late was created once, and all daemons show it
 
@@ -34,7 +34,7 @@
     And the daemon daemon-4 is started
     Then daemon-4 has the catalog version of the others when it is ready
 
-  Scenario: a zone is cut off and comes back
+  Scenario: a zone is cut off and reconnected
     Given a site of 3 daemons and 3 engines whose zone-c can be cut off
     When zone-c is cut off
     And an operator creates 3 groups through daemon-1
@@ -47,12 +47,12 @@
     When an operator with a wrong token lists the groups
     Then the call is refused as not authenticated
 
-  Scenario: a version change leaves no gap
+  Scenario: a version change does not interrupt the service
     Given model tutor of 4000 MiB that loads in 2 s, at most 1 replicas
     And a site of 2 daemons and 2 engines
     When 2 callers ask each daemon for tutor
     And an operator makes v2 the current version of tutor
-    And callers ask for tutor one after the other until v2 answers
+    And callers ask for tutor one after the other until v2 responds
     Then every reply has status 200
     And no caller waited for the load
     And at most 1 replicas of tutor@v2 were loaded at once
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps of operators: changes, conflicts, lost answers, what daemons show."""
+"""Steps for operator calls: changes, conflicts, lost responses, and the resulting catalogs."""
 
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
@@ -125,12 +125,12 @@
         raise AssertionError(found)
 
 
-@when("the platform loses the answers to writes")
+@when("the platform loses the responses to writes")
 def step_lose_writes(context: Any) -> None:
     context.site.platform.fault(lose_answers=True, matches="/table/catalog")
 
 
-@when("the platform answers again")
+@when("the platform responds again")
 def step_answers(context: Any) -> None:
     context.site.platform.fault()
 
@@ -181,7 +181,7 @@
     client_for(daemons_of(context.site)[0]).use_version(model, version)
 
 
-@when("callers ask for {model} one after the other until {version} answers")
+@when("callers ask for {model} one after the other until {version} responds")
 def step_until(context: Any, model: str, version: str) -> None:
     site: Site = context.site
     context.waits = []
@@ -195,11 +195,11 @@
         wanted = f"{model}@{version}"
         return any(h["busy_seconds"] > 0 for h in site.holdings(wanted))
 
-    wait_until(answered_by_new, f"{version} answers")
+    wait_until(answered_by_new, f"{version} responds")
 
 
 @then("no caller waited for the load")
 def step_no_wait(context: Any) -> None:
-    """The load takes as long as its settings say; each answer took less than half of that."""
+    """Check that each response took less than half of the configured load time."""
     load = context.site.catalog["models"][0]["versions"][0]["load_seconds"]
     assert max(context.waits) < load / 2, context.waits
--- a/features/support/operator.py
+++ b/features/support/operator.py
@@ -1,4 +1,4 @@
-"""Blocking operator calls for steps."""
+"""Blocking operator calls for test steps."""
 
 import asyncio
 import uuid
@@ -12,7 +12,7 @@
 
 
 class Operator:
-    """An operator at one daemon."""
+    """Makes operator calls to one daemon."""
 
     def __init__(self, address: str, token: str) -> None:
         self._address = address
@@ -40,7 +40,7 @@
         return self._run(lambda client: client.list(pb.KIND_GROUP))
 
     def use_version(self, model: str, version: str) -> int:
-        """Make a version the current one of a model."""
+        """Make a version the current one of a model and return the model's new version."""
 
         async def operation(client: OperatorClient) -> int:
             found = await client.get(pb.KIND_MODEL, model)
@@ -50,7 +50,7 @@
         return self._run(operation)
 
     def drain(self, backend: str) -> None:
-        """Give a back end no new work."""
+        """Drain a back end, so that it gets no new requests."""
         self._run(lambda client: client.drain(backend, True))
 
     def status(self) -> pb.StatusReply:
