--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -150,7 +150,7 @@
 @when("the daemon {name} is started")
 def step_start(context: Any, name: str) -> None:
     site: Site = context.site
-    context.others = max(versions(site))
+    context.expected_version = max(versions(site))
     site.daemons[name] = context.spare
     site.start_daemon(context.spare)
 
@@ -159,7 +159,7 @@
 def step_learned(context: Any, name: str) -> None:
     daemon = context.site.daemons[name]
     wait_until(lambda: bool(daemon.ready), f"{name} is ready")
-    assert daemon.metric("loomwind_catalog_version") == context.others
+    assert daemon.metric("loomwind_catalog_version") == context.expected_version
 
 
 @when("an operator with a wrong token lists the groups")
