--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -19,14 +19,14 @@
 )
 
 
-def daemons_of(site: Site) -> list[DaemonProcess]:
+def all_daemons(site: Site) -> list[DaemonProcess]:
     """Return all daemons."""
     return list(site.daemons.values())
 
 
 def versions(site: Site) -> list[int]:
     """Return the catalog version of each daemon."""
-    return [int(d.metric("loomwind_catalog_version")) for d in daemons_of(site)]
+    return [int(d.metric("loomwind_catalog_version")) for d in all_daemons(site)]
 
 
 @when("an operator creates {count:d} groups through different daemons")
@@ -34,7 +34,7 @@
     site: Site = context.site
     context.version_before = max(versions(site))
     for number in range(count):
-        daemon = daemons_of(site)[number % len(site.daemons)]
+        daemon = all_daemons(site)[number % len(site.daemons)]
         client_for(daemon).put_group(f"group-{number}", 1.0 + number)
 
 
@@ -63,10 +63,10 @@
 @when("{count:d} operators change the share of group {name} at the same version")
 def step_race(context: Any, count: int, name: str) -> None:
     site: Site = context.site
-    base = client_for(daemons_of(site)[0]).group(name).version
+    base = client_for(all_daemons(site)[0]).group(name).version
 
     def change(number: int) -> float | None:
-        daemon = daemons_of(site)[number % len(site.daemons)]
+        daemon = all_daemons(site)[number % len(site.daemons)]
         try:
             client_for(daemon).put_group(name, 2.0 + number, base)
         except ChangeConflict:
@@ -89,7 +89,7 @@
     wait_until(
         lambda: all(
             client_for(d).group("school").group.share == context.accepted
-            for d in daemons_of(context.site)
+            for d in all_daemons(context.site)
         ),
         "all daemons show the accepted share",
     )
@@ -105,7 +105,7 @@
     context.version_before = max(versions(context.site))
     context.error = None
     try:
-        client_for(daemons_of(context.site)[0]).put_group(name, 1.0, change_id=change)
+        client_for(all_daemons(context.site)[0]).put_group(name, 1.0, change_id=change)
     except OperatorError as error:
         context.error = error
 
@@ -117,7 +117,7 @@
 
 @then("no daemon shows group {name}")
 def step_not_shown(context: Any, name: str) -> None:
-    for daemon in daemons_of(context.site):
+    for daemon in all_daemons(context.site):
         try:
             found = client_for(daemon).group(name)
         except ObjectNotFound:
@@ -137,14 +137,14 @@
 
 @when("the operator repeats the change with change id {change} through another daemon")
 def step_repeat(context: Any, change: str) -> None:
-    client_for(daemons_of(context.site)[1]).put_group("late", 1.0, change_id=change)
+    client_for(all_daemons(context.site)[1]).put_group("late", 1.0, change_id=change)
 
 
 @then("group {name} was created once, and all daemons show it")
 def step_created_once(context: Any, name: str) -> None:
     site: Site = context.site
     wait_until(lambda: set(versions(site)) == {context.version_before + 1}, "one version was added")
-    assert all(client_for(d).group(name).group.name == name for d in daemons_of(site))
+    assert all(client_for(d).group(name).group.name == name for d in all_daemons(site))
 
 
 @when("the daemon {name} is started")
@@ -166,7 +166,7 @@
 def step_wrong_token(context: Any) -> None:
     context.error = None
     try:
-        client_for(daemons_of(context.site)[0], "not-the-token").groups()
+        client_for(all_daemons(context.site)[0], "not-the-token").groups()
     except OperatorError as error:
         context.error = error
 
@@ -178,7 +178,7 @@
 
 @when("an operator makes {version} the current version of {model}")
 def step_use(context: Any, version: str, model: str) -> None:
-    client_for(daemons_of(context.site)[0]).use_version(model, version)
+    client_for(all_daemons(context.site)[0]).use_version(model, version)
 
 
 @when("callers ask for {model} one after the other until {version} responds")
@@ -187,7 +187,7 @@
     context.waits = []
 
     def answered_by_new() -> bool:
-        request = chat(daemons_of(site)[0].address, model)
+        request = chat(all_daemons(site)[0].address, model)
         reply = send(request)
         context.replies.append(reply)
         context.waits.append(reply.seconds)
