--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -24,7 +24,7 @@
     return list(site.daemons.values())
 
 
-def versions(site: Site) -> list[int]:
+def catalog_versions(site: Site) -> list[int]:
     """Return the catalog version of each daemon."""
     return [int(d.metric("loomwind_catalog_version")) for d in all_daemons(site)]
 
@@ -32,7 +32,7 @@
 @when("an operator creates {count:d} groups through different daemons")
 def step_create(context: Any, count: int) -> None:
     site: Site = context.site
-    context.version_before = max(versions(site))
+    context.version_before = max(catalog_versions(site))
     for number in range(count):
         daemon = all_daemons(site)[number % len(site.daemons)]
         client_for(daemon).put_group(f"group-{number}", 1.0 + number)
@@ -40,7 +40,7 @@
 
 @when("an operator creates {count:d} groups through {name}")
 def step_create_at(context: Any, count: int, name: str) -> None:
-    context.version_before = max(versions(context.site))
+    context.version_before = max(catalog_versions(context.site))
     for number in range(count):
         client_for(context.site.daemons[name]).put_group(f"cut-{number}", 1.0)
 
@@ -50,14 +50,14 @@
     site: Site = context.site
     wanted = context.version_before + count
     wait_until(
-        lambda: len(set(versions(site))) == 1 and versions(site)[0] >= wanted,
+        lambda: len(set(catalog_versions(site))) == 1 and catalog_versions(site)[0] >= wanted,
         "all daemons have the newest version",
     )
 
 
 @then("no daemon ever showed a lower catalog version")
 def step_never_lower(context: Any) -> None:
-    assert min(versions(context.site)) >= context.version_before
+    assert min(catalog_versions(context.site)) >= context.version_before
 
 
 @when("{count:d} operators change the share of group {name} at the same version")
@@ -102,7 +102,7 @@
 
 @when("an operator tries with change id {change} to create group {name}")
 def step_try_id(context: Any, name: str, change: str) -> None:
-    context.version_before = max(versions(context.site))
+    context.version_before = max(catalog_versions(context.site))
     context.error = None
     try:
         client_for(all_daemons(context.site)[0]).put_group(name, 1.0, change_id=change)
@@ -143,14 +143,16 @@
 @then("group {name} was created once, and all daemons show it")
 def step_created_once(context: Any, name: str) -> None:
     site: Site = context.site
-    wait_until(lambda: set(versions(site)) == {context.version_before + 1}, "one version was added")
+    wait_until(
+        lambda: set(catalog_versions(site)) == {context.version_before + 1}, "one version was added"
+    )
     assert all(client_for(d).group(name).group.name == name for d in all_daemons(site))
 
 
 @when("the daemon {name} is started")
 def step_start(context: Any, name: str) -> None:
     site: Site = context.site
-    context.expected_version = max(versions(site))
+    context.expected_version = max(catalog_versions(site))
     site.daemons[name] = context.spare
     site.start_daemon(context.spare)
 
