--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -188,7 +188,7 @@
     site: Site = context.site
     context.waits = []
 
-    def answered_by_new() -> bool:
+    def new_version_responds() -> bool:
         request = chat(all_daemons(site)[0].address, model)
         reply = send(request)
         context.replies.append(reply)
@@ -197,7 +197,7 @@
         wanted = f"{model}@{version}"
         return any(h["busy_seconds"] > 0 for h in site.holdings(wanted))
 
-    wait_until(answered_by_new, f"{version} responds")
+    wait_until(new_version_responds, f"{version} responds")
 
 
 @then("no caller waited for the load")
