--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -48,9 +48,11 @@
 @then("all daemons have the same catalog version, at least {count:d} higher")
 def step_same_version(context: Any, count: int) -> None:
     site: Site = context.site
-    wanted = context.version_before + count
+    expected_version = context.version_before + count
     wait_until(
-        lambda: len(set(catalog_versions(site))) == 1 and catalog_versions(site)[0] >= wanted,
+        lambda: (
+            len(set(catalog_versions(site))) == 1 and catalog_versions(site)[0] >= expected_version
+        ),
         "all daemons have the newest version",
     )
 
@@ -194,8 +196,8 @@
         context.replies.append(reply)
         context.waits.append(reply.seconds)
         assert reply.text() == expected_text(request)
-        wanted = f"{model}@{version}"
-        return any(h["busy_seconds"] > 0 for h in site.holdings(wanted))
+        expected_version = f"{model}@{version}"
+        return any(h["busy_seconds"] > 0 for h in site.holdings(expected_version))
 
     wait_until(new_version_responds, f"{version} responds")
 
