--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a pool that daemons serve by a store."""
+"""Steps for pools of servers that daemons serve with the metadata store."""
 
 import signal
 import time
@@ -6,13 +6,13 @@
 
 from behave import given, then, when
 
-from features.support.caller import Reply, read_part_and_leave
+from features.support.caller import Reply, disconnect_during_response
 from features.support.pool_site import PoolDaemonProcess, PoolSite
 from features.support.processes import wait_until
 
 
 def pool(context: Any) -> PoolSite:
-    """Return the scenario's site, made when first asked for."""
+    """Return the site of the scenario; the first call creates it."""
     if context.pool is None:
         context.pool = PoolSite()
     site: PoolSite = context.pool
@@ -20,12 +20,12 @@
 
 
 def first_daemon(context: Any) -> PoolDaemonProcess:
-    """Return the first daemon."""
+    """Return the daemon that was added first."""
     return next(iter(pool(context).daemons.values()))
 
 
 def replies_of(context: Any) -> list[Reply]:
-    """Return all replies, waiting for those that are still out."""
+    """Wait for pending replies and return all replies of the scenario."""
     context.replies += pool(context).callers.finish()
     replies: list[Reply] = context.replies
     return replies
@@ -59,16 +59,16 @@
 @given("the store has faults {faults}")
 @when("the store has faults {faults}")
 def step_store_faults(context: Any, faults: str) -> None:
-    pool(context).store_fault(**parse_faults(faults))
+    pool(context).set_store_faults(**parse_faults(faults))
 
 
 @when("the store is well again")
 def step_store_well(context: Any) -> None:
-    pool(context).store_fault()
+    pool(context).set_store_faults()
 
 
 def parse_faults(text: str) -> dict[str, object]:
-    """Return ``name=value, name=value`` as a table."""
+    """Parse ``name=value, name=value`` into a dict."""
     faults: dict[str, object] = {}
     for item in text.split(", "):
         name, _, value = item.partition("=")
@@ -210,18 +210,18 @@
 
 @then("no server was ordered beyond its memory")
 def step_no_violation(context: Any) -> None:
-    found = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
-    assert not any(found.values()), found
+    violations = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
+    assert not any(violations.values()), violations
 
 
 @when("a running daemon gets a request on {name} for {target}")
 def step_send_running(context: Any, name: str, target: str) -> None:
     site = pool(context)
-    ended = getattr(context, "old_leader", None)
+    stopped_leader = getattr(context, "old_leader", None)
     running = [
         daemon
         for daemon in site.daemons.values()
-        if daemon is not ended and daemon.process is not None and daemon.process.alive
+        if daemon is not stopped_leader and daemon.process is not None and daemon.process.alive
     ]
     site.callers.begin([site.request(running[0], name, target)])
     replies_of(context)
@@ -239,7 +239,7 @@
     site = pool(context)
     request = site.request(first_daemon(context), "drill", target, 200)
     context.last_request_id = request.headers["x-request-id"]
-    read_part_and_leave(request)
+    disconnect_during_response(request)
 
 
 @then("its work at server {name} is cancelled")
@@ -262,17 +262,17 @@
 
 @given("callers who wait {seconds:d} s for an answer to begin")
 def step_patient(context: Any, seconds: int) -> None:
-    for known in pool(context).routes:
-        known["target-latency-ms"] = 1000 * seconds
+    for route_fields in pool(context).routes:
+        route_fields["target-latency-ms"] = 1000 * seconds
 
 
 @when("the lease of the leader would have ended")
 def step_lease_over(context: Any) -> None:
-    """Wait until the store has refused renewals for two whole leases."""
+    """Wait for twice the lease duration."""
     site = pool(context)
-    began = time.monotonic()
+    started_at = time.monotonic()
     wait_until(
-        lambda: time.monotonic() - began > 2 * site.lease_ms / 1000, "two leases have passed"
+        lambda: time.monotonic() - started_at > 2 * site.lease_ms / 1000, "two leases have passed"
     )
 
 
