--- a/loomwind/operator/commands.py
+++ b/loomwind/operator/commands.py
@@ -1,7 +1,8 @@
-"""The operator's command line: ``loomwind group|model|adapter|route ...``, ``drain``, ``status``.
+"""Operator commands: ``loomwind group|model|adapter|route|version ...``, ``drain``, ``status``.
 
-Exit statuses: 0 done, 1 failed, 2 wrong arguments, 3 conflict with another operator, 4 not found,
-5 unavailable (nothing changed, or unknown: repeat with the same --change_id), 6 not authenticated.
+Exit statuses: 0 success, 1 failure, 2 invalid arguments, 3 conflict with another change, 4 not
+found, 5 unavailable, 6 not authenticated. After status 5 a change may have taken effect: repeat it
+with the same --change_id.
 """
 
 import asyncio
@@ -25,18 +26,18 @@
 
 
 class Connection:
-    """Where and how to reach a daemon, from flags and the environment."""
+    """Runs calls to a daemon with the address and token from the flags or the environment."""
 
     def __init__(self, address: str, token: str) -> None:
         self._address = address
         self._token = token or os.environ.get(TOKEN_VARIABLE, "")
 
-    def run(self, act: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
-        """Do calls; a failed one ends the program with its exit status."""
+    def run(self, operation: Callable[[OperatorClient], Awaitable[Result]]) -> Result:
+        """Return the result of an operation; on an error, print it and exit with its status."""
 
         async def call() -> Result:
             async with OperatorClient(self._address, self._token) as client:
-                return await act(client)
+                return await operation(client)
 
         try:
             return asyncio.run(call())
@@ -46,38 +47,38 @@
 
 
 def print_table(rows: list[dict[str, Any]]) -> None:
-    """Print rows as a table with a heading; columns in the order of the first row."""
+    """Print rows as a table with a heading; columns are in the order of first appearance."""
     if not rows:
         print("none")
         return
     columns = list(dict.fromkeys(key for row in rows for key in row))
-    lines = [columns, *([_cell(row.get(column, "")) for column in columns] for row in rows)]
+    lines = [columns, *([_format_cell(row.get(column, "")) for column in columns] for row in rows)]
     widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
     for line in lines:
         cells = [cell.ljust(width) for cell, width in zip(line, widths, strict=True)]
         print("  ".join(cells).rstrip())
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list):
         return ",".join(str(v.get("name", v)) if isinstance(v, dict) else str(v) for v in value)
     return str(value)
 
 
-def _as_dict(message: Message) -> dict[str, Any]:
+def _to_dict(message: Message) -> dict[str, Any]:
     return MessageToDict(
         message, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
 
 
-def _row(found: pb.Object) -> dict[str, Any]:
+def _to_row(found: pb.Object) -> dict[str, Any]:
     field = found.WhichOneof("value")
-    values = _as_dict(getattr(found, field)) if field else {}
+    values = _to_dict(getattr(found, field)) if field else {}
     return {**values, "version": found.version}
 
 
 class ObjectCommands:
-    """List, show, put and delete objects of one kind."""
+    """Lists, shows, puts and deletes objects of one kind."""
 
     def __init__(self, field: str, kind: "pb.Kind.ValueType") -> None:
         self._field = field
@@ -90,11 +91,11 @@
 
         Args:
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
-            json: print JSON for programs.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
+            json: print JSON instead of text.
         """
         reply = Connection(address, token).run(lambda client: client.list(self._kind))
-        _show([_row(found) for found in reply.objects], json)
+        _print_rows([_to_row(found) for found in reply.objects], json)
 
     def get(
         self,
@@ -105,7 +106,7 @@
     ) -> None:
         """Show one object with its version."""
         found = Connection(address, token).run(lambda client: client.get(self._kind, str(name)))
-        _show([_row(found)], json)
+        _print_rows([_to_row(found)], json)
 
     def put(
         self,
@@ -116,34 +117,34 @@
         token: str = "",
         **fields: Any,
     ) -> None:
-        """Create or change an object. Fields not given keep their values.
+        """Create or change an object. Fields that are not given keep their values.
 
         Args:
-            name: its name (a route's prefix).
-            base_version: the version the change is based on; without it, the present one.
-            change_id: choose one to be able to repeat a call whose answer was lost.
+            name: the name of the object (the prefix of a route).
+            base_version: the version that the change is based on; default: the current one.
+            change_id: an ID that makes it safe to repeat the call; default: a random one.
             address: host:port of any daemon's operator endpoint.
-            token: the operator token; LOOMWIND_OPERATOR_TOKEN without it.
-            fields: the object's fields, such as --share=2.
+            token: the operator token; default: LOOMWIND_OPERATOR_TOKEN.
+            fields: the fields of the object, such as --share=2.
         """
 
-        async def act(client: OperatorClient) -> int:
-            present = await self._present(client, str(name))
-            row = {**_row(present), **fields} if present else dict(fields)
+        async def operation(client: OperatorClient) -> int:
+            existing = await self._get_or_none(client, str(name))
+            row = {**_to_row(existing), **fields} if existing else dict(fields)
             row.pop("version", None)
             row["prefix" if self._field == "route" else "name"] = str(name)
-            base = base_version if base_version >= 0 else (present.version if present else 0)
-            return await client.put(change_id or uuid.uuid4().hex, base, self._object(row))
+            base = base_version if base_version >= 0 else (existing.version if existing else 0)
+            return await client.put(change_id or uuid.uuid4().hex, base, self._parse_object(row))
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
-    async def _present(self, client: OperatorClient, name: str) -> pb.Object | None:
+    async def _get_or_none(self, client: OperatorClient, name: str) -> pb.Object | None:
         try:
             return await client.get(self._kind, name)
         except ObjectNotFound:
             return None
 
-    def _object(self, row: dict[str, Any]) -> pb.Object:
+    def _parse_object(self, row: dict[str, Any]) -> pb.Object:
         try:
             return ParseDict({self._field: row}, pb.Object())
         except ParseError as error:
@@ -159,17 +160,17 @@
     ) -> None:
         """Delete an object."""
 
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             base = base_version
             if base < 0:
                 base = (await client.get(self._kind, str(name))).version
             return await client.delete(change_id or uuid.uuid4().hex, base, self._kind, str(name))
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
 
 class VersionCommands:
-    """Add, remove and choose versions of a model."""
+    """Adds and removes versions of a model, and selects the current one."""
 
     def add(
         self,
@@ -194,9 +195,9 @@
         """Remove a version that is not the current one."""
 
         def change(model_message: pb.Model) -> None:
-            kept = [v for v in model_message.versions if v.name != str(version)]
+            remaining = [v for v in model_message.versions if v.name != str(version)]
             del model_message.versions[:]
-            model_message.versions.extend(kept)
+            model_message.versions.extend(remaining)
 
         self._change(model, change, address, token)
 
@@ -212,18 +213,18 @@
 
     @staticmethod
     def _change(model: str, change: Callable[[pb.Model], None], address: str, token: str) -> None:
-        async def act(client: OperatorClient) -> int:
+        async def operation(client: OperatorClient) -> int:
             found = await client.get(pb.KIND_MODEL, model)
             change(found.model)
             return await client.put(uuid.uuid4().hex, found.version, found)
 
-        print(f"version {Connection(address, token).run(act)}")
+        print(f"version {Connection(address, token).run(operation)}")
 
 
 def show_status(address: str, token: str, as_json: bool) -> None:
     """Print placements, queues, daemons and the configuration version."""
     reply = Connection(address, token).run(lambda client: client.status())
-    status = _as_dict(reply)
+    status = _to_dict(reply)
     if as_json:
         print(json.dumps(status))
         return
@@ -234,12 +235,12 @@
 
 
 def set_drain(backend: str, leaving: bool, address: str, token: str) -> None:
-    """Give a back end no new work, or end that."""
+    """Drain a back end, so that it gets no new requests, or stop draining it."""
     Connection(address, token).run(lambda client: client.drain(backend, leaving))
     print(f"{backend} {'gets no new work' if leaving else 'takes work again'}")
 
 
-def _show(rows: list[dict[str, Any]], as_json: bool) -> None:
+def _print_rows(rows: list[dict[str, Any]], as_json: bool) -> None:
     if as_json:
         print(json.dumps(rows))
     else:
--- a/specification/claims.py
+++ b/specification/claims.py
@@ -1,9 +1,11 @@
-"""A request that may not be repeated runs at most once, and "not run" is never said of a run.
+"""At-most-once execution of non-repeatable requests, and correct reports of "not run".
 
-Two daemons have the same request with the same key. Voters A, B and C record claims; A may die and
-be replaced by A', which first fetches the claims of a majority of the old set, and whoever hands
-them out grants no more in the old epoch. A daemon may die at any point, and the answer of the back
-end may be lost.
+Two daemons have the same request with the same key. Voters A, B and C record claims. A may fail and
+be replaced by A', which first fetches the claims of a majority of the old voter set; a voter that
+has sent its claims grants no more claims in the old epoch. A daemon may crash at any point, and the
+response of the backend may be lost.
+
+Code: ``loomwind/control/claims.py``.
 """
 
 from collections.abc import Iterator
@@ -12,7 +14,7 @@
 from specification.model import Model, Mutation, State, Step
 
 DAEMONS = (0, 1)
-SETS = (("A", "B", "C"), ("A'", "B", "C"))
+VOTER_SETS = (("A", "B", "C"), ("A'", "B", "C"))
 MAJORITY = 2
 CONFLICT = -1
 
@@ -29,7 +31,12 @@
 
 
 class Voter(NamedTuple):
-    """A voter; ``claim`` is the daemon that it granted the key to, or CONFLICT."""
+    """A voter.
+
+    :param claim: the daemon that the key is granted to, or CONFLICT.
+    :param sealed: it has sent its claims, and grants no more in the old epoch.
+    :param ready: it may grant claims.
+    """
 
     claim: int | None = None
     sealed: bool = False
@@ -37,7 +44,11 @@
 
 
 class Daemon(NamedTuple):
-    """A daemon with the request; ``epoch`` is the voter set that it counts in."""
+    """A daemon with the request.
+
+    :param epoch: index of the voter set whose grants it counts.
+    :param handed_over: it has begun to send the request to the backend.
+    """
 
     phase: str = START
     epoch: int = 0
@@ -47,12 +58,12 @@
 
 
 MUTATIONS = (
-    Mutation("claim-majority", "a claim counts only on a majority of the voters"),
+    Mutation("claim-majority", "a claim is valid only if granted by a majority of the voters"),
     Mutation("claim-transfer", "a new voter fetches the claims of a majority of the old set"),
-    Mutation("claim-conflict", "a key that two daemons claimed is granted to nobody any more"),
-    Mutation("claim-seal", "a voter that handed its claims out grants no more in the old epoch"),
-    Mutation("retry-only-not-run", "a request that may have run is not tried again"),
-    Mutation("not-run-only-unsent", "not-run is said only if no byte was handed over"),
+    Mutation("claim-conflict", "a key that two daemons claimed is not granted again"),
+    Mutation("claim-seal", "a voter that sent its claims grants no more in the old epoch"),
+    Mutation("retry-only-not-run", "a request that may have run is not retried"),
+    Mutation("not-run-only-unsent", "not-run is reported only if no byte was sent to the backend"),
 )
 
 FIELDS = ("voters", "fetched", "epoch", "daemons", "runs")
@@ -65,25 +76,25 @@
 )
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
-    yield from _replace_voter(state, left_out)
+    yield from _replace_voter(state, disabled)
     for d in DAEMONS:
-        yield from _claim(state, d, left_out)
+        yield from _claim(state, d, disabled)
         yield from _release(state, d)
-        yield from _run(state, d, left_out)
-        yield from _end(state, d, left_out)
+        yield from _run_request(state, d, disabled)
+        yield from _finish_request(state, d, disabled)
 
 
 def _put(daemons: tuple[Daemon, ...], d: int, daemon: Daemon) -> tuple[Daemon, ...]:
     return (*daemons[:d], daemon, *daemons[d + 1 :])
 
 
-def _set(voters: tuple[Any, ...], name: str, voter: Voter) -> tuple[Any, ...]:
+def _put_voter(voters: tuple[Any, ...], name: str, voter: Voter) -> tuple[Any, ...]:
     return tuple((n, voter if n == name else v) for n, v in voters)
 
 
-def _replace_voter(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def _replace_voter(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
     known = dict(voters)
     if epoch == 1:
@@ -93,94 +104,94 @@
             continue
         source = known[name]
         after = voters
-        if "claim-seal" not in left_out:
-            after = _set(after, name, source._replace(sealed=True))
-        merged = _merge(known["A'"].claim, source.claim, left_out)
-        after = _set(after, "A'", known["A'"]._replace(claim=merged))
-        if "claim-transfer" not in left_out:
+        if "claim-seal" not in disabled:
+            after = _put_voter(after, name, source._replace(sealed=True))
+        merged = _merge(known["A'"].claim, source.claim, disabled)
+        after = _put_voter(after, "A'", known["A'"]._replace(claim=merged))
+        if "claim-transfer" not in disabled:
             yield f"fetch({name})", (after, fetched | {name}, epoch, daemons, runs)
-    enough = len(fetched) >= MAJORITY or "claim-transfer" in left_out
+    enough = len(fetched) >= MAJORITY or "claim-transfer" in disabled
     if enough:
-        ready = _set(voters, "A'", known["A'"]._replace(ready=True))
+        ready = _put_voter(voters, "A'", known["A'"]._replace(ready=True))
         yield "replace(A)", (ready, fetched, 1, daemons, runs)
 
 
-def _merge(held: int | None, fetched: int | None, left_out: frozenset[str]) -> int | None:
-    """Return the claim that a new voter holds after it fetched one more."""
+def _merge(held: int | None, fetched: int | None, disabled: frozenset[str]) -> int | None:
+    """Return the claim of the new voter after it fetched one from another voter."""
     if fetched is None or held is None:
         return held if fetched is None else fetched
-    return fetched if held == fetched or "claim-conflict" in left_out else CONFLICT
+    return fetched if held == fetched or "claim-conflict" in disabled else CONFLICT
 
 
-def _claim(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _claim(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase == START:
-        claiming = me._replace(phase=CLAIMING, granted=frozenset())
+    daemon = daemons[d]
+    if daemon.phase == START:
+        claiming = daemon._replace(phase=CLAIMING, granted=frozenset())
         yield f"begin({d})", (voters, fetched, epoch, _put(daemons, d, claiming), runs)
-    if me.phase == CLAIMING and me.epoch < epoch:
-        moved = me._replace(epoch=epoch, granted=frozenset())
+    if daemon.phase == CLAIMING and daemon.epoch < epoch:
+        moved = daemon._replace(epoch=epoch, granted=frozenset())
         yield f"learn-epoch({d})", (voters, fetched, epoch, _put(daemons, d, moved), runs)
-    if me.phase != CLAIMING:
+    if daemon.phase != CLAIMING:
         return
     known = dict(voters)
-    for name in SETS[me.epoch]:
+    for name in VOTER_SETS[daemon.epoch]:
         voter = known[name]
-        blocked = voter.sealed and me.epoch == 0
-        if not voter.ready or blocked or name in me.granted or voter.claim not in (None, d):
+        blocked = voter.sealed and daemon.epoch == 0
+        if not voter.ready or blocked or name in daemon.granted or voter.claim not in (None, d):
             continue
-        after = _set(voters, name, voter._replace(claim=d))
+        after = _put_voter(voters, name, voter._replace(claim=d))
         if after != voters:
             yield f"grant-lost({d},{name})", (after, fetched, epoch, daemons, runs)
-        granted = me.granted | {name}
-        needed = 1 if "claim-majority" in left_out else MAJORITY
+        granted = daemon.granted | {name}
+        needed = 1 if "claim-majority" in disabled else MAJORITY
         phase = CLAIMED if len(granted) >= needed else CLAIMING
-        counted = me._replace(phase=phase, granted=granted)
+        counted = daemon._replace(phase=phase, granted=granted)
         yield f"grant({d},{name})", (after, fetched, epoch, _put(daemons, d, counted), runs)
 
 
 def _release(state: State, d: int) -> Iterator[Step]:
-    """A daemon gives a vote back: between two rounds of claiming, or after "not run"."""
+    """A daemon releases a grant, while it is claiming or after it reported "not run"."""
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase != CLAIMING and (me.phase != REFUSED or me.handed_over):
+    daemon = daemons[d]
+    if daemon.phase != CLAIMING and (daemon.phase != REFUSED or daemon.handed_over):
         return
     for name, voter in voters:
         if voter.claim == d and name != "A'":
-            after = _set(voters, name, voter._replace(claim=None))
-            given_back = me._replace(granted=me.granted - {name})
-            told = _put(daemons, d, given_back)
-            yield f"release({d},{name})", (after, fetched, epoch, told, runs)
+            after = _put_voter(voters, name, voter._replace(claim=None))
+            updated = daemon._replace(granted=daemon.granted - {name})
+            new_daemons = _put(daemons, d, updated)
+            yield f"release({d},{name})", (after, fetched, epoch, new_daemons, runs)
 
 
-def _run(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _run_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase == CLAIMED:
-        sent = me._replace(phase=SENT, handed_over=True)
+    daemon = daemons[d]
+    if daemon.phase == CLAIMED:
+        sent = daemon._replace(phase=SENT, handed_over=True)
         after = _put(daemons, d, sent)
         ran = (*runs[:d], runs[d] + 1, *runs[d + 1 :])
         yield f"run({d})", (voters, fetched, epoch, after, ran)
         yield f"not-reached({d})", (voters, fetched, epoch, after, runs)
-    if me.phase == SENT:
+    if daemon.phase == SENT:
         if runs[d]:
-            answered = me._replace(phase=ANSWERED)
+            answered = daemon._replace(phase=ANSWERED)
             yield f"answer({d})", (voters, fetched, epoch, _put(daemons, d, answered), runs)
-        if "retry-only-not-run" in left_out and me.tries == 0:
-            again = me._replace(phase=CLAIMED, tries=1)
+        if "retry-only-not-run" in disabled and daemon.tries == 0:
+            again = daemon._replace(phase=CLAIMED, tries=1)
             yield f"retry({d})", (voters, fetched, epoch, _put(daemons, d, again), runs)
 
 
-def _end(state: State, d: int, left_out: frozenset[str]) -> Iterator[Step]:
-    """The deadline passes, or the daemon dies."""
+def _finish_request(state: State, d: int, disabled: frozenset[str]) -> Iterator[Step]:
+    """The deadline of the request passes, or the daemon crashes."""
     voters, fetched, epoch, daemons, runs = state
-    me = daemons[d]
-    if me.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
+    daemon = daemons[d]
+    if daemon.phase in (ANSWERED, REFUSED, UNKNOWN, DEAD):
         return
-    unknown = me.handed_over and "not-run-only-unsent" not in left_out
-    ended = me._replace(phase=UNKNOWN if unknown else REFUSED)
+    unknown = daemon.handed_over and "not-run-only-unsent" not in disabled
+    ended = daemon._replace(phase=UNKNOWN if unknown else REFUSED)
     yield f"refuse({d})", (voters, fetched, epoch, _put(daemons, d, ended), runs)
-    dead = me._replace(phase=DEAD)
+    dead = daemon._replace(phase=DEAD)
     yield f"die({d})", (voters, fetched, epoch, _put(daemons, d, dead), runs)
 
 
@@ -189,7 +200,7 @@
     return sum(runs) <= 1
 
 
-def _not_run_is_true(state: dict[str, Any]) -> bool:
+def _not_run_is_correct(state: dict[str, Any]) -> bool:
     pairs = zip(state["daemons"], state["runs"], strict=True)
     return all(daemon.phase != REFUSED or runs == 0 for daemon, runs in pairs)
 
@@ -201,7 +212,7 @@
     transitions=transitions,
     invariants={
         "a request runs at most once": _runs_at_most_once,
-        "what is said not to have run did not run": _not_run_is_true,
+        "what is said not to have run did not run": _not_run_is_correct,
     },
     mutations=MUTATIONS,
 )
