--- a/bench/faults.py
+++ b/bench/faults.py
@@ -232,7 +232,7 @@
             over_limit=over,
             peak_by_limit=peaks,
             sent=len(self.sent),
-            answered=sum(r.status == 200 and r.whole for r in self.replies),
+            answered=sum(r.status == 200 and r.is_complete for r in self.replies),
             refused=len(refused),
             lost=sum(reply.status == 0 for reply in self.replies),
             run_twice=sum(count > 1 for count in bookings.values()),
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -102,8 +102,8 @@
 
 @then("no answer is whole")
 def step_none_whole(context: Any) -> None:
-    whole = [r for r in finished(context) if r.whole and r.status == 200]
-    assert not whole, describe(whole)
+    complete = [r for r in finished(context) if r.is_complete and r.status == 200]
+    assert not complete, describe(complete)
 
 
 @then("every answer that is not whole says so")
@@ -112,7 +112,7 @@
     for reply in finished(context):
         if is_own_answer(reply, requests[reply.request_id]) or is_refusal(reply):
             continue
-        visible = not reply.whole and b"event: error\ndata: {" in reply.body
+        visible = not reply.is_complete and b"event: error\ndata: {" in reply.body
         assert visible, describe([reply])
 
 
--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -21,7 +21,11 @@
 @then("every reply is complete")
 def step_all_complete(context: Any) -> None:
     for reply in replies_of(context):
-        assert reply.status == 200 and reply.whole, (reply.status, reply.whole, reply.body[:200])
+        assert reply.status == 200 and reply.is_complete, (
+            reply.status,
+            reply.is_complete,
+            reply.body[:200],
+        )
 
 
 @then("{target} was ordered at most once at each server and at no more than {count:d} servers")
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -164,14 +164,18 @@
 def step_events(context: Any, count: int) -> None:
     reply = replies_of(context)[-1]
     ids = [int(line[4:]) for line in reply.body.split(b"\n") if line.startswith(b"id: ")]
-    assert reply.status == 200 and reply.whole, (reply.status, reply.whole, reply.body[:300])
+    assert reply.status == 200 and reply.is_complete, (
+        reply.status,
+        reply.is_complete,
+        reply.body[:300],
+    )
     assert ids == list(range(1, count + 1)), ids
 
 
 @then("the last reply is truncated after a complete event")
 def step_truncated(context: Any) -> None:
     reply = replies_of(context)[-1]
-    assert reply.status == 200 and not reply.whole, (reply.status, reply.whole)
+    assert reply.status == 200 and not reply.is_complete, (reply.status, reply.is_complete)
     assert reply.body == b"" or reply.body.endswith(b"\n\n"), reply.body
 
 
--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -121,6 +121,6 @@
 @then("at least {part:f} of the last good requests were served at the first attempt")
 def step_good_served(context: Any, part: float) -> None:
     replies: list[Reply] = [future.result() for name, future in context.counted if name == "good"]
-    served = [reply for reply in replies if reply.status == 200 and reply.whole]
+    served = [reply for reply in replies if reply.status == 200 and reply.is_complete]
     ends = [(reply.status, reply.body[:60]) for reply in replies if reply not in served]
     assert len(served) >= part * len(replies), (len(served), len(replies), ends)
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -36,7 +36,7 @@
     context.replies += context.site.callers.finish()
     replies: list[Reply] = context.replies
     assert replies, "there are no replies"
-    wrong = [(r.status, r.body[:300]) for r in replies if r.status != status or not r.whole]
+    wrong = [(r.status, r.body[:300]) for r in replies if r.status != status or not r.is_complete]
     assert not wrong, wrong[:3]
 
 
--- a/features/steps/server_partition_steps.py
+++ b/features/steps/server_partition_steps.py
@@ -114,7 +114,7 @@
     for daemon, future in context.attempts:
         reply = future.result()
         is_partitioned = daemon == name
-        good = reply.status == 200 and reply.whole
+        good = reply.status == 200 and reply.is_complete
         sent[is_partitioned] += 1
         served[is_partitioned] += good
         if not good:
--- a/features/steps/silent_server_steps.py
+++ b/features/steps/silent_server_steps.py
@@ -25,9 +25,15 @@
         for request_id, count in server.state()["runs"].items():
             runs[request_id] = runs.get(request_id, 0) + count
     bad = [
-        (reply.status, reply.whole, reply.body[:60], runs.get(reply.request_id), reply.seconds)
+        (
+            reply.status,
+            reply.is_complete,
+            reply.body[:60],
+            runs.get(reply.request_id),
+            reply.seconds,
+        )
         for reply in replies
-        if reply.status != 200 or not reply.whole or runs.get(reply.request_id) != 1
+        if reply.status != 200 or not reply.is_complete or runs.get(reply.request_id) != 1
     ]
     assert not bad, bad
 
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -16,7 +16,7 @@
 class Reply(Struct, frozen=True):
     """A reply as received; ``status`` is 0 if the connection ended without a response.
 
-    :param whole: whether the body was received completely.
+    :param is_complete: whether the body was received completely.
     :param seconds: time until the response head arrived.
     :param timeout_seconds: timeout of the request.
     """
@@ -25,7 +25,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
     seconds: float = 0.0
     timeout_seconds: float = 0.0
 
@@ -112,11 +112,11 @@
         seconds = time.monotonic() - started
         headers = {name.lower(): value for name, value in response.getheaders()}
         try:
-            body, whole = response.read(), True
+            body, is_complete = response.read(), True
         except (http.client.IncompleteRead, OSError) as error:
-            body, whole = getattr(error, "partial", b""), False
+            body, is_complete = getattr(error, "partial", b""), False
         timeout = request.timeout_seconds
-        return Reply(request_id, response.status, headers, body, whole, seconds, timeout)
+        return Reply(request_id, response.status, headers, body, is_complete, seconds, timeout)
     except (OSError, http.client.HTTPException):
         return Reply(request_id, 0, {}, b"", False)
     finally:
--- a/features/support/checking.py
+++ b/features/support/checking.py
@@ -16,7 +16,7 @@
 
 def is_own_answer(reply: Reply, request: Request) -> bool:
     """Return whether a reply is the whole answer to a request."""
-    if reply.status != 200 or not reply.whole:
+    if reply.status != 200 or not reply.is_complete:
         return False
     return reply.text() == expected_text(request)
 
@@ -33,4 +33,4 @@
 
 def describe(replies: list[Reply]) -> list[object]:
     """Return the first few replies in short, for a failure's text."""
-    return [(r.status, r.outcome, r.whole, r.body[-200:]) for r in replies[:4]]
+    return [(r.status, r.outcome, r.is_complete, r.body[-200:]) for r in replies[:4]]
