--- a/features/steps/gossip_target_steps.py
+++ b/features/steps/gossip_target_steps.py
@@ -30,7 +30,7 @@
         cast(Election, ElectionStub()),
         ServerPool(BoundSettings()),
     )
-    table.on_rows(rows, whole=True)
+    table.on_rows(rows, is_full=True)
     return table
 
 
--- a/features/steps/lease_standby_steps.py
+++ b/features/steps/lease_standby_steps.py
@@ -38,7 +38,7 @@
         pool = ServerPool(BoundSettings())
         self.peers = PeerTable(store, "daemons", own, "z", self.election, pool)
         if rows is not None:
-            self.peers.on_rows(Snapshot(rows, 1), whole=True)
+            self.peers.on_rows(Snapshot(rows, 1), is_full=True)
 
     @property
     def is_standby(self) -> bool:
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -89,9 +89,9 @@
         """Return an interval scaled with the fleet size, to bound the load on the leader."""
         return seconds * max(1.0, len(self._peers) / constants.SMALL_FLEET_DAEMONS)
 
-    def on_rows(self, snapshot: Snapshot, whole: bool) -> None:
-        """Apply changed rows of the daemon table, or all rows if ``whole``."""
-        if whole:
+    def on_rows(self, snapshot: Snapshot, is_full: bool) -> None:
+        """Apply changed rows of the daemon table, or all rows if ``is_full``."""
+        if is_full:
             self._peers.clear()
         for row in snapshot.rows:
             if row.key.startswith(PEER_KEY_PREFIX):
