--- a/features/steps/pool_decision_steps.py
+++ b/features/steps/pool_decision_steps.py
@@ -173,7 +173,7 @@
     lease: Lease = context.lease
     lease.record_ended_process("life-0", 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.WAIT
-    lease.record_ended_process(OTHER_HOLDER.life, 100.0)
+    lease.record_ended_process(OTHER_HOLDER.incarnation, 100.0)
     assert lease.action(100.1, 60.0) is LeaseAction.ACQUIRE
 
 
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -67,9 +67,9 @@
 class FakePeerTable:
     """A peer table with the given mirrors."""
 
-    def __init__(self, mirrors: list[PeerEntry], own_life: str) -> None:
+    def __init__(self, mirrors: list[PeerEntry], own_incarnation: str) -> None:
         self._mirrors = mirrors
-        self._own_life = own_life
+        self._own_incarnation = own_incarnation
 
     def mirrors(self) -> list[PeerEntry]:
         """Return the mirrors."""
@@ -77,8 +77,8 @@
 
     def is_mirror(self) -> bool:
         """Return whether the daemon itself is a mirror, or knows none."""
-        lives = [mirror.life for mirror in self._mirrors]
-        return not lives or self._own_life in lives
+        incarnations = [mirror.incarnation for mirror in self._mirrors]
+        return not incarnations or self._own_incarnation in incarnations
 
 
 class FakeMirrors:
@@ -108,7 +108,7 @@
 
 @given("a daemon that is a mirror")
 def step_mirror(context: Any) -> None:
-    context.list_mirrors = [PeerEntry(OWN.address, "z", OWN.life)]
+    context.list_mirrors = [PeerEntry(OWN.address, "z", OWN.incarnation)]
     context.fake_mirrors = FakeMirrors()
 
 
@@ -137,7 +137,7 @@
         OWN,
         table,
         cast(PeerTransport, mirrors),
-        cast(PeerTable, FakePeerTable(context.list_mirrors, OWN.life)),
+        cast(PeerTable, FakePeerTable(context.list_mirrors, OWN.incarnation)),
         context.replicated_state,
         BoundSettings(drain_ms=DRAIN_MS),
     )
--- a/loomwind/leadership/election.py
+++ b/loomwind/leadership/election.py
@@ -176,7 +176,11 @@
             if row.key != LEASE_KEY:
                 continue
             holder = _holder(row)
-            if holder is not None and holder.life == self._own.life and self._unknown_write_sent_at:
+            if (
+                holder is not None
+                and holder.incarnation == self._own.incarnation
+                and self._unknown_write_sent_at
+            ):
                 self.lease.record_write(row.version, self._unknown_write_sent_at)
                 self.write_finished.set()
             else:
--- a/loomwind/leadership/lease.py
+++ b/loomwind/leadership/lease.py
@@ -12,6 +12,7 @@
 
 import enum
 
+import msgspec
 from msgspec import Struct
 
 
@@ -19,12 +20,12 @@
     """The daemon that holds the lease; stored as JSON in the lease row.
 
     :param name: the daemon's name, under which it sends orders to servers.
-    :param life: the incarnation of the daemon, an ID of its process.
+    :param incarnation: the ID of the daemon process; stored as ``life``.
     :param address: the daemon's peer address, ``host:port``.
     """
 
     name: str
-    life: str
+    incarnation: str = msgspec.field(name="life")
     address: str
 
 
@@ -100,7 +101,7 @@
         self.holder = holder
         if holder is None:
             self._vacant_since = now
-        if holder is None or holder.life != self._own.life:
+        if holder is None or holder.incarnation != self._own.incarnation:
             self.fence = None
 
     def record_missing_row(self, version: int, now: float) -> None:
@@ -118,7 +119,7 @@
     def record_ended_process(self, incarnation: str, now: float) -> None:
         """Record that a process has ended, so that its lease may be acquired before it expires.
 
-        :param incarnation: the :attr:`LeaseHolder.life` of the process.
+        :param incarnation: the :attr:`LeaseHolder.incarnation` of the process.
         """
         if self._ended_incarnation != incarnation:
             self._vacant_since = now
@@ -158,10 +159,10 @@
         """
         if not self._row_known:
             return LeaseAction.WAIT
-        if self.holder is not None and self.holder.life == self._own.life:
+        if self.holder is not None and self.holder.incarnation == self._own.incarnation:
             due = self.fence is None or now - self._renewed_at >= self._renew_interval_seconds
             return LeaseAction.RENEW if due else LeaseAction.WAIT
-        if self.holder is None or self.holder.life == self._ended_incarnation:
+        if self.holder is None or self.holder.incarnation == self._ended_incarnation:
             vacant = now - self._vacant_since >= extra_wait_seconds
             return LeaseAction.ACQUIRE if vacant else LeaseAction.WAIT
         if self.holder.name == self._own.name:
--- a/loomwind/serving/daemon.py
+++ b/loomwind/serving/daemon.py
@@ -110,7 +110,7 @@
         """Create the components that follow the store."""
         settings = self.settings
         self._own = LeaseHolder(settings.name, uuid.uuid4().hex[:12], settings.listen.peer)
-        store = MeteredStore(deployment.store, self.metrics, Clock(), self._own.life)
+        store = MeteredStore(deployment.store, self.metrics, Clock(), self._own.incarnation)
         self._store = store
         self._health = StoreHealth()
         self._pool = ServerPool(settings.bounds)
@@ -300,7 +300,7 @@
         self._spawn(self._leader_watch.watch())
         self._spawn(self._leader_watch.announce())
         self._spawn(self._store.log_calls())
-        log_state("daemon", "started", name=self.settings.name, life=self._own.life)
+        log_state("daemon", "started", name=self.settings.name, life=self._own.incarnation)
 
     def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/loomwind/serving/leader_watch.py
+++ b/loomwind/serving/leader_watch.py
@@ -52,7 +52,7 @@
     def answer(self) -> LeaderAnswer:
         """Return the answer to a :class:`LeaderQuestion`."""
         version = self._election.lease.expected_version if self._election.is_leader() else 0
-        return LeaderAnswer(self._own.life, version, self._store_answers())
+        return LeaderAnswer(self._own.incarnation, version, self._store_answers())
 
     def _store_answers(self) -> bool:
         return self._health.available_since is not None
@@ -67,7 +67,7 @@
             self._election.write_finished.clear()
             lease = self._election.lease
             holder = lease.holder
-            if holder is not None and holder.life != self._own.life:
+            if holder is not None and holder.incarnation != self._own.incarnation:
                 continue
             notice = LeaseNotice(holder, lease.version, self._store_answers())
             changed = (lease.fence, notice.store_answers) != (
@@ -110,7 +110,7 @@
     async def _check_leader(self) -> None:
         """Ask the holder whether it leads, and read the lease row if it does not confirm."""
         holder = self._election.lease.holder
-        if holder is not None and holder.life == self._own.life:
+        if holder is not None and holder.incarnation == self._own.incarnation:
             self._row_read_requested.clear()
             return
         read_requested = self._row_read_requested.is_set()
@@ -135,7 +135,7 @@
             return False
         if not isinstance(answer, LeaderAnswer):
             return False
-        if answer.incarnation != holder.life:
+        if answer.incarnation != holder.incarnation:
             self._record_dead(holder)
             return False
         if answer.lease_version:
@@ -143,5 +143,7 @@
         return answer.lease_version > 0 and answer.store_answers
 
     def _record_dead(self, holder: LeaseHolder) -> None:
-        log_state("election", "holder-ended", holder=holder.name, life=holder.life)
-        self._election.lease.record_ended_process(holder.life, asyncio.get_running_loop().time())
+        log_state("election", "holder-ended", holder=holder.name, life=holder.incarnation)
+        self._election.lease.record_ended_process(
+            holder.incarnation, asyncio.get_running_loop().time()
+        )
--- a/loomwind/serving/peer_attempts.py
+++ b/loomwind/serving/peer_attempts.py
@@ -64,7 +64,7 @@
         if peer is None:
             self._allowed = False
         else:
-            self._asked.add(peer.life)
+            self._asked.add(peer.incarnation)
         return peer
 
     async def relay_to(self, peer: PeerEntry, runs: int, on_sent: Callable[[], None]) -> None:
--- a/loomwind/serving/peer_exchange.py
+++ b/loomwind/serving/peer_exchange.py
@@ -212,9 +212,9 @@
             holder = self._election.lease.holder
             if holder is None:
                 continue
-            report = self._report(holder.life != reported_incarnation)
-            reported_incarnation = holder.life
-            if holder.life == self._own.life:
+            report = self._report(holder.incarnation != reported_incarnation)
+            reported_incarnation = holder.incarnation
+            if holder.incarnation == self._own.incarnation:
                 self.inbox.put(report)
             else:
                 self._transport.send(holder.address, report)
--- a/loomwind/serving/peer_relay.py
+++ b/loomwind/serving/peer_relay.py
@@ -69,8 +69,8 @@
             peer
             for peer in self._peers.others()
             if peer.relay
-            and peer.life not in asked
-            and self._declined_until_ms.get((peer.life, service), 0.0) <= now_ms
+            and peer.incarnation not in asked
+            and self._declined_until_ms.get((peer.incarnation, service), 0.0) <= now_ms
         ]
         other_zones = [peer for peer in candidates if peer.zone != self._zone]
         return random.choice(other_zones or candidates) if candidates else None
@@ -151,7 +151,7 @@
         self._declined_until_ms = {
             key: until_ms for key, until_ms in self._declined_until_ms.items() if until_ms > now_ms
         }
-        self._declined_until_ms[(peer.life, service)] = now_ms + DECLINE_BACKOFF_MS
+        self._declined_until_ms[(peer.incarnation, service)] = now_ms + DECLINE_BACKOFF_MS
 
     def _count(self, outcome: str) -> None:
         self._metrics.peer_relays.labels("sent", outcome).inc()
--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -43,13 +43,13 @@
     """A daemon's row in the store.
 
     :param address: the peer address, ``host:port``.
-    :param life: the incarnation of the daemon, an ID of its process.
+    :param incarnation: the ID of the daemon process; stored as ``life``.
     :param relay: the address that accepts relayed requests, ``host:port``; empty for none.
     """
 
     address: str
     zone: str
-    life: str
+    incarnation: str = msgspec.field(name="life")
     relay: str = ""
 
 
@@ -146,7 +146,7 @@
     def is_mirror(self) -> bool:
         """Whether this daemon follows the store for others; True until any daemon is known."""
         mirrors = self.mirrors()
-        return not mirrors or any(mirror.life == self._own.life for mirror in mirrors)
+        return not mirrors or any(mirror.incarnation == self._own.incarnation for mirror in mirrors)
 
     def gossip_targets(self) -> list[PeerEntry]:
         """Return the daemons at distances 1, 2, 4, ... on the hash ring, like the fingers of Chord.
@@ -183,7 +183,7 @@
                 await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     def _own_entry(self) -> PeerEntry:
-        return PeerEntry(self._own.address, self._zone, self._own.life, self._relay_address)
+        return PeerEntry(self._own.address, self._zone, self._own.incarnation, self._relay_address)
 
     async def unregister(self) -> None:
         """Remove this daemon's row."""
--- a/loomwind/serving/server_list.py
+++ b/loomwind/serving/server_list.py
@@ -110,7 +110,11 @@
 
     async def _query_until_fresh(self) -> None:
         """Query mirrors one after the other until the list is fresh."""
-        mirrors = [mirror for mirror in self._peers.mirrors() if mirror.life != self._own.life]
+        mirrors = [
+            mirror
+            for mirror in self._peers.mirrors()
+            if mirror.incarnation != self._own.incarnation
+        ]
         for mirror in random.sample(mirrors, min(MAX_MIRRORS_PER_PERIOD, len(mirrors))):
             if await self._query_mirror(mirror) and self._age_seconds() < self._max_age_seconds:
                 return
--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -33,7 +33,7 @@
         free = LeaseHolder("daemon-9", "life-9", "a:9")
         for each in self._leases:
             each.record_row(version, free, self._now)
-            each.record_ended_process(free.life, self._now)
+            each.record_ended_process(free.incarnation, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Do in the code what a step of the model does."""
