--- a/loomwind/serving/peers.py
+++ b/loomwind/serving/peers.py
@@ -144,7 +144,7 @@
         return [self._peers[name] for name in self._ranked[:count]]
 
     def is_mirror(self) -> bool:
-        """Whether this daemon follows the store for others; True until any daemon is known."""
+        """Return whether this daemon follows the store for others; True until any is known."""
         mirrors = self.mirrors()
         return not mirrors or any(mirror.incarnation == self._own.incarnation for mirror in mirrors)
 
