--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -48,10 +48,10 @@
 @then("all daemons have the same catalog version, at least {count:d} higher")
 def step_same_version(context: Any, count: int) -> None:
     site: Site = context.site
-    expected_version = context.version_before + count
+    minimum_version = context.version_before + count
     wait_until(
         lambda: (
-            len(set(catalog_versions(site))) == 1 and catalog_versions(site)[0] >= expected_version
+            len(set(catalog_versions(site))) == 1 and catalog_versions(site)[0] >= minimum_version
         ),
         "all daemons have the newest version",
     )
@@ -196,8 +196,8 @@
         context.replies.append(reply)
         context.waits.append(reply.seconds)
         assert reply.text() == expected_text(request)
-        expected_version = f"{model}@{version}"
-        return any(h["busy_seconds"] > 0 for h in site.holdings(expected_version))
+        new_artifact = f"{model}@{version}"
+        return any(h["busy_seconds"] > 0 for h in site.holdings(new_artifact))
 
     wait_until(new_version_responds, f"{version} responds")
 
