--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -1,7 +1,7 @@
-"""Replays random walks of the lease's model against the code's lease state machine.
+"""Replays random walks of the lease model against the lease state machine of the code.
 
-The walk drives one lease for each daemon over one row and one steady clock. After each step who may
-lead, and under which fence, must be what the model says.
+The replay has one ``Lease`` per daemon, one row and one monotonic clock. After each step, code and
+model must agree on which daemons lead, and on their fencing tokens.
 """
 
 import random
@@ -10,90 +10,99 @@
 
 from loomwind.leadership.lease import Lease, LeaseAction, LeaseHolder
 from specification import lease
-from specification.conformance import Disagreement
+from specification.conformance import ConformanceError
 from specification.model import State, Step
 from specification.walks import random_walk
 
-DURATION_S = 3.0
-RENEW_S = 0.5
-MARGIN_S = 0.3
-ANSWERS_S = 60.0
+LEASE_DURATION_SECONDS = 3.0
+RENEWAL_INTERVAL_SECONDS = 0.5
+MARGIN_SECONDS = 0.3
+STORE_AVAILABLE_SECONDS = 60.0
 WALK_STEPS = 40
 LABEL = re.compile(r"([a-z-]+)\((\d)\)")
 
 
 class LeaseReplay:
-    """The code's leases, driven by the model's steps."""
+    """The leases of the code, driven by steps of the model."""
 
     def __init__(self) -> None:
         self._now = 100.0
         self._holders = [LeaseHolder(f"daemon-{d}", f"life-{d}", f"a:{d}") for d in lease.DAEMONS]
-        self._leases = [Lease(h, DURATION_S, RENEW_S, MARGIN_S) for h in self._holders]
+        self._leases = [
+            Lease(h, LEASE_DURATION_SECONDS, RENEWAL_INTERVAL_SECONDS, MARGIN_SECONDS)
+            for h in self._holders
+        ]
         version, _ = lease.INITIAL[0]
-        free = LeaseHolder("daemon-9", "life-9", "a:9")
-        for each in self._leases:
-            each.record_row(version, free, self._now)
-            each.record_ended_process(free.life, self._now)
+        initial_holder = LeaseHolder("daemon-9", "life-9", "a:9")
+        for own in self._leases:
+            own.record_row(version, initial_holder, self._now)
+            own.record_ended_process(initial_holder.life, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
-        """Do in the code what a step of the model does."""
+        """Apply a step of the model to the code."""
         match = LABEL.fullmatch(label)
         if match is None:
             return
-        verb, d = match[1], int(match[2])
+        action, d = match[1], int(match[2])
         version, holder = before[0]
-        if verb == "lease-ends":
-            self._now += DURATION_S
-        elif verb == "decide-to-take":
+        if action == "lease-ends":
+            self._now += LEASE_DURATION_SECONDS
+        elif action == "decide-to-take":
             self._decide(d, version, holder)
-        elif verb == "take":
+        elif action == "take":
             self._leases[d].record_write(after[0][0], self._now)
-        elif verb in ("conflict", "renewal-conflict"):
+        elif action in ("conflict", "renewal-conflict"):
             self._leases[d].record_row(version, self._holders[holder], self._now)
-        elif verb in ("renew", "renew-late"):
-            self._renew(d, after[0][0], late=verb == "renew-late")
+        elif action in ("renew", "renew-late"):
+            self._renew(d, after[0][0], late=action == "renew-late")
 
     def _decide(self, d: int, version: int, holder: int) -> None:
-        """A daemon sees the row, and nothing of its holder for the whole duration."""
+        """A daemon reads the row, and does not hear from its holder for the lease duration."""
         own = self._leases[d]
         if holder != lease.NOBODY:
             own.record_row(version, self._holders[holder], self._now)
-            self._now += DURATION_S
-        if own.action(self._now, ANSWERS_S) is not LeaseAction.ACQUIRE:
-            raise Disagreement(f"daemon {d} does not take the row at version {version}")
+            self._now += LEASE_DURATION_SECONDS
+        if own.action(self._now, STORE_AVAILABLE_SECONDS) is not LeaseAction.ACQUIRE:
+            raise ConformanceError(
+                f"daemon {d} does not acquire the lease at row version {version}"
+            )
         if own.expected_version != version:
-            raise Disagreement(f"daemon {d} expects {own.expected_version}, not {version}")
+            raise ConformanceError(
+                f"daemon {d} expects row version {own.expected_version}, not {version}"
+            )
 
     def _renew(self, d: int, version: int, late: bool) -> None:
         own = self._leases[d]
-        sent_at = self._now - DURATION_S if late else self._now
+        sent_at = self._now - LEASE_DURATION_SECONDS if late else self._now
         if own.expected_version != version - 1:
-            raise Disagreement(f"daemon {d} renews at {own.expected_version}, not {version - 1}")
+            raise ConformanceError(
+                f"daemon {d} renews at row version {own.expected_version}, not {version - 1}"
+            )
         own.record_write(version, sent_at)
 
     def check(self, state: State) -> None:
         """Compare the code with a state of the model.
 
-        :raises Disagreement: they differ.
+        :raises ConformanceError: if they differ.
         """
         for d, expected in enumerate(state[1]):
             own = self._leases[d]
             leads = own.is_leader(self._now)
             if leads != expected.good:
-                raise Disagreement(f"daemon {d} leads: {leads}, in the model {expected.good}")
+                raise ConformanceError(f"daemon {d} leads: {leads}, in the model {expected.good}")
             if leads and own.fence != expected.fence:
-                raise Disagreement(f"daemon {d}: fence {own.fence}, not {expected.fence}")
+                raise ConformanceError(f"daemon {d}: fence {own.fence}, not {expected.fence}")
 
 
 def _steps_of(state: State) -> Iterator[Step]:
     return lease.transitions(state, frozenset())
 
 
-def conform_lease(seed: int, walks: int) -> int:
-    """Replay walks and compare after each step.
+def replay_lease_walks(seed: int, walks: int) -> int:
+    """Replay random walks of the lease model and compare after each step.
 
-    :returns: how many steps were compared.
-    :raises Disagreement: code and model differ.
+    :returns: the number of steps compared.
+    :raises ConformanceError: if code and model differ.
     """
     source = random.Random(seed)
     compared = 0
--- a/specification/register.py
+++ b/specification/register.py
@@ -1,12 +1,15 @@
-"""Ballots, majorities, intents before orders, and fences: one model, at most one replica of it.
+"""The replicated register (Paxos), intents and fencing: a model has at most one replica.
 
-Three voters, two controllers with one ballot each, two engines. The first controller may be paused
-at any point and go on after the second took over. Messages are lost, delayed, repeated and
-reordered: a promise or an acknowledgement may be lost after it took effect, an order stays in
-flight for ever and may arrive at any time and any number of times.
+Three voters, two controllers with one ballot each, and two engines. The first controller may be
+paused at any point and continue after the second took over. Messages may be lost, delayed, repeated
+and reordered: a promise or acknowledgement may be lost after it took effect, and an order may
+arrive at any time and any number of times.
 
-A voter accepts only the value that its candidate wrote last: to accept an earlier one late is the
-same as to have accepted it early and lost the acknowledgement.
+A voter accepts only the newest value of a candidate. Accepting an earlier value late is equivalent
+to accepting it early and losing the acknowledgement.
+
+Code: ``loomwind/control/voter.py``, ``candidate.py`` and ``engine_tracker.py``, compared with this
+model by ``specification/conformance.py``.
 """
 
 import functools
@@ -19,7 +22,7 @@
 MAJORITY = 2
 CANDIDATES = (0, 1)
 ENGINES = (0, 1)
-LIMIT = 1
+MAX_REPLICAS = 1
 MAX_VERSION = 3
 MAX_SEQUENCE = 4
 
@@ -28,7 +31,7 @@
 
 
 class Value(NamedTuple):
-    """What voters hold; ``intents`` are the engines that may hold the model."""
+    """A value of the register; ``intents`` are the engines that may hold the model."""
 
     ballot: int
     version: int
@@ -36,7 +39,7 @@
 
 
 class Voter(NamedTuple):
-    """A voter; ``promises`` and ``acks`` are what each candidate has from it."""
+    """A voter; ``promises`` and ``acks`` are what each candidate has received from it."""
 
     promised: int = 0
     accepted: Value | None = None
@@ -45,7 +48,7 @@
 
 
 class Candidate(NamedTuple):
-    """A controller; ``engines`` is what it knows of each engine."""
+    """A controller; ``engines`` is the state of each engine as far as it knows."""
 
     phase: str = IDLE
     pending: Value | None = None
@@ -55,7 +58,11 @@
 
 
 class Engine(NamedTuple):
-    """An engine; ``fence`` is ballot and sequence of the newest order or fence it took."""
+    """An engine.
+
+    :param fence: the highest fencing token that it accepted: ballot and sequence.
+    :param went_back: it executed an order older than one it accepted.
+    """
 
     fence: tuple[int, int] = (0, 0)
     holds: bool = False
@@ -72,10 +79,15 @@
 
 MUTATIONS = (
     Mutation("read-majority", "a candidate reads a majority before it leads"),
-    Mutation("version-in-ballot", "the newest value is the one of highest ballot, then version"),
-    Mutation("intent-before-order", "an order goes out only after its intent is on a majority"),
+    Mutation(
+        "version-in-ballot", "the newest value is the one with the highest ballot, then version"
+    ),
+    Mutation("intent-before-order", "an order is sent only after a majority accepted its intent"),
     Mutation("fence", "an engine refuses an order that is not above its fence"),
-    Mutation("unknown-is-not-not-run", "an intent without an answer stays until an inventory"),
+    Mutation(
+        "unknown-is-not-not-run",
+        "an intent whose order is unanswered is kept until an inventory is read",
+    ),
 )
 
 FIELDS = ("voters", "candidates", "engines", "orders")
@@ -88,7 +100,7 @@
 
 
 def ballot_of(candidate: int) -> int:
-    """Return the ballot that a candidate takes."""
+    """Return the ballot of a candidate."""
     return candidate + 1
 
 
@@ -97,21 +109,21 @@
     return (*items[:index], item, *items[index + 1 :])
 
 
-def transitions(state: State, left_out: frozenset[str]) -> Iterator[Step]:
+def transitions(state: State, disabled: frozenset[str]) -> Iterator[Step]:
     """Return the steps that are possible in a state."""
     for candidate in CANDIDATES:
-        yield from _election(state, candidate, left_out)
-        yield from _writing(state, candidate)
-        yield from _leading(state, candidate, left_out)
-    yield from _delivery(state, left_out)
+        yield from _campaign(state, candidate, disabled)
+        yield from _write_register(state, candidate)
+        yield from _leader_steps(state, candidate, disabled)
+    yield from _deliver_order(state, disabled)
 
 
-def _election(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _campaign(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.phase == IDLE:
-        campaigning = me._replace(phase=PREPARING)
-        if "read-majority" in left_out:
+    candidate = candidates[c]
+    if candidate.phase == IDLE:
+        campaigning = candidate._replace(phase=PREPARING)
+        if "read-majority" in disabled:
             yield f"campaign({c})", _recover(state, c, Value(0, 0, frozenset()))
         else:
             yield f"campaign({c})", (voters, put(candidates, c, campaigning), engines, orders)
@@ -123,20 +135,20 @@
         raised = voter._replace(promised=ballot_of(c))
         if raised != voter:
             yield f"promise-lost({c},{v})", (put(voters, v, raised), candidates, engines, orders)
-        if me.phase == PREPARING:
+        if candidate.phase == PREPARING:
             promised = raised._replace(promises=put(voter.promises, c, (voter.accepted,)))
             counted = (put(voters, v, promised), candidates, engines, orders)
-            yield f"promise({c},{v})", _recover_if_majority(counted, c, left_out)
+            yield f"promise({c},{v})", _recover_if_majority(counted, c, disabled)
 
 
-def _recover_if_majority(state: State, c: int, left_out: frozenset[str]) -> State:
+def _recover_if_majority(state: State, c: int, disabled: frozenset[str]) -> State:
     voters = state[0]
     promises = [voter.promises[c][0] for voter in voters if voter.promises[c]]
     if len(promises) < MAJORITY:
         return state
     values = [value for value in promises if value is not None]
-    if "version-in-ballot" in left_out:
-        # By ballot alone, any of the values of the highest ballot may be taken: the oldest here.
+    if "version-in-ballot" in disabled:
+        # Any value with the highest ballot may be chosen; the oldest is the worst case.
         newest = min(values, key=lambda v: (-v.ballot, v.version), default=None)
     else:
         newest = max(values, key=lambda v: (v.ballot, v.version), default=None)
@@ -144,109 +156,111 @@
 
 
 def _recover(state: State, c: int, newest: Value) -> State:
-    """Write the newest value back under the own ballot."""
+    """Start to write the newest value back under the candidate's own ballot."""
     voters, candidates, engines, orders = state
     pending = Value(ballot_of(c), newest.version, newest.intents)
-    # The promises are used up; the candidate's own state says that they were counted.
+    # The promises are no longer needed: the candidate's phase shows that they were counted.
     voters = tuple(v._replace(promises=put(v.promises, c, ())) for v in voters)
     recovering = candidates[c]._replace(phase=RECOVERING, pending=pending)
     return (voters, put(candidates, c, recovering), engines, orders)
 
 
-def _writing(state: State, c: int) -> Iterator[Step]:
+def _write_register(state: State, c: int) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.pending is None:
+    candidate = candidates[c]
+    if candidate.pending is None:
         return
     for v in VOTERS:
         voter = voters[v]
         if voter.promised > ballot_of(c) or voter.acks[c]:
             continue
-        accepted = voter._replace(promised=ballot_of(c), accepted=me.pending)
+        accepted = voter._replace(promised=ballot_of(c), accepted=candidate.pending)
         if accepted != voter:
             yield f"accept-lost({c},{v})", (put(voters, v, accepted), candidates, engines, orders)
         acknowledged = accepted._replace(acks=put(voter.acks, c, True))
         counted = (put(voters, v, acknowledged), candidates, engines, orders)
-        yield f"accept({c},{v})", _settle_if_majority(counted, c)
+        yield f"accept({c},{v})", _commit_if_majority(counted, c)
 
 
-def _settle_if_majority(state: State, c: int) -> State:
+def _commit_if_majority(state: State, c: int) -> State:
     voters, candidates, engines, orders = state
     if sum(voter.acks[c] for voter in voters) < MAJORITY:
         return state
     voters = tuple(voter._replace(acks=put(voter.acks, c, False)) for voter in voters)
-    me = candidates[c]
-    settled = me._replace(phase=LEADING, committed=me.pending, pending=None)
-    return (voters, put(candidates, c, settled), engines, orders)
+    candidate = candidates[c]
+    committed = candidate._replace(phase=LEADING, committed=candidate.pending, pending=None)
+    return (voters, put(candidates, c, committed), engines, orders)
 
 
-def _leading(state: State, c: int, left_out: frozenset[str]) -> Iterator[Step]:
-    me = state[1][c]
-    if me.phase != LEADING:
+def _leader_steps(state: State, c: int, disabled: frozenset[str]) -> Iterator[Step]:
+    candidate = state[1][c]
+    if candidate.phase != LEADING:
         return
     for e in ENGINES:
-        yield from _read_engine(state, c, e, left_out)
-        yield from _change_intents(state, c, e, left_out)
-        yield from _give_order(state, c, e, left_out)
+        yield from _read_engine(state, c, e, disabled)
+        yield from _change_intents(state, c, e, disabled)
+        yield from _send_order(state, c, e, disabled)
 
 
-def _read_engine(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _read_engine(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     """Raise the engine's fence and read whether it holds the model."""
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    if me.engines[e] not in (UNKNOWN, ORDERED) or me.sequence >= MAX_SEQUENCE:
+    candidate = candidates[c]
+    if candidate.engines[e] not in (UNKNOWN, ORDERED) or candidate.sequence >= MAX_SEQUENCE:
         return
-    fence = (ballot_of(c), me.sequence + 1)
+    fence = (ballot_of(c), candidate.sequence + 1)
     engine = engines[e]
-    if engine.fence >= fence and "fence" not in left_out:
+    if engine.fence >= fence and "fence" not in disabled:
         return
     raised = engine._replace(fence=max(engine.fence, fence))
-    known = put(me.engines, e, HELD if engine.holds else ABSENT)
-    read = me._replace(engines=known, sequence=me.sequence + 1)
+    known = put(candidate.engines, e, HELD if engine.holds else ABSENT)
+    read = candidate._replace(engines=known, sequence=candidate.sequence + 1)
     yield f"fence({c},{e})", (voters, put(candidates, c, read), put(engines, e, raised), orders)
 
 
-def _change_intents(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _change_intents(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    value = me.committed
-    if me.pending is not None or value.version >= MAX_VERSION:
+    candidate = candidates[c]
+    value = candidate.committed
+    if candidate.pending is not None or value.version >= MAX_VERSION:
         return
-    held = {engine for engine in ENGINES if me.engines[engine] == HELD}
+    held = {engine for engine in ENGINES if candidate.engines[engine] == HELD}
     may_hold = value.intents | held
-    if e not in may_hold and me.engines[e] == ABSENT and len(may_hold) < LIMIT:
-        wanted = Value(ballot_of(c), value.version + 1, value.intents | {e})
-        proposing = me._replace(pending=wanted)
+    if e not in may_hold and candidate.engines[e] == ABSENT and len(may_hold) < MAX_REPLICAS:
+        proposed = Value(ballot_of(c), value.version + 1, value.intents | {e})
+        proposing = candidate._replace(pending=proposed)
         yield f"propose-add({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
-    surely_absent = me.engines[e] == ABSENT
-    if "unknown-is-not-not-run" in left_out:
-        surely_absent = me.engines[e] in (ABSENT, UNKNOWN, ORDERED)
-    if e in value.intents and surely_absent:
-        wanted = Value(ballot_of(c), value.version + 1, value.intents - {e})
-        proposing = me._replace(pending=wanted)
+    known_absent = candidate.engines[e] == ABSENT
+    if "unknown-is-not-not-run" in disabled:
+        known_absent = candidate.engines[e] in (ABSENT, UNKNOWN, ORDERED)
+    if e in value.intents and known_absent:
+        proposed = Value(ballot_of(c), value.version + 1, value.intents - {e})
+        proposing = candidate._replace(pending=proposed)
         yield f"propose-remove({c},{e})", (voters, put(candidates, c, proposing), engines, orders)
 
 
-def _give_order(state: State, c: int, e: int, left_out: frozenset[str]) -> Iterator[Step]:
+def _send_order(state: State, c: int, e: int, disabled: frozenset[str]) -> Iterator[Step]:
     voters, candidates, engines, orders = state
-    me = candidates[c]
-    settled = me.committed.intents if me.pending is None else frozenset()
-    if "intent-before-order" in left_out and me.pending is not None:
-        settled = me.pending.intents
-    if e not in settled or me.engines[e] != ABSENT or me.sequence >= MAX_SEQUENCE:
+    candidate = candidates[c]
+    committed = candidate.committed.intents if candidate.pending is None else frozenset()
+    if "intent-before-order" in disabled and candidate.pending is not None:
+        committed = candidate.pending.intents
+    if e not in committed or candidate.engines[e] != ABSENT or candidate.sequence >= MAX_SEQUENCE:
         return
-    order = Order(ballot_of(c), me.sequence + 1, e)
-    ordered = me._replace(engines=put(me.engines, e, ORDERED), sequence=me.sequence + 1)
+    order = Order(ballot_of(c), candidate.sequence + 1, e)
+    ordered = candidate._replace(
+        engines=put(candidate.engines, e, ORDERED), sequence=candidate.sequence + 1
+    )
     yield f"order({c},{e})", (voters, put(candidates, c, ordered), engines, orders | {order})
 
 
-def _delivery(state: State, left_out: frozenset[str]) -> Iterator[Step]:
-    """An order arrives; its answer may be lost."""
+def _deliver_order(state: State, disabled: frozenset[str]) -> Iterator[Step]:
+    """An order arrives; its response is received or lost."""
     voters, candidates, engines, orders = state
     for order in sorted(orders):
         engine = engines[order.engine]
         fence = (order.ballot, order.sequence)
-        if fence <= engine.fence and "fence" not in left_out:
+        if fence <= engine.fence and "fence" not in disabled:
             continue
         went_back = engine.went_back or fence < engine.fence
         loaded = Engine(max(engine.fence, fence), True, went_back)
@@ -256,35 +270,35 @@
         c = order.ballot - 1
         if candidates[c].engines[order.engine] == ORDERED:
             known = put(candidates[c].engines, order.engine, HELD)
-            told = put(candidates, c, candidates[c]._replace(engines=known))
-            yield f"answer({order.ballot},{order.engine})", (voters, told, after, orders)
+            new_candidates = put(candidates, c, candidates[c]._replace(engines=known))
+            yield f"answer({order.ballot},{order.engine})", (voters, new_candidates, after, orders)
 
 
 def _swap_engine(engine: int) -> int:
     return 1 - engine
 
 
-def _rename(value: Value | None) -> Value | None:
+def _swap_intents(value: Value | None) -> Value | None:
     if value is None:
         return None
     return value._replace(intents=frozenset(map(_swap_engine, value.intents)))
 
 
-def _swapped(state: State) -> State:
-    """Return the state with the two engines' names exchanged."""
+def _swap_engines(state: State) -> State:
+    """Return the state with the two engines swapped."""
     voters, candidates, engines, orders = state
     return (
         tuple(
             voter._replace(
-                accepted=_rename(voter.accepted),
-                promises=tuple(tuple(_rename(v) for v in held) for held in voter.promises),
+                accepted=_swap_intents(voter.accepted),
+                promises=tuple(tuple(_swap_intents(v) for v in held) for held in voter.promises),
             )
             for voter in voters
         ),
         tuple(
             candidate._replace(
-                pending=_rename(candidate.pending),
-                committed=_rename(candidate.committed),
+                pending=_swap_intents(candidate.pending),
+                committed=_swap_intents(candidate.committed),
                 engines=candidate.engines[::-1],
             )
             for candidate in candidates
@@ -295,27 +309,27 @@
 
 
 @functools.cache
-def _key(value: Any) -> str:
-    """Return a text of any part of a state, equal for equal parts, to order them by."""
+def _sort_key(value: Any) -> str:
+    """Return a sort key for any part of a state; equal parts have equal keys."""
     if isinstance(value, tuple):
-        return "(" + ",".join(map(_key, value)) + ")"
+        return "(" + ",".join(map(_sort_key, value)) + ")"
     if isinstance(value, frozenset):
-        return "{" + ",".join(sorted(map(_key, value))) + "}"
+        return "{" + ",".join(sorted(map(_sort_key, value))) + "}"
     return str(value)
 
 
 def canonical(state: State) -> State:
-    """Return one state for all that differ by the names of voters and engines."""
+    """Return one representative of the states that differ only in voter and engine names."""
     forms = []
-    for form in (state, _swapped(state)):
-        voters = tuple(sorted(form[0], key=_key))
+    for form in (state, _swap_engines(state)):
+        voters = tuple(sorted(form[0], key=_sort_key))
         forms.append((voters, *form[1:]))
-    return forms[0] if forms[0] == forms[1] else min(forms, key=_key)
+    return forms[0] if forms[0] == forms[1] else min(forms, key=_sort_key)
 
 
 def _replicas_within_limit(state: dict[str, Any]) -> bool:
     held = [engine for engine in state["engines"] if engine.holds]
-    return len(held) <= LIMIT
+    return len(held) <= MAX_REPLICAS
 
 
 def _no_older_order(state: dict[str, Any]) -> bool:
@@ -323,7 +337,7 @@
 
 
 def steps_of(state: State) -> Iterable[Step]:
-    """Return the steps of the unchanged protocol."""
+    """Return the steps of the protocol with all rules enabled."""
     return transitions(state, frozenset())
 
 
