--- a/specification/lease_conformance.py
+++ b/specification/lease_conformance.py
@@ -36,7 +36,7 @@
         initial_holder = LeaseHolder("daemon-9", "life-9", "a:9")
         for own in self._leases:
             own.record_row(version, initial_holder, self._now)
-            own.record_ended_process(initial_holder.life, self._now)
+            own.record_ended_process(initial_holder.incarnation, self._now)
 
     def step(self, label: str, before: State, after: State) -> None:
         """Apply a step of the model to the code."""
