--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -9,11 +9,11 @@
 import msgspec
 from msgspec import Struct
 
-from loomwind.catalog.changes import Kind, ObjectKey
+from loomwind.catalog.changes import ObjectKey, ObjectKind
 from loomwind.catalog.model import Entry, SnapshotEntry
 from loomwind.control.claims import ClaimStore
-from loomwind.control.keep_alive import Gaps
-from loomwind.control.ledger import EngineRecord
+from loomwind.control.engine_tracker import EngineRecord
+from loomwind.control.keep_alive import GapHistogram
 from loomwind.engines.protocol import Fence, Inventory
 from loomwind.messages import (
     Ballot,
@@ -53,14 +53,16 @@
 def _entry(number: int) -> SnapshotEntry:
     name = f"adapter-{number:04}"
     adapter = Adapter(name=name, group="school", model="model-0001", version="v1")
-    return SnapshotEntry(ObjectKey(Kind.ADAPTER, name), Entry(version=number, adapter=adapter))
+    return SnapshotEntry(
+        ObjectKey(ObjectKind.ADAPTER, name), Entry(version=number, adapter=adapter)
+    )
 
 
 def _model(number: int) -> SnapshotEntry:
     name = f"model-{number:04}"
     version = Version(name="v1", memory_mib=8000)
     model = Model(name=name, group="school", versions=(version,), current="v1")
-    return SnapshotEntry(ObjectKey(Kind.MODEL, name), Entry(version=number, model=model))
+    return SnapshotEntry(ObjectKey(ObjectKind.MODEL, name), Entry(version=number, model=model))
 
 
 def _route(number: int) -> EngineRoute:
@@ -89,7 +91,7 @@
 
 def _claims_memory() -> float:
     store = ClaimStore(_identity(1), 900.0)
-    store.found(1, 0.0)
+    store.start_generation(1, 0.0)
 
     def grant(number: int) -> None:
         store.on_claim(Claim("cell", 1, 0, f"school/{number:036x}", _identity(1), number), 0.0)
@@ -112,5 +114,5 @@
         sent = sum(len(msgspec.msgpack.encode(make(n))) for n in range(100)) / 100
         memory = _claims_memory() if name == "claim" else _memory(make)
         print(msgspec.json.encode(StateSize(name, sent, memory)).decode(), flush=True)
-    gaps = StateSize("gaps of an artifact", 0.0, _memory(lambda number: Gaps()))
+    gaps = StateSize("gaps of an artifact", 0.0, _memory(lambda number: GapHistogram()))
     print(msgspec.json.encode(gaps).decode(), flush=True)
--- a/features/pool_promises.feature
+++ b/features/pool_promises.feature
@@ -1,6 +1,6 @@
-Feature: What a pool daemon promises of a request holds under failure
+Feature: Guarantees of a pool daemon about requests under failures
 
-  Scenario: a request that runs when its time is over is not said to be unstarted
+  Scenario: a request that is running at its deadline is not reported as not run
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults mode=mute
@@ -8,7 +8,7 @@
     Then the last reply has status 504
     And the last request ran 1 times
 
-  Scenario: a request that may run once is not sent again after its answer is lost
+  Scenario: a non-idempotent request is not retried after its response is lost
     Given a plain server shop
     And a plain server shop2
     And 1 pool daemons
@@ -18,7 +18,7 @@
     Then the last reply has status 502
     And the last request ran 1 times
 
-  Scenario: a request that may be repeated is sent to another server
+  Scenario: an idempotent request is retried at another server
     Given a plain server shop
     And a plain server shop2
     And 1 pool daemons
@@ -26,7 +26,7 @@
     When a plain request on look is sent
     Then the last reply has status 200
 
-  Scenario: a request that every server refuses unstarted is said to be unstarted
+  Scenario: a request that every server rejects without running it gets 503
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults mode=shed
@@ -34,7 +34,7 @@
     Then the last reply has status 503
     And the last request ran 0 times
 
-  Scenario: an answer that belongs to another request is not passed on
+  Scenario: a response that belongs to another request is not relayed
     Given a plain server shop
     And 1 pool daemons
     And server shop has faults surplus=true
@@ -43,72 +43,72 @@
     And a plain request on book is sent
     Then every reply has the body of its own request
 
-  Scenario: a stream that breaks off is resumed at another server
+  Scenario: a truncated stream is resumed at another server
     Given a model server one that holds m1
     And a model server two that holds m1
     And 1 pool daemons
     And server one has faults cut_after_events=3
     And server two has faults cut_after_events=4
     When a stream on drill for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
 
-  Scenario: a stream that may not be repeated ends visibly
+  Scenario: truncation of a stream that is not resumable is visible to the caller
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults cut_after_events=2
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is not whole and has whole events only
+    Then the last reply is truncated after a complete event
     And the last request ran 1 times
 
-  Scenario: an unframed stream that breaks off inside an event ends visibly
+  Scenario: truncation of a close-delimited stream inside an event is visible to the caller
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults unframed=true, cut_after_events=2
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is not whole and has whole events only
+    Then the last reply is truncated after a complete event
     And the last request ran 1 times
 
-  Scenario: an unframed stream that breaks off inside an event is resumed at another server
+  Scenario: a close-delimited stream truncated inside an event is resumed at another server
     Given a model server one that holds m1
     And a model server two that holds m1
     And 1 pool daemons
     And server one has faults unframed=true, cut_after_events=3
     And server two has faults unframed=true, cut_after_events=4
     When a stream on drill for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
 
-  Scenario: unframed answers that end with their connection are passed on whole
+  Scenario: close-delimited responses are relayed completely
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
     And server one has faults unframed=true
     And server shop has faults unframed=true
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
     When a plain request on book is sent
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
 
-  Scenario: answers of HTTP 1.0, which end with their connection, are passed on whole
+  Scenario: close-delimited responses of HTTP 1.0 are relayed completely
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
     And server one has faults unframed=true, http_version=1.0
     And server shop has faults unframed=true, http_version=1.0
     When a stream on draft for m1 with 6 events begins
-    Then the last reply is whole with 6 events in order
+    Then the last reply is complete with 6 events in order
     When a plain request on book is sent
     Then the last reply has status 200
     And the last reply's body is "POST /book/item hello"
 
-  Scenario: a caller that leaves has its work cancelled
+  Scenario: the execution of a request is cancelled when its caller disconnects
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
-    When a caller leaves during a stream for m1
-    Then its work at server one is cancelled
+    When a caller disconnects during a stream for m1
+    Then its execution on server one is cancelled
 
-  Scenario: a planned stop cuts no stream, and refuses what waits for a model
+  Scenario: a graceful shutdown lets running streams complete
     Given a model server one that holds m1
     And a plain server shop
     And 1 pool daemons
@@ -117,11 +117,11 @@
     And it runs at server one
     And the first daemon gets SIGTERM
     Then the first daemon is not ready
-    And the last reply is whole with 15 events in order
-    And the first daemon ends by itself with status 0
+    And the last reply is complete with 15 events in order
+    And the first daemon exits with status 0
 
-  Scenario: a request that waits for a model gets its answer before a planned stop ends
-    Given callers who wait 20 s for an answer to begin
+  Scenario: a request that waits for a model is rejected before a graceful shutdown ends
+    Given routes with a target latency of 20 s
     And a model server one that holds m1
     And 1 pool daemons
     And server one has faults late_order_seconds=60
@@ -129,10 +129,10 @@
     And it waits at the first daemon
     And the first daemon gets SIGTERM
     Then the last reply has status 503
-    And the first daemon ends by itself with status 0
+    And the first daemon exits with status 0
 
-  Scenario: a request for a model that is being unloaded waits for it and is served
-    Given callers who wait 8 s for an answer to begin
+  Scenario: a request for a model that is being unloaded waits and is served
+    Given routes with a target latency of 8 s
     And servers with 60000 MB
     And a model server one that holds m1
     And 1 pool daemons
@@ -142,32 +142,32 @@
     And a stream on draft for m3 with 3 events begins
     And server one is unloading
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
-    And no server was ordered beyond its memory
+    Then the last reply is complete with 3 events in order
+    And no order overcommitted a server
 
-  Scenario: a model server that starts again under its name is loaded anew
+  Scenario: a model server that restarts with the same instance id gets its models loaded again
     Given a model server one that holds m1
     And 1 pool daemons
     When a model request on draft for m2 is sent
-    And server one starts again under its name, with nothing loaded
+    And server one restarts with the same instance id and no models
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
-    And no server was ordered beyond its memory
+    Then the last reply is complete with 3 events in order
+    And no order overcommitted a server
 
-  Scenario: a request whose only server has died is served by another that loads the model
+  Scenario: after a model's only server is killed, another server loads the model
     Given a model server one that holds m1
     And a model server two that holds nothing
     And 1 pool daemons
     When server one is killed
     And a model request on draft for m1 is sent
-    Then the last reply is whole with 3 events in order
+    Then the last reply is complete with 3 events in order
 
-  Scenario: a stream whose model is at no server any more ends before its caller has to give it up
+  Scenario: a stream whose model is lost from all servers ends before the caller's timeout
     Given a model server one that holds m1
     And 1 pool daemons
     And server one has faults event_seconds=0.2
     When a stream on drill for m1 with 15 events begins
     And it runs at server one
     And server one is killed
-    Then the last reply is not whole and has whole events only
+    Then the last reply is truncated after a complete event
     And metric loomwind_request_seconds_count with end=given-up is 1
--- a/features/steps/configuration_fetch_steps.py
+++ b/features/steps/configuration_fetch_steps.py
@@ -11,7 +11,7 @@
 from loomwind.messages.serving import ConfigurationCopy
 from loomwind.metrics import Metrics
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.follower import StoreHealth
 from loomwind.serving.peers import PeerTable
@@ -26,7 +26,7 @@
 class EmptyPeerTable:
     """A peer table without peers."""
 
-    def fingers(self) -> list[Any]:
+    def gossip_targets(self) -> list[Any]:
         """Return no peers."""
         return []
 
@@ -51,7 +51,7 @@
 
 async def _fetch(context: Any) -> None:
     replicated_state = ReplicatedState(
-        PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
+        PlatformDocumentParser(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
     row = StoredRow("config", context.version, configuration_document(context.version))
     replicated_state.on_configuration_rows(Snapshot((row,), context.version), True)
@@ -63,7 +63,7 @@
     )
     task = asyncio.ensure_future(gossip.run())
     for address, version in (("peer:1", 4), ("peer:2", 5)):
-        gossip.note_version(address, version)
+        gossip.record_peer_version(address, version)
         await asyncio.sleep(SETTLE_SECONDS)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/features/steps/pool_configuration_steps.py
+++ b/features/steps/pool_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about configurations and lists of servers in the store."""
+"""Steps for the configuration and the server list in the store."""
 
 import socket
 import subprocess
@@ -14,8 +14,8 @@
 from features.support.template import FIELDS, render
 
 
-@when("the deploy template is filled for a machine")
-def step_fill(context: Any) -> None:
+@when("the deploy template is rendered for a machine")
+def step_render_template(context: Any) -> None:
     context.settings_path = pool(context).folder / "filled.toml"
     context.settings_path.write_text(render(FIELDS))
 
@@ -23,8 +23,8 @@
 @then("check-config accepts it")
 def step_check_config(context: Any) -> None:
     command = [sys.executable, "-m", "loomwind", "check-config", str(context.settings_path)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert done.returncode == 0, done.stdout + done.stderr
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert result.returncode == 0, result.stdout + result.stderr
 
 
 @when("a route {name} to {service} is added")
@@ -35,7 +35,7 @@
 
 
 @when("an older version without that route is written")
-def step_older(context: Any) -> None:
+def step_write_older_version(context: Any) -> None:
     site = pool(context)
     newest, routes = site.version, site.routes
     site.routes = routes[:-1]
@@ -43,8 +43,8 @@
     site.version, site.routes = newest, routes
 
 
-@when("the store forgets its history")
-def step_forget(context: Any) -> None:
+@when("the store discards its history")
+def step_discard_history(context: Any) -> None:
     pool(context).discard_history()
 
 
@@ -79,8 +79,8 @@
         assert reply.status == 200, (daemon.name, reply.status, reply.body)
 
 
-@given("a daemon whose way to the store can be cut")
-def step_cuttable(context: Any) -> None:
+@given("a daemon that connects to the store through a link")
+def step_daemon_with_link(context: Any) -> None:
     site = pool(context)
     arguments = ["--targets", site.store_address]
     link = Process("standins.link", arguments, site.folder / "link.log")
@@ -90,29 +90,29 @@
     site.wait_ready()
 
 
-@when("its way to the store is cut")
-def step_cut(context: Any) -> None:
+@when("its link to the store is cut")
+def step_cut_link(context: Any) -> None:
     with socket.create_connection(("127.0.0.1", context.link_control)) as control:
         control.sendall(b"cut\n")
         control.recv(64)
 
 
-@given("a daemon while the store is away")
+@given("a daemon while the store is unavailable")
 def step_daemon_no_store(context: Any) -> None:
     site = pool(context)
-    site.store_fault(mode="busy")
+    site.set_store_faults(mode="busy")
     site.add_daemon("alone")
     daemon = first_daemon(context)
     wait_until(lambda: daemon.ready_status() == 503, "the daemon answers that it is not ready")
 
 
 @when("the daemons know {count:d} usable servers")
-def step_usable(context: Any, count: int) -> None:
+def step_usable_servers(context: Any, count: int) -> None:
     wait_for_metric(pool(context), "loomwind_servers_usable", float(count))
 
 
 @then("ten plain requests all run at {name}")
-def step_ten(context: Any, name: str) -> None:
+def step_all_run_at(context: Any, name: str) -> None:
     site = pool(context)
     requests = [site.request(first_daemon(context), "look") for _ in range(10)]
     site.callers.begin(requests)
--- a/features/steps/pool_control_steps.py
+++ b/features/steps/pool_control_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the leader, its orders, and what it was not told."""
+"""Steps for the leader, its orders and delayed responses to orders."""
 
 import signal
 from typing import Any
@@ -18,15 +18,19 @@
     )
 
 
-@then("every reply is whole")
-def step_all_whole(context: Any) -> None:
+@then("every reply is complete")
+def step_all_complete(context: Any) -> None:
     for reply in replies_of(context):
-        assert reply.status == 200 and reply.whole, (reply.status, reply.whole, reply.body[:200])
+        assert reply.status == 200 and reply.is_complete, (
+            reply.status,
+            reply.is_complete,
+            reply.body[:200],
+        )
 
 
-@then("{target} was ordered at most once at each server, and at {count:d} servers at most")
+@then("{target} was ordered at most once at each server and at no more than {count:d} servers")
 def step_loads(context: Any, target: str, count: int) -> None:
-    """A busy model gets a second copy by the leader's decision; never more, however it bursts."""
+    """Check the loads: the leader may add a second copy of a busy model, but no more in a burst."""
     ordered = []
     for server in pool(context).servers.values():
         orders = [o for o in server.state()["orders"] if o["model"] == target and not o["adapter"]]
@@ -34,25 +38,25 @@
     assert max(ordered) == 1 and sum(ordered) <= count, ordered
 
 
-@when("each server got an order")
-def step_each_got(context: Any) -> None:
+@when("a server has received an order")
+def step_order_received(context: Any) -> None:
     servers = pool(context).servers.values()
     wait_until(lambda: any(s.state()["orders"] for s in servers), "a server got an order")
 
 
-@when("the paused leader wakes")
-def step_wakes(context: Any) -> None:
+@when("the paused leader resumes")
+def step_resumes(context: Any) -> None:
     context.old_leader.process.signal(signal.SIGCONT)
 
 
-@then("the fences of the orders at each server never fall")
+@then("the fencing tokens of the orders at each server never decrease")
 def step_fences(context: Any) -> None:
     for name, server in pool(context).servers.items():
         fences = [order["fencing-token"] for order in server.state()["orders"]]
         assert fences == sorted(fences), (name, fences)
 
 
-@when("all daemons are killed and started again")
+@when("all daemons are killed and restarted")
 def step_kill_all(context: Any) -> None:
     site = pool(context)
     for daemon in site.daemons.values():
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a pool that daemons serve by a store."""
+"""Steps for pools of servers that daemons serve with the metadata store."""
 
 import signal
 import time
@@ -6,13 +6,13 @@
 
 from behave import given, then, when
 
-from features.support.caller import Reply, read_part_and_leave
+from features.support.caller import Reply, disconnect_during_response
 from features.support.pool_site import PoolDaemonProcess, PoolSite
 from features.support.processes import wait_until
 
 
 def pool(context: Any) -> PoolSite:
-    """Return the scenario's site, made when first asked for."""
+    """Return the site of the scenario; the first call creates it."""
     if context.pool is None:
         context.pool = PoolSite()
     site: PoolSite = context.pool
@@ -20,12 +20,12 @@
 
 
 def first_daemon(context: Any) -> PoolDaemonProcess:
-    """Return the first daemon."""
+    """Return the daemon that was added first."""
     return next(iter(pool(context).daemons.values()))
 
 
 def replies_of(context: Any) -> list[Reply]:
-    """Return all replies, waiting for those that are still out."""
+    """Wait for pending replies and return all replies of the scenario."""
     context.replies += pool(context).callers.finish()
     replies: list[Reply] = context.replies
     return replies
@@ -59,16 +59,16 @@
 @given("the store has faults {faults}")
 @when("the store has faults {faults}")
 def step_store_faults(context: Any, faults: str) -> None:
-    pool(context).store_fault(**parse_faults(faults))
+    pool(context).set_store_faults(**parse_faults(faults))
 
 
-@when("the store is well again")
-def step_store_well(context: Any) -> None:
-    pool(context).store_fault()
+@when("the store recovers")
+def step_store_recovers(context: Any) -> None:
+    pool(context).set_store_faults()
 
 
 def parse_faults(text: str) -> dict[str, object]:
-    """Return ``name=value, name=value`` as a table."""
+    """Parse ``name=value, name=value`` into a dict."""
     faults: dict[str, object] = {}
     for item in text.split(", "):
         name, _, value = item.partition("=")
@@ -134,7 +134,7 @@
     process.signal(signal.Signals[name])
 
 
-@when("the leader is ended with {name}")
+@when("the leader receives {name}")
 def step_end_leader(context: Any, name: str) -> None:
     leader = pool(context).leader()
     assert leader is not None and leader.process is not None
@@ -142,7 +142,7 @@
     leader.process.signal(signal.Signals[name])
 
 
-@then("another pool daemon leads")
+@then("another pool daemon becomes the leader")
 def step_other_leads(context: Any) -> None:
     site = pool(context)
     old = context.old_leader
@@ -151,7 +151,7 @@
         others = [d for d in site.daemons.values() if d is not old]
         return any(d.leading for d in others)
 
-    wait_until(other_leads, "another pool daemon leads")
+    wait_until(other_leads, "another pool daemon becomes the leader")
 
 
 @then("the last reply has status {status:d}")
@@ -160,18 +160,22 @@
     assert reply.status == status, (reply.status, reply.body[:200])
 
 
-@then("the last reply is whole with {count:d} events in order")
+@then("the last reply is complete with {count:d} events in order")
 def step_events(context: Any, count: int) -> None:
     reply = replies_of(context)[-1]
     ids = [int(line[4:]) for line in reply.body.split(b"\n") if line.startswith(b"id: ")]
-    assert reply.status == 200 and reply.whole, (reply.status, reply.whole, reply.body[:300])
+    assert reply.status == 200 and reply.is_complete, (
+        reply.status,
+        reply.is_complete,
+        reply.body[:300],
+    )
     assert ids == list(range(1, count + 1)), ids
 
 
-@then("the last reply is not whole and has whole events only")
-def step_cut(context: Any) -> None:
+@then("the last reply is truncated after a complete event")
+def step_truncated(context: Any) -> None:
     reply = replies_of(context)[-1]
-    assert reply.status == 200 and not reply.whole, (reply.status, reply.whole)
+    assert reply.status == 200 and not reply.is_complete, (reply.status, reply.is_complete)
     assert reply.body == b"" or reply.body.endswith(b"\n\n"), reply.body
 
 
@@ -188,8 +192,8 @@
     assert reply.body.decode() == text, reply.body
 
 
-@then("the first daemon ends by itself with status {status:d}")
-def step_ended(context: Any, status: int) -> None:
+@then("the first daemon exits with status {status:d}")
+def step_exited(context: Any, status: int) -> None:
     process = first_daemon(context).process
     assert process is not None
     wait_until(lambda: not process.alive, "the daemon has ended")
@@ -208,20 +212,20 @@
     wait_until(lambda: target in server.state()["held"], f"{name} holds {target}")
 
 
-@then("no server was ordered beyond its memory")
+@then("no order overcommitted a server")
 def step_no_violation(context: Any) -> None:
-    found = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
-    assert not any(found.values()), found
+    violations = {name: s.state()["violations"] for name, s in pool(context).servers.items()}
+    assert not any(violations.values()), violations
 
 
 @when("a running daemon gets a request on {name} for {target}")
 def step_send_running(context: Any, name: str, target: str) -> None:
     site = pool(context)
-    ended = getattr(context, "old_leader", None)
+    stopped_leader = getattr(context, "old_leader", None)
     running = [
         daemon
         for daemon in site.daemons.values()
-        if daemon is not ended and daemon.process is not None and daemon.process.alive
+        if daemon is not stopped_leader and daemon.process is not None and daemon.process.alive
     ]
     site.callers.begin([site.request(running[0], name, target)])
     replies_of(context)
@@ -234,15 +238,15 @@
         assert reply.body == b"POST /book/item hello", reply.body
 
 
-@when("a caller leaves during a stream for {target}")
-def step_leave(context: Any, target: str) -> None:
+@when("a caller disconnects during a stream for {target}")
+def step_disconnect(context: Any, target: str) -> None:
     site = pool(context)
     request = site.request(first_daemon(context), "drill", target, 200)
     context.last_request_id = request.headers["x-request-id"]
-    read_part_and_leave(request)
+    disconnect_during_response(request)
 
 
-@then("its work at server {name} is cancelled")
+@then("its execution on server {name} is cancelled")
 def step_cancelled(context: Any, name: str) -> None:
     server = pool(context).servers[name]
     request_id = context.last_request_id
@@ -260,19 +264,19 @@
     pool(context).lease_ms = 1000 * seconds
 
 
-@given("callers who wait {seconds:d} s for an answer to begin")
-def step_patient(context: Any, seconds: int) -> None:
-    for known in pool(context).routes:
-        known["target-latency-ms"] = 1000 * seconds
+@given("routes with a target latency of {seconds:d} s")
+def step_target_latency(context: Any, seconds: int) -> None:
+    for route_fields in pool(context).routes:
+        route_fields["target-latency-ms"] = 1000 * seconds
 
 
-@when("the lease of the leader would have ended")
-def step_lease_over(context: Any) -> None:
-    """Wait until the store has refused renewals for two whole leases."""
+@when("twice the lease duration passes")
+def step_wait_two_leases(context: Any) -> None:
+    """Wait for twice the lease duration."""
     site = pool(context)
-    began = time.monotonic()
+    started_at = time.monotonic()
     wait_until(
-        lambda: time.monotonic() - began > 2 * site.lease_ms / 1000, "two leases have passed"
+        lambda: time.monotonic() - started_at > 2 * site.lease_ms / 1000, "two leases have passed"
     )
 
 
@@ -290,7 +294,7 @@
     )
 
 
-@when("server {name} starts again under its name, with nothing loaded")
+@when("server {name} restarts with the same instance id and no models")
 def step_restart_server(context: Any, name: str) -> None:
     pool(context).restart_model_server(name)
 
--- a/features/steps/prompt_crash_steps.py
+++ b/features/steps/prompt_crash_steps.py
@@ -81,7 +81,7 @@
 
 
 def _crash_count(site: PoolSite) -> int:
-    return sum(len(server.crash_state()["crash_times_s"]) for server in site.servers.values())
+    return sum(len(server.last_known_state()["crash_times_s"]) for server in site.servers.values())
 
 
 def _send(
@@ -112,7 +112,7 @@
     times = [
         at_s
         for server in pool(context).servers.values()
-        for at_s in server.crash_state()["crash_part_times_s"]
+        for at_s in server.last_known_state()["crash_part_times_s"]
         if at_s >= context.counted_from_s
     ]
     assert len(times) <= count, (len(times), len(replies), _crash_count(pool(context)))
@@ -121,6 +121,6 @@
 @then("at least {part:f} of the last good requests were served at the first attempt")
 def step_good_served(context: Any, part: float) -> None:
     replies: list[Reply] = [future.result() for name, future in context.counted if name == "good"]
-    served = [reply for reply in replies if reply.status == 200 and reply.whole]
+    served = [reply for reply in replies if reply.status == 200 and reply.is_complete]
     ends = [(reply.status, reply.body[:60]) for reply in replies if reply not in served]
     assert len(served) >= part * len(replies), (len(served), len(replies), ends)
--- a/features/steps/server_list_steps.py
+++ b/features/steps/server_list_steps.py
@@ -16,7 +16,7 @@
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.directory import ServerDirectory
 from loomwind.serving.follower import StoreHealth, TableFollower
 from loomwind.serving.peers import PeerEntry, PeerTable
@@ -43,7 +43,7 @@
 def replicated_state() -> ReplicatedState:
     """Return the empty state of a new daemon."""
     return ReplicatedState(
-        PlatformDocuments(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
+        PlatformDocumentParser(), "config", ServerPool(BoundSettings()), StoreHealth(), Metrics()
     )
 
 
@@ -67,9 +67,9 @@
 class FakePeerTable:
     """A peer table with the given mirrors."""
 
-    def __init__(self, mirrors: list[PeerEntry], own_life: str) -> None:
+    def __init__(self, mirrors: list[PeerEntry], own_incarnation: str) -> None:
         self._mirrors = mirrors
-        self._own_life = own_life
+        self._own_incarnation = own_incarnation
 
     def mirrors(self) -> list[PeerEntry]:
         """Return the mirrors."""
@@ -77,8 +77,8 @@
 
     def is_mirror(self) -> bool:
         """Return whether the daemon itself is a mirror, or knows none."""
-        lives = [mirror.life for mirror in self._mirrors]
-        return not lives or self._own_life in lives
+        incarnations = [mirror.incarnation for mirror in self._mirrors]
+        return not incarnations or self._own_incarnation in incarnations
 
 
 class FakeMirrors:
@@ -108,7 +108,7 @@
 
 @given("a daemon that is a mirror")
 def step_mirror(context: Any) -> None:
-    context.list_mirrors = [PeerEntry(OWN.address, "z", OWN.life)]
+    context.list_mirrors = [PeerEntry(OWN.address, "z", OWN.incarnation)]
     context.fake_mirrors = FakeMirrors()
 
 
@@ -137,7 +137,7 @@
         OWN,
         table,
         cast(PeerTransport, mirrors),
-        cast(PeerTable, FakePeerTable(context.list_mirrors, OWN.life)),
+        cast(PeerTable, FakePeerTable(context.list_mirrors, OWN.incarnation)),
         context.replicated_state,
         BoundSettings(drain_ms=DRAIN_MS),
     )
@@ -213,14 +213,14 @@
 @when("its holder reports at {now:f} s that it wrote version {version:d}")
 def step_holder_reports(context: Any, now: float, version: int) -> None:
     context.holder = context.lease.holder
-    context.lease.note_row(version, context.holder, now)
+    context.lease.record_row(version, context.holder, now)
 
 
 @then("it is not acquired before {now:f} s, and then with expected version {version:d}")
 def step_acquired(context: Any, now: float, version: int) -> None:
     lease = context.lease
     assert lease.action(now - 0.05, 9.0) is LeaseAction.WAIT
-    assert lease.action(now, 9.0) is LeaseAction.TAKE
+    assert lease.action(now, 9.0) is LeaseAction.ACQUIRE
     assert lease.expected_version == version
     context.acquired_at = now
 
@@ -229,14 +229,14 @@
 def step_later(context: Any, extra: float) -> None:
     lease, now = context.lease, context.acquired_at
     assert lease.action(now, 9.0, extra) is LeaseAction.WAIT
-    assert lease.action(now + extra, 9.0, extra) is LeaseAction.TAKE
+    assert lease.action(now + extra, 9.0, extra) is LeaseAction.ACQUIRE
 
 
 @then("a late notice of version {version:d} changes nothing")
 def step_late_notice(context: Any, version: int) -> None:
     lease = context.lease
-    lease.note_row(version, context.holder, context.acquired_at)
-    assert lease.action(context.acquired_at, 9.0) is LeaseAction.TAKE
+    lease.record_row(version, context.holder, context.acquired_at)
+    assert lease.action(context.acquired_at, 9.0) is LeaseAction.ACQUIRE
 
 
 @given("an entry of server {name:w} at revision {revision:d} that holds m1")
@@ -277,9 +277,9 @@
 @when(
     "s1 is listed as {state:w}, and its entry is removed at {now:f} s while the store is {health}"
 )
-def step_entry_goes(context: Any, state: str, now: float, health: str) -> None:
+def step_entry_removed(context: Any, state: str, now: float, health: str) -> None:
     context.directory.put(listed_as(state))
-    context.directory.remove("s1", now, health == "unstable", now)
+    context.directory.remove("s1", now, health == "not stable", now)
 
 
 @when(
@@ -297,12 +297,12 @@
 
 
 @then("s1 may get requests at {now:f} s")
-def step_may_get_work(context: Any, now: float) -> None:
+def step_may_get_requests(context: Any, now: float) -> None:
     assert [entry.instance for entry in context.directory.usable("tutor", now)] == ["s1"]
 
 
 @then("s1 may not get requests at {now:f} s")
-def step_may_not_get_work(context: Any, now: float) -> None:
+def step_may_not_get_requests(context: Any, now: float) -> None:
     assert context.directory.usable("tutor", now) == []
 
 
@@ -340,7 +340,7 @@
 @then("its next feed call does not wait, so that a response is received at once")
 def step_next_call(context: Any) -> None:
     store = WaitRecorder()
-    table = TableFollower(cast(Store, store), "op", context.health, lambda rows, whole: None)
+    table = TableFollower(cast(Store, store), "op", context.health, lambda rows, is_full: None)
     table.resume_from(1)
     asyncio.run(_poll_twice(table))
     assert store.wait_times == [0.0, 25.0], store.wait_times
--- a/features/support/simulated_fleet.py
+++ b/features/support/simulated_fleet.py
@@ -30,7 +30,7 @@
 from loomwind.metrics import Metrics
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
-from loomwind.platform.documents import PlatformDocuments
+from loomwind.platform.documents import PlatformDocumentParser
 from loomwind.serving.anti_entropy import AntiEntropy
 from loomwind.serving.configuration_gossip import ConfigurationGossip
 from loomwind.serving.configuration_polling import ConfigurationPolling
@@ -75,17 +75,17 @@
                 answer = await self._daemons[address].on_message(message)
                 await self._transmit(sender, address)
         except TimeoutError as error:
-            raise PeerUnreachable("no answer") from error
+            raise PeerUnreachable("no response") from error
         assert answer is not None
         return answer
 
-    def cast(self, sender: str, address: str, message: AnyMessage) -> None:
+    def send(self, sender: str, address: str, message: AnyMessage) -> None:
         """Send a message to a peer without waiting for a response."""
-        task = asyncio.get_running_loop().create_task(self._cast(sender, address, message))
+        task = asyncio.get_running_loop().create_task(self._send(sender, address, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cast(self, sender: str, address: str, message: AnyMessage) -> None:
+    async def _send(self, sender: str, address: str, message: AnyMessage) -> None:
         lost = self.drops_gossip and isinstance(message, ServerDepartures | ConfigurationNotice)
         if not lost and not {sender, address} & self.unreachable:
             await asyncio.sleep(LINK_LATENCY_SECONDS)
@@ -108,9 +108,9 @@
         """Send a request to a peer and return its response."""
         return await self._network.call(self._daemon, address, message, timeout)
 
-    def cast(self, address: str, message: AnyMessage) -> None:
+    def send(self, address: str, message: AnyMessage) -> None:
         """Send a message to a peer without waiting for a response."""
-        self._network.cast(self._daemon, address, message)
+        self._network.send(self._daemon, address, message)
 
 
 class SimulatedPeerTable:
@@ -134,11 +134,11 @@
         mirrors = self.mirrors()
         return not mirrors or any(entry.address == self._own for entry in mirrors)
 
-    def paced(self, seconds: float) -> float:
+    def scale_interval(self, seconds: float) -> float:
         """Return an interval, longer in a large fleet."""
         return seconds * max(1.0, len(self._entries) / constants.SMALL_FLEET_DAEMONS)
 
-    def fingers(self) -> list[PeerEntry]:
+    def gossip_targets(self) -> list[PeerEntry]:
         """Return the daemons that this one forwards gossip to."""
         count = len(self._entries)
         if not count:
@@ -169,7 +169,7 @@
         self.name = name
         health = StoreHealth()
         self.replicated_state = ReplicatedState(
-            PlatformDocuments(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
+            PlatformDocumentParser(), CONFIGURATION_KEY, ServerPool(bounds), health, Metrics()
         )
         self._server_table = TableFollower(
             cast(Store, DaemonStoreClient(tables.servers, name)),
@@ -227,7 +227,7 @@
             case PoolDigest():
                 self._anti_entropy.on_digest(message)
             case ConfigurationNotice():
-                self._configurations.note_version(message.teller, message.version)
+                self._configurations.record_peer_version(message.sender, message.version)
             case ConfigurationQuestion():
                 return self._configurations.answer(message)
             case DirectoryCopy():
--- a/loomwind/catalog/store.py
+++ b/loomwind/catalog/store.py
@@ -1,7 +1,7 @@
-"""The durable catalog: a log of changes in the table service, a snapshot in the object store.
+"""Persistent catalog: a log of changes in the table service, and a snapshot in the object store.
 
-Change N is the row ``catalog/N``, which only one writer can create. A write whose answer was lost
-is settled by reading the row back and comparing the change id.
+Change N is stored in the row ``catalog/N``, which only one writer can create. If the answer to a
+write is lost, the row is read back and its change ID compared.
 """
 
 import msgspec
@@ -15,43 +15,43 @@
 
 SNAPSHOT_INTERVAL = 256
 SNAPSHOT_NAME = "catalog-snapshot"
-WRITE_ATTEMPTS = 64
-READ_BACK_ATTEMPTS = 3
+MAX_APPEND_ATTEMPTS = 64
+MAX_READ_BACK_ATTEMPTS = 3
 
 
 def row_key(version: int) -> str:
-    """Return the key of the row that holds a change."""
+    """Return the key of the row for the change with a version."""
     return f"catalog/{version:012d}"
 
 
-class CaughtUp(Struct, frozen=True):
-    """A catalog, and the records that led to it."""
+class CatchUpResult(Struct, frozen=True):
+    """An updated catalog, and the records that were applied to it."""
 
     catalog: Catalog
     records: tuple[ChangeRecord, ...]
 
 
 class CatalogStore:
-    """Reads and appends the log."""
+    """Reads and appends to the log of changes."""
 
     def __init__(self, table: TableService, objects: ObjectStore | None) -> None:
         self._table = table
         self._objects = objects
 
-    async def catch_up(self, catalog: Catalog) -> CaughtUp:
-        """Return the catalog with all that was accepted up to now.
+    async def catch_up(self, catalog: Catalog) -> CatchUpResult:
+        """Return the catalog with all changes accepted so far, starting from a snapshot if empty.
 
         :raises CatalogUnavailable: the table service does not answer.
         """
         if catalog.version == 0:
-            catalog = await self._from_snapshot()
+            catalog = await self._load_snapshot()
         records = []
         while record := await self._read(catalog.version + 1):
             catalog = apply(catalog, record)
             records.append(record)
-        return CaughtUp(catalog, tuple(records))
+        return CatchUpResult(catalog, tuple(records))
 
-    async def _from_snapshot(self) -> Catalog:
+    async def _load_snapshot(self) -> Catalog:
         if self._objects is None:
             return Catalog()
         try:
@@ -66,67 +66,67 @@
         try:
             row = await self._table.read(row_key(version))
         except PlatformUnavailable as error:
-            raise CatalogUnavailable(str(error), unknown=False) from error
+            raise CatalogUnavailable(str(error), outcome_unknown=False) from error
         if not row.version:
             return None
         return msgspec.msgpack.decode(row.value, type=ChangeRecord)
 
-    async def append(self, catalog: Catalog, change: Change) -> CaughtUp:
+    async def append(self, catalog: Catalog, change: Change) -> CatchUpResult:
         """Validate a change and append it.
 
-        :returns: the catalog after it, and the records since ``catalog``; the last is the
-            change's own. A change id that is already in the log returns the record of that time.
-        :raises Conflict: the object is at another version than the change is based on.
-        :raises CatalogError: the change is invalid, or the store does not answer.
+        :returns: the catalog after the change, and the records since ``catalog``. The last record
+            is that of the change; if its ID is already in the log, that of the earlier append.
+        :raises Conflict: the change is not based on the current version of the object.
+        :raises CatalogError: the change is invalid, or the store is unavailable.
         """
         records: tuple[ChangeRecord, ...] = ()
-        for _ in range(WRITE_ATTEMPTS):
-            known = await self._read(catalog.version + 1)
-            if known is not None:
-                catalog = apply(catalog, known)
-                records = (*records, known)
-                if known.change.change_id == change.change_id:
-                    return CaughtUp(catalog, records)
+        for _ in range(MAX_APPEND_ATTEMPTS):
+            existing = await self._read(catalog.version + 1)
+            if existing is not None:
+                catalog = apply(catalog, existing)
+                records = (*records, existing)
+                if existing.change.change_id == change.change_id:
+                    return CatchUpResult(catalog, records)
                 continue
             validate(catalog, change)
             record = ChangeRecord(version=catalog.version + 1, change=change)
             if await self._create(record):
                 catalog = apply(catalog, record)
-                await self._maybe_snapshot(catalog)
-                return CaughtUp(catalog, (*records, record))
-        raise CatalogUnavailable("too many operators write at once", unknown=False)
+                await self._write_snapshot_if_due(catalog)
+                return CatchUpResult(catalog, (*records, record))
+        raise CatalogUnavailable("too many operators write at once", outcome_unknown=False)
 
     async def _create(self, record: ChangeRecord) -> bool:
-        """Create the row of a record; False when another change took its version."""
+        """Create the row of a record; return False if another change has taken its version."""
         key = row_key(record.version)
         try:
             await self._table.write(key, 0, msgspec.msgpack.encode(record))
         except RowConflict:
-            return await self._is_ours(record)
+            return await self._is_recorded(record)
         except PlatformUnavailable as error:
-            if not error.unknown:
-                raise CatalogUnavailable(str(error), unknown=False) from error
+            if not error.outcome_unknown:
+                raise CatalogUnavailable(str(error), outcome_unknown=False) from error
             return await self._read_back(record)
         return True
 
-    async def _is_ours(self, record: ChangeRecord) -> bool:
-        known = await self._read(record.version)
-        return known is not None and known.change.change_id == record.change.change_id
+    async def _is_recorded(self, record: ChangeRecord) -> bool:
+        existing = await self._read(record.version)
+        return existing is not None and existing.change.change_id == record.change.change_id
 
     async def _read_back(self, record: ChangeRecord) -> bool:
-        """Settle a write whose answer was lost."""
-        for _ in range(READ_BACK_ATTEMPTS):
+        """Return whether a write whose answer was lost took effect."""
+        for _ in range(MAX_READ_BACK_ATTEMPTS):
             try:
-                known = await self._read(record.version)
+                existing = await self._read(record.version)
             except CatalogUnavailable:
                 continue
-            return known is not None and known.change.change_id == record.change.change_id
+            return existing is not None and existing.change.change_id == record.change.change_id
         raise CatalogUnavailable(
             f"the answer was lost; read change id {record.change.change_id} back later",
-            unknown=True,
+            outcome_unknown=True,
         )
 
-    async def _maybe_snapshot(self, catalog: Catalog) -> None:
+    async def _write_snapshot_if_due(self, catalog: Catalog) -> None:
         if self._objects is None or catalog.version % SNAPSHOT_INTERVAL:
             return
         try:
--- a/loomwind/control/claim_service.py
+++ b/loomwind/control/claim_service.py
@@ -1,4 +1,4 @@
-"""The daemon's side of claims: asks the voters before a request that runs at most once goes out."""
+"""The client side of claims: asks the voters before a request that may run only once is sent."""
 
 import asyncio
 import enum
@@ -28,26 +28,28 @@
 CALL_TIMEOUT_SECONDS = 0.5
 
 
-class HeldKey(Struct, frozen=True):
-    """A claim that a majority granted to this daemon."""
+class ClaimHandle(Struct, frozen=True):
+    """Identifies a claim of this daemon, to release it later."""
 
     key: str
     attempt: int
 
 
-class Standing(enum.Enum):
-    """How a claim stands after all voters were asked.
+class ClaimResult(enum.Enum):
+    """The result of asking all voters for a claim.
 
-    CONTESTED: another daemon has some of the votes, but perhaps no majority.
+    GRANTED: a majority granted it.
+    CONTESTED: at least one voter has recorded another claim to the key, which may lack a majority.
+    NO_MAJORITY: too few voters granted it, and none has recorded another claim to the key.
     """
 
-    WON = enum.auto()
+    GRANTED = enum.auto()
     CONTESTED = enum.auto()
-    UNANSWERED = enum.auto()
+    NO_MAJORITY = enum.auto()
 
 
 class ClaimService:
-    """Claims keys with a majority of the cell's voters."""
+    """Claims keys by getting grants from a majority of the cell's voters."""
 
     def __init__(
         self,
@@ -63,77 +65,79 @@
         self._attempts = itertools.count(1)
         self._random = random.Random(membership.own.identity.incarnation)
 
-    async def claim(self, key: str, timeout: float) -> HeldKey:
+    async def claim(self, key: str, timeout: float) -> ClaimHandle:
         """Claim a key.
 
-        :raises ClaimTaken: another request has it, or may have it.
-        :raises ClaimBarrier: earlier claims were lost a short while ago.
-        :raises ClaimUnavailable: no majority answered within ``timeout`` seconds.
+        :raises ClaimTaken: another request holds the claim, or may hold it.
+        :raises ClaimBarrier: earlier claims were lost, and may not have expired.
+        :raises ClaimUnavailable: no majority granted the claim within ``timeout`` seconds.
         """
         contested = False
         try:
             async with asyncio.timeout(min(timeout, constants.CLAIM_TIMEOUT_SECONDS)):
                 while True:
-                    held = HeldKey(key, next(self._attempts))
-                    standing = await self._try(held)
-                    if standing is Standing.WON:
-                        return held
-                    contested = standing is Standing.CONTESTED
+                    handle = ClaimHandle(key, next(self._attempts))
+                    result = await self._attempt_claim(handle)
+                    if result is ClaimResult.GRANTED:
+                        return handle
+                    contested = result is ClaimResult.CONTESTED
                     await asyncio.sleep(self._random.uniform(*BACKOFF_SECONDS))
         except TimeoutError as error:
             if contested:
                 raise ClaimTaken(f"key {key!r} may have been used before") from error
             raise ClaimUnavailable("no majority of the voters granted the key") from error
 
-    async def _try(self, held: HeldKey) -> Standing:
-        """Ask all voters once, and give back what was granted unless it is a majority."""
+    async def _attempt_claim(self, handle: ClaimHandle) -> ClaimResult:
+        """Ask all voters once, and release the grants if they are not a majority."""
         try:
-            standing = await self._ask(held)
+            result = await self._request_grants(handle)
         except BaseException:
-            self.release(held)
+            self.release(handle)
             raise
-        if standing is not Standing.WON:
-            self.release(held)
-        return standing
+        if result is not ClaimResult.GRANTED:
+            self.release(handle)
+        return result
 
-    async def _ask(self, held: HeldKey) -> Standing:
+    async def _request_grants(self, handle: ClaimHandle) -> ClaimResult:
         update = self._routing()
         if update is None or not update.voters:
-            return Standing.UNANSWERED
+            return ClaimResult.NO_MAJORITY
         claim = Claim(
             self._membership.own.cell,
             update.stamp.generation,
             update.epoch,
-            held.key,
+            handle.key,
             self._membership.own.identity,
-            held.attempt,
+            handle.attempt,
+        )
+        answers = await asyncio.gather(
+            *(self._request_grant(info, claim) for info in update.voters)
         )
-        answers = await asyncio.gather(*(self._ask_one(info, claim) for info in update.voters))
         counted = [
             answer
             for info, answer in zip(update.voters, answers, strict=True)
             if answer is not None and answer.voter == info.identity
         ]
-        return self._standing(held.key, counted, len(update.voters))
+        return self._evaluate(handle.key, counted, len(update.voters))
 
     @staticmethod
-    def _standing(key: str, answers: list[ClaimAnswer], voters: int) -> Standing:
-        """Return how a claim stands.
+    def _evaluate(key: str, answers: list[ClaimAnswer], voters: int) -> ClaimResult:
+        """Return the result of the voters' answers.
 
-        :raises ClaimTaken: another claimant has a majority, or nobody may have the key any more.
-        :raises ClaimBarrier: the voters lost earlier claims.
+        :raises ClaimTaken: a majority of the voters recorded another claim, or blocked the key.
+        :raises ClaimBarrier: a voter reports that earlier claims were lost.
         """
         verdicts = [answer.verdict for answer in answers]
         if ClaimVerdict.BARRIER in verdicts:
             raise ClaimBarrier("earlier claims were lost with a majority of the voters")
         if 2 * verdicts.count(ClaimVerdict.GRANTED) > voters:
-            return Standing.WON
+            return ClaimResult.GRANTED
         holders = Counter(a.holder for a in answers if a.verdict is ClaimVerdict.TAKEN)
         if any(2 * count > voters for count in holders.values()):
             raise ClaimTaken(f"key {key!r} was used before")
-        return Standing.CONTESTED if holders else Standing.UNANSWERED
+        return ClaimResult.CONTESTED if holders else ClaimResult.NO_MAJORITY
 
-    async def _ask_one(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
+    async def _request_grant(self, info: MemberInfo, claim: Claim) -> ClaimAnswer | None:
         if info.identity == self._membership.own.identity:
             return self._store.on_claim(claim, self._membership.now)
         try:
@@ -142,13 +146,13 @@
             return None
         return answer if isinstance(answer, ClaimAnswer) else None
 
-    def release(self, held: HeldKey) -> None:
-        """Give a key back whose request did not run and will not."""
+    def release(self, handle: ClaimHandle) -> None:
+        """Release the claim of a request that did not run and will not."""
         own = self._membership.own
-        message = ClaimRelease(own.cell, held.key, own.identity, held.attempt)
+        message = ClaimRelease(own.cell, handle.key, own.identity, handle.attempt)
         update = self._routing()
         for info in update.voters if update else ():
             if info.identity == own.identity:
                 self._store.on_release(message)
             else:
-                self._transport.cast(info.address, message)
+                self._transport.send(info.address, message)
--- a/loomwind/control/claims.py
+++ b/loomwind/control/claims.py
@@ -1,9 +1,9 @@
-"""Claims: the record, held by voters, of which daemon may run a request that runs at most once.
+"""Claims: the voters' record of which daemon may run a request that must run at most once.
 
-A claim counts once a majority of a voter set has granted it. When the voter set changes, the new
-voter first fetches the claims of a majority of the old set, and those that hand them out grant no
-more in the old epoch, so that no claim can be granted twice across the change. The voter side here
-is a state machine without I/O; times are passed in, in seconds.
+A claim is valid once a majority of a voter set has granted it. When the voter set changes, the new
+voter first fetches the claims of a majority of the old set. The voters that send them grant no more
+claims in the old epoch, so that no claim is granted twice across the change. This module is the
+voter side: a state machine without I/O, to which times are passed in seconds.
 """
 
 from msgspec import Struct
@@ -20,53 +20,53 @@
 )
 
 
-class HeldClaim(Struct, frozen=True):
-    """A granted claim and when it was granted."""
+class GrantedClaim(Struct, frozen=True):
+    """A claim that this voter granted or fetched from another voter."""
 
     claimant: VoterId
     attempt: int
     granted_at: float
 
 
-NOBODY = VoterId("", "")
+NO_CLAIMANT = VoterId("", "")
 
 
-def _merge(held: HeldClaim | None, fetched: HeldClaim) -> HeldClaim:
-    """Return the claim to hold after one more was fetched.
+def _merge_claim(granted: GrantedClaim | None, fetched: GrantedClaim) -> GrantedClaim:
+    """Return the claim to keep after another one to the same key was fetched.
 
-    A key that two daemons claimed is granted to nobody any more: one of them may have a majority
-    of the earlier voters. The specification's ``claim-conflict`` shows what happens otherwise.
+    If two claims to a key were granted, it stays blocked for all: either may have a majority of
+    the earlier voters. The specification's ``claim-conflict`` mutation shows the failure otherwise.
     """
-    if held is None:
+    if granted is None:
         return fetched
-    same = (held.claimant, held.attempt) == (fetched.claimant, fetched.attempt)
-    granted_at = max(held.granted_at, fetched.granted_at)
-    return HeldClaim(fetched.claimant if same else NOBODY, fetched.attempt, granted_at)
+    same = (granted.claimant, granted.attempt) == (fetched.claimant, fetched.attempt)
+    granted_at = max(granted.granted_at, fetched.granted_at)
+    return GrantedClaim(fetched.claimant if same else NO_CLAIMANT, fetched.attempt, granted_at)
 
 
 class ClaimStore:
     """The claims of one voter.
 
-    A claim older than the retention time is forgotten; the documents state that time to callers.
+    Claims expire after the retention time, which is documented for callers.
     """
 
     def __init__(self, identity: VoterId, retention_seconds: float) -> None:
         self._identity = identity
         self._retention_seconds = retention_seconds
-        self._held: dict[str, HeldClaim] = {}
+        self._claims: dict[str, GrantedClaim] = {}
         self._generation = 0
         self._sealed_epoch = 0
         self._ready = False
         self._barrier_until = 0.0
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._claims)
 
-    def found(self, generation: int, now: float) -> None:
+    def start_generation(self, generation: int, now: float) -> None:
         """Become ready as one of the first voters of a generation.
 
-        The claims of an earlier generation are lost. Until they would have been forgotten, no
-        keyed request can be told from one that ran already.
+        The claims of an earlier generation are lost. Until they would have expired, the voter
+        grants no claims: it cannot know whether a request with the same key ran already.
         """
         if generation <= self._generation:
             return
@@ -77,62 +77,62 @@
             self._barrier_until = now + self._retention_seconds
 
     def on_claim(self, claim: Claim, now: float) -> ClaimAnswer:
-        """Grant a claim, or say why not. The same claimant's same attempt is granted again."""
-        self._forget_old(now)
-        verdict = self._verdict(claim, now)
-        held = self._held.get(claim.key)
-        return ClaimAnswer(self._identity, verdict, held.claimant if held else None)
+        """Answer a claim. A repeated claim of the same attempt is granted again."""
+        self._expire_claims(now)
+        verdict = self._decide(claim, now)
+        granted = self._claims.get(claim.key)
+        return ClaimAnswer(self._identity, verdict, granted.claimant if granted else None)
 
-    def _verdict(self, claim: Claim, now: float) -> ClaimVerdict:
+    def _decide(self, claim: Claim, now: float) -> ClaimVerdict:
         if not self._ready:
             return ClaimVerdict.NOT_READY
         if (claim.generation, claim.epoch) < (self._generation, self._sealed_epoch):
             return ClaimVerdict.SEALED
         if now < self._barrier_until:
             return ClaimVerdict.BARRIER
-        held = self._held.get(claim.key)
-        if held is None:
-            self._held[claim.key] = HeldClaim(claim.claimant, claim.attempt, now)
+        granted = self._claims.get(claim.key)
+        if granted is None:
+            self._claims[claim.key] = GrantedClaim(claim.claimant, claim.attempt, now)
             return ClaimVerdict.GRANTED
-        same = (held.claimant, held.attempt) == (claim.claimant, claim.attempt)
+        same = (granted.claimant, granted.attempt) == (claim.claimant, claim.attempt)
         return ClaimVerdict.GRANTED if same else ClaimVerdict.TAKEN
 
     def on_release(self, release: ClaimRelease) -> None:
-        """Forget a claim whose claimant says that the request did not run."""
-        held = self._held.get(release.key)
-        if held and (held.claimant, held.attempt) == (release.claimant, release.attempt):
-            del self._held[release.key]
-
-    def _forget_old(self, now: float) -> None:
-        """Forget claims past the retention time; the dictionary is in the order of granting."""
-        while self._held:
-            key, oldest = next(iter(self._held.items()))
+        """Remove a claim whose claimant reports that the request did not run."""
+        granted = self._claims.get(release.key)
+        if granted and (granted.claimant, granted.attempt) == (release.claimant, release.attempt):
+            del self._claims[release.key]
+
+    def _expire_claims(self, now: float) -> None:
+        """Remove claims past the retention time; the dictionary is ordered by grant time."""
+        while self._claims:
+            key, oldest = next(iter(self._claims.items()))
             if now - oldest.granted_at < self._retention_seconds:
                 return
-            del self._held[key]
+            del self._claims[key]
 
     def on_transfer_request(self, request: ClaimTransferRequest, now: float) -> ClaimTransfer:
-        """Hand out all claims, and grant none in an earlier epoch from now on."""
-        self._forget_old(now)
+        """Return all claims, and grant none in an earlier epoch from now on."""
+        self._expire_claims(now)
         if request.generation == self._generation:
             self._sealed_epoch = max(self._sealed_epoch, request.epoch)
         records = tuple(
-            ClaimRecord(key, held.claimant, held.attempt, now - held.granted_at)
-            for key, held in self._held.items()
+            ClaimRecord(key, granted.claimant, granted.attempt, now - granted.granted_at)
+            for key, granted in self._claims.items()
         )
         return ClaimTransfer(self._identity, self._ready, records)
 
-    def admit(
+    def import_claims(
         self, generation: int, epoch: int, transfers: list[ClaimTransfer], now: float
     ) -> None:
-        """Become ready with the claims of a majority of the earlier voter set."""
-        merged = dict(self._held)
+        """Take in the claims of a majority of the earlier voter set, and become ready."""
+        merged = dict(self._claims)
         for transfer in transfers:
             for record in transfer.records:
                 granted_at = now - record.age_seconds
-                fetched = HeldClaim(record.claimant, record.attempt, granted_at)
-                merged[record.key] = _merge(merged.get(record.key), fetched)
-        self._held = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
+                fetched = GrantedClaim(record.claimant, record.attempt, granted_at)
+                merged[record.key] = _merge_claim(merged.get(record.key), fetched)
+        self._claims = dict(sorted(merged.items(), key=lambda item: item[1].granted_at))
         self._generation = generation
         self._sealed_epoch = epoch
         self._ready = True
--- a/loomwind/control/controller.py
+++ b/loomwind/control/controller.py
@@ -1,7 +1,7 @@
-"""The controller of a cell: turns demand into intents, intents into orders, results into routes.
+"""Controller of a cell: plans loads and unloads, orders them and publishes the routes.
 
-It runs in the daemon that leads the cell. Each step reads what is known, decides by pure
-functions, writes the intents to a majority, and only then gives orders.
+It runs in the leader of the cell. Each step builds a plan with pure functions, writes the intents
+to a majority of the voters, and only then sends orders to the engines.
 """
 
 import asyncio
@@ -9,25 +9,25 @@
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.catalog.changes import Kind
+from loomwind.catalog.changes import ObjectKind
 from loomwind.catalog.model import Catalog
 from loomwind.control.cluster_view import (
     cluster_view,
-    read_engines,
-    reconciled_intents,
+    fenced_engine_names,
+    reconcile_intents,
     remote_loads_in_flight,
 )
-from loomwind.control.demand import DemandBook
+from loomwind.control.demand import DemandAggregator
 from loomwind.control.errors import RegisterUnavailable
 from loomwind.control.estimates import estimate_loads
 from loomwind.control.fleet import Fleet
 from loomwind.control.placement import plan
 from loomwind.control.register_service import RegisterService
+from loomwind.control.remote_load_limiter import RemoteLoadLimiter
 from loomwind.control.routing_publisher import RoutingContent, RoutingPublisher
-from loomwind.control.usage import UsageTracker, make_policy
+from loomwind.control.usage import UsageTracker, create_policy
 from loomwind.control.views import Plan
 from loomwind.control.voter_changes import VoterChanges
-from loomwind.control.weight_budget import WeightBudget
 from loomwind.engines.client import EngineClient
 from loomwind.membership.machines import MachineWatcher
 from loomwind.membership.service import Membership
@@ -54,7 +54,7 @@
 
 
 class Controller:
-    """One term of a daemon as controller of its cell."""
+    """Controls the cell for one term of leadership of a daemon."""
 
     def __init__(
         self,
@@ -75,17 +75,17 @@
         self._machines = machines
         self._catalog = catalog
         self._send_routing = send_routing
-        self._wakened = asyncio.Event()
-        self._book = DemandBook()
+        self._wake_event = asyncio.Event()
+        self._demand = DemandAggregator()
         self._publisher = RoutingPublisher()
-        self._usage = UsageTracker(make_policy(settings.keep_alive))
+        self._usage = UsageTracker(create_policy(settings.keep_alive))
         self._estimates: tuple[LoadEstimate, ...] = ()
         self._leaving_applications: set[str] = set()
         self._content: RoutingContent | None = None
-        self._audience: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
-        self._lend_again_at = 0.0
-        self._step_seconds = 0.0
-        self._budget = WeightBudget(
+        self._recipients: tuple[list[MemberInfo], tuple[MemberInfo, ...], int] | None = None
+        self._next_allocation_at = 0.0
+        self._step_cpu_seconds = 0.0
+        self._load_limiter = RemoteLoadLimiter(
             settings.weight_store.loads_per_second,
             settings.weight_store.parallel_loads,
             membership.now,
@@ -100,21 +100,21 @@
         )
 
     def wake(self) -> None:
-        """Make the next step happen soon."""
-        self._wakened.set()
+        """Trigger the next step."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Lead until cancelled or superseded."""
+        """Run until cancelled or superseded."""
         next_repair = 0.0
         try:
             while self._register.leading:
                 started = time.process_time()
-                self._learn_machines()
+                self._update_machines()
                 await self._step()
-                self._step_seconds = time.process_time() - started
+                self._step_cpu_seconds = time.process_time() - started
                 if self._membership.now >= next_repair:
                     if await self._voter_changes.repair():
-                        # Routers must learn the new voters at once: the old ones grant no claims.
+                        # Publish the new voters at once, since the old ones no longer grant claims.
                         self._publish()
                         await self._register.publish_voters()
                     next_repair = self._membership.now + REPAIR_INTERVAL_SECONDS
@@ -125,112 +125,112 @@
             self.fleet.close()
 
     async def _wait(self) -> None:
-        """Wait for a reason to step; many reasons in a row share one step.
+        """Wait for the next wake-up or tick; wake-ups during the pause share one step.
 
-        The pause after a step is a multiple of the processor time that it took, so that control
-        leaves the daemon's loop to its requests however large the cell is.
+        The pause is a multiple of the CPU time of the last step, so that the controller leaves the
+        daemon's event loop to requests in cells of any size.
         """
-        pause = min(STEP_PAUSE_FACTOR * self._step_seconds, MAX_STEP_PAUSE_SECONDS)
+        pause = min(STEP_PAUSE_FACTOR * self._step_cpu_seconds, MAX_STEP_PAUSE_SECONDS)
         await asyncio.sleep(pause)
         try:
             async with asyncio.timeout(constants.CONTROLLER_TICK_SECONDS):
-                await self._wakened.wait()
+                await self._wake_event.wait()
         except TimeoutError:
             pass
-        self._wakened.clear()
+        self._wake_event.clear()
 
-    def _learn_machines(self) -> None:
+    def _update_machines(self) -> None:
         for machine in self._machines.in_role(MachineRole.ENGINE):
             if machine.state is MachineState.GONE:
-                self.fleet.forget(machine.name)
+                self.fleet.remove(machine.name)
             else:
                 drained = self._catalog().is_drained(machine.name)
                 leaving = drained or machine.state is MachineState.LEAVING
                 self.fleet.watch(machine.name, machine.address, machine.zone, leaving)
         for machine in self._machines.in_role(MachineRole.DAEMON):
             if machine.state is MachineState.GONE:
-                self._membership.detector.listed_gone(machine.name)
+                self._membership.detector.mark_gone(machine.name)
 
     async def _step(self) -> None:
-        """Publish what is known, decide, settle the intents, give the orders."""
+        """Publish routes, make a plan, commit its intents and send the orders."""
         self._publish()
         now = self._membership.now
-        self._book.forget_old(now)
+        self._demand.drop_expired(now)
         value = self._register.committed
-        ledger = self.fleet.ledger
-        intents = reconciled_intents(ledger, value)
-        fenced = read_engines(ledger, value)
-        decided = self._decide(value, intents, fenced, now)
+        tracker = self.fleet.tracker
+        intents = reconcile_intents(tracker, value)
+        fenced = fenced_engine_names(tracker, value)
+        new_plan = self._make_plan(value, intents, fenced, now)
         added = tuple(
             Intent(load.engine, load.instance, load.artifact, load.memory_mib)
-            for load in decided.loads
+            for load in new_plan.loads
         )
-        wanted = tuple(sorted({*intents, *added}))
-        if (wanted, fenced) != (value.intents, value.fenced_engines):
-            await self._register.write(wanted, fenced)
-        self._order(decided)
+        new_intents = tuple(sorted({*intents, *added}))
+        if (new_intents, fenced) != (value.intents, value.fenced_engines):
+            await self._register.write(new_intents, fenced)
+        self._send_orders(new_plan)
         self._publish()
 
-    def _decide(
+    def _make_plan(
         self, value: RegisterValue, intents: tuple[Intent, ...], fenced: tuple[str, ...], now: float
     ) -> Plan:
         reconciled = RegisterValue(
             value.stamp, value.voters, value.joint, value.epoch, fenced, intents
         )
-        in_flight = remote_loads_in_flight(self.fleet.ledger)
+        in_flight = remote_loads_in_flight(self.fleet.tracker)
         view = cluster_view(
             self._catalog(),
-            self.fleet.ledger,
+            self.fleet.tracker,
             reconciled,
-            self._book.views(),
+            self._demand.views(),
             self._usage,
-            self._budget.available(now, in_flight),
+            self._load_limiter.available(now, in_flight),
             now,
         )
-        decided = plan(view)
-        self._estimates = estimate_loads(view, decided, self._budget, in_flight, now)
-        return decided
+        new_plan = plan(view)
+        self._estimates = estimate_loads(view, new_plan, self._load_limiter, in_flight, now)
+        return new_plan
 
-    def _order(self, decided: Plan) -> None:
+    def _send_orders(self, new_plan: Plan) -> None:
         catalog = self._catalog()
         now = self._membership.now
-        for unload in decided.unloads:
-            self.fleet.give_unload(unload.engine, unload.artifact)
-        for load in decided.loads:
+        for unload in new_plan.unloads:
+            self.fleet.send_unload(unload.engine, unload.artifact)
+        for load in new_plan.loads:
             if load.remote:
-                self._budget.take(now)
-            self.fleet.give_load(load, catalog.load_seconds(load.artifact))
-        delay = self._budget.next_start(now)
-        if decided.waiting and delay > 0:
+                self._load_limiter.record_start(now)
+            self.fleet.send_load(load, catalog.load_seconds(load.artifact))
+        delay = self._load_limiter.seconds_until_start(now)
+        if new_plan.waiting and delay > 0:
             asyncio.get_running_loop().call_at(now + delay, self.wake)
 
     def _publish(self) -> None:
-        """Send each router what changed for it."""
+        """Send routing updates to the routers that need one."""
         now = self._membership.now
         routers = self._membership.alive()
         content = RoutingContent(
-            self.fleet.ledger,
-            self._book,
+            self.fleet.tracker,
+            self._demand,
             self._shares(),
             routers,
             self._applications(),
             self._estimates,
-            self._content if now < self._lend_again_at else None,
+            self._content if now < self._next_allocation_at else None,
         )
-        if now >= self._lend_again_at:
-            self._lend_again_at = now + constants.LEND_INTERVAL_SECONDS
+        if now >= self._next_allocation_at:
+            self._next_allocation_at = now + constants.SLOT_ALLOCATION_INTERVAL_SECONDS
         value = self._register.committed
         voters = self._register.voter_infos()
-        audience = (routers, voters, value.epoch)
-        if content == self._content and audience == self._audience:
+        recipients = (routers, voters, value.epoch)
+        if content == self._content and recipients == self._recipients:
             return
-        self._content, self._audience = content, audience
+        self._content, self._recipients = content, recipients
         updates = self._publisher.updates(content, self._settings.cell, value, routers, voters)
         for router, update in updates:
             self._send_routing(router, update)
 
     def _shares(self) -> dict[str, float]:
-        entries = self._catalog().values(Kind.GROUP)
+        entries = self._catalog().entries_of_kind(ObjectKind.GROUP)
         return {entry.group.name: entry.group.share for entry in entries if entry.group}
 
     def _applications(self) -> tuple[ApplicationRoute, ...]:
@@ -238,27 +238,27 @@
         return tuple(
             ApplicationRoute(m.application, m.name, m.address, m.zone)
             for m in machines
-            if self._takes_work(m)
+            if self._accepts_requests(m)
         )
 
-    def _takes_work(self, machine: Machine) -> bool:
+    def _accepts_requests(self, machine: Machine) -> bool:
         drained = self._catalog().is_drained(machine.name)
         leaving = drained or machine.name in self._leaving_applications
         return machine.state is MachineState.LIVE and not leaving
 
     def on_demand(self, report: DemandReport) -> None:
-        """Take in a router's report."""
+        """Handle a router's demand report."""
         now = self._membership.now
-        self._book.take(report, now)
+        self._demand.update(report, now)
         for entry in report.entries:
             self._usage.record(entry.artifact, entry.arrivals, entry.waiting + entry.running, now)
         if any(entry.waiting for entry in report.entries):
             self.wake()
 
     def on_backend_report(self, report: BackendReport) -> None:
-        """Take in that a back end is leaving, or that one of its watchers finds it changed."""
+        """Handle a report that a back end is leaving, or that a watcher found it changed."""
         if report.leaving:
-            self.fleet.ledger.mark_leaving(report.backend)
+            self.fleet.tracker.mark_leaving(report.backend)
             self._leaving_applications.add(report.backend)
         else:
             self._leaving_applications.discard(report.backend)
@@ -266,7 +266,7 @@
         self.wake()
 
     def on_digest(self, member: MemberInfo, digest: Digest) -> None:
-        """Send a router again what it seems to have missed."""
-        missed = self._publisher.missed(member.identity, digest)
+        """Resend the last routing update to a router that has missed it."""
+        missed = self._publisher.missed_update(member.identity, digest)
         if missed is not None:
             self._send_routing(member, missed)
--- a/loomwind/control/demand.py
+++ b/loomwind/control/demand.py
@@ -1,10 +1,10 @@
-"""What waits and runs in the cell, summed from the routers' reports."""
+"""Aggregates the routers' reports of queued and running requests."""
 
 from collections import defaultdict
 
 from msgspec import Struct
 
-from loomwind.control.slots import SlotDemand
+from loomwind.control.slot_allocation import SlotDemand
 from loomwind.control.views import DemandView
 from loomwind.messages import DemandEntry, DemandReport, VoterId
 from loomwind.schema import Artifact
@@ -12,36 +12,36 @@
 REPORT_LIFETIME_SECONDS = 3.0
 
 
-class _HeldReport(Struct, frozen=True):
-    """A router's newest report and when it came."""
+class _ReceivedReport(Struct, frozen=True):
+    """The latest report of a router."""
 
     received_at: float
     entries: tuple[DemandEntry, ...]
 
 
-class DemandBook:
-    """The newest report of each router. Times in seconds of one steady clock."""
+class DemandAggregator:
+    """Latest report of each router; times are monotonic, in seconds."""
 
     def __init__(self) -> None:
-        self._reports: dict[VoterId, _HeldReport] = {}
+        self._reports: dict[VoterId, _ReceivedReport] = {}
 
-    def take(self, report: DemandReport, now: float) -> None:
-        """Keep a router's report in place of its earlier one."""
-        self._reports[report.router] = _HeldReport(now, report.entries)
+    def update(self, report: DemandReport, now: float) -> None:
+        """Replace the previous report of a router."""
+        self._reports[report.router] = _ReceivedReport(now, report.entries)
 
-    def forget_old(self, now: float) -> None:
-        """Drop reports of routers that no longer send any."""
+    def drop_expired(self, now: float) -> None:
+        """Drop the reports of routers that have stopped reporting."""
         self._reports = {
-            router: held
-            for router, held in self._reports.items()
-            if now - held.received_at < REPORT_LIFETIME_SECONDS
+            router: report
+            for router, report in self._reports.items()
+            if now - report.received_at < REPORT_LIFETIME_SECONDS
         }
 
     def views(self) -> tuple[DemandView, ...]:
         """Return the demand for each artifact and group over all routers."""
         grouped: dict[tuple[Artifact, str], list[DemandEntry]] = defaultdict(list)
-        for held in self._reports.values():
-            for entry in held.entries:
+        for report in self._reports.values():
+            for entry in report.entries:
                 grouped[(entry.artifact, entry.group)].append(entry)
         return tuple(
             DemandView(
@@ -55,20 +55,21 @@
         )
 
     def slot_demands(
-        self, ready: dict[Artifact, int], held: frozenset[Artifact]
+        self, ready_counts: dict[Artifact, int], served: frozenset[Artifact]
     ) -> list[SlotDemand]:
-        """Return what the routers want of one engine.
+        """Return the routers' demand for the slots of one engine.
 
-        :param ready: how many engines serve each artifact; its demand is divided among them.
-        :param held: what this engine serves.
+        :param ready_counts: the number of engines on which each artifact is ready; the demand for
+            the artifact is divided evenly among them.
+        :param served: the artifacts that are ready on this engine.
         """
         demands = []
         for router, report in self._reports.items():
             active: dict[str, float] = defaultdict(float)
             for entry in report.entries:
-                if entry.artifact in held:
-                    wanted = entry.waiting + entry.running
-                    active[entry.group] += wanted / max(1, ready[entry.artifact])
+                if entry.artifact in served:
+                    requests = entry.waiting + entry.running
+                    active[entry.group] += requests / max(1, ready_counts[entry.artifact])
             demands += [
                 SlotDemand(router.name, group, max(1, round(value)))
                 for group, value in sorted(active.items())
--- a/loomwind/control/fleet.py
+++ b/loomwind/control/fleet.py
@@ -1,13 +1,13 @@
-"""The controller's dealings with engines: fencing, reading inventories, giving orders."""
+"""Communicates with the engines: fences them, reads their inventories and sends orders."""
 
 import asyncio
 from collections.abc import Callable
 
 from loomwind import constants
-from loomwind.control.ledger import EngineKnowledge, EngineRecord, Ledger
+from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
 from loomwind.control.views import Load
 from loomwind.engines.client import EngineClient
-from loomwind.engines.errors import EngineAnswerLost, EngineError, EngineUnreachable
+from loomwind.engines.errors import EngineError, EngineResponseLost, EngineUnreachable
 from loomwind.engines.protocol import (
     Action,
     Fence,
@@ -23,14 +23,15 @@
 from loomwind.metrics import Metrics
 from loomwind.schema import Artifact
 
-POLL_SETTLED_SECONDS = 30.0
-POLL_UNSETTLED_SECONDS = 0.1
-POLL_FAILED_SECONDS = 0.5
-LIFELESS_AFTER_REFUSALS = 3
+STABLE_POLL_INTERVAL_SECONDS = 30.0
+TRANSITION_POLL_INTERVAL_SECONDS = 0.1
+FAILED_POLL_INTERVAL_SECONDS = 0.5
+# Consecutive refused connections after which the engine process counts as ended.
+ENDED_AFTER_REFUSALS = 3
 
 
 class Fleet:
-    """The engines of the cell under one ballot; made anew at each takeover."""
+    """The engines of the cell under one ballot; created anew at each takeover."""
 
     def __init__(
         self,
@@ -39,38 +40,38 @@
         generation: int,
         ballot: Ballot,
         wake: Callable[[], None],
-        superseded: Callable[[], None],
+        on_superseded: Callable[[], None],
     ) -> None:
-        self.ledger = Ledger()
+        self.tracker = EngineTracker()
         self._client = client
         self._metrics = metrics
         self._generation = generation
         self._ballot = ballot
         self._sequence = 0
         self._wake = wake
-        self._superseded = superseded
+        self._on_superseded = on_superseded
         self._refusals: dict[str, int] = {}
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._rechecks: dict[str, asyncio.Event] = {}
         self._orders: set[asyncio.Task[None]] = set()
 
     def next_fence(self) -> Fence:
-        """Return a fence that is higher than all that this controller used."""
+        """Return a fence that is higher than all previous ones of this controller."""
         self._sequence += 1
         return Fence(self._generation, self._ballot, self._sequence)
 
     def watch(self, engine: str, address: str, zone: str, leaving: bool) -> None:
-        """Take in an engine and keep its inventory fresh."""
-        self.ledger.learn(engine, address, zone, leaving)
+        """Add or update an engine and poll its inventory."""
+        self.tracker.add_or_update(engine, address, zone, leaving)
         if engine not in self._pollers or self._pollers[engine].done():
             self._pollers[engine] = asyncio.get_running_loop().create_task(self._poll(engine))
 
-    def forget(self, engine: str) -> None:
-        """Note that an engine is gone for good."""
-        record = self.ledger.records.get(engine)
-        if record is not None and record.knowledge is not EngineKnowledge.GONE:
+    def remove(self, engine: str) -> None:
+        """Mark an engine as gone and stop polling it."""
+        record = self.tracker.records.get(engine)
+        if record is not None and record.status is not EngineStatus.GONE:
             log_state("engine", "gone", engine=engine)
-            self.ledger.mark_gone(engine)
+            self.tracker.mark_gone(engine)
             self._wake()
         poller = self._pollers.pop(engine, None)
         if poller is not None:
@@ -82,47 +83,47 @@
             recheck = self._rechecks.setdefault(engine, asyncio.Event())
             recheck.clear()
             try:
-                async with asyncio.timeout(self._poll_seconds(self.ledger.records[engine])):
+                async with asyncio.timeout(self._poll_interval(self.tracker.records[engine])):
                     await recheck.wait()
             except TimeoutError:
                 pass
 
     def recheck(self, engine: str) -> None:
-        """Read an engine anew, since something about it changed."""
+        """Read an engine's inventory without waiting for the next poll."""
         if engine in self._rechecks:
             self._rechecks[engine].set()
 
-    def _poll_seconds(self, record: EngineRecord) -> float:
-        if record.inventory is None or record.knowledge is not EngineKnowledge.FENCED:
-            return POLL_UNSETTLED_SECONDS
+    def _poll_interval(self, record: EngineRecord) -> float:
+        if record.inventory is None or record.status is not EngineStatus.FENCED:
+            return TRANSITION_POLL_INTERVAL_SECONDS
         if record.failed:
-            return POLL_FAILED_SECONDS
-        unsettled = any(
-            item.state is not ReplicaState.READY and record.open_order(item.artifact) is None
+            return FAILED_POLL_INTERVAL_SECONDS
+        in_transition = any(
+            item.state is not ReplicaState.READY and record.pending_order(item.artifact) is None
             for item in record.inventory.items
         )
-        return POLL_UNSETTLED_SECONDS if unsettled else POLL_SETTLED_SECONDS
+        return TRANSITION_POLL_INTERVAL_SECONDS if in_transition else STABLE_POLL_INTERVAL_SECONDS
 
     async def _read(self, engine: str) -> None:
-        """Fence an engine and take in its inventory."""
-        record = self.ledger.records[engine]
+        """Fence an engine and apply its inventory."""
+        record = self.tracker.records[engine]
         request = FenceRequest(self.next_fence())
         try:
             inventory = await self._client.fence(
                 record.address, request, constants.FENCE_TIMEOUT_SECONDS
             )
         except EngineError as error:
-            self._on_silence(engine, error)
+            self._on_fence_failure(engine, error)
             return
         self._refusals[engine] = 0
         if self._is_newer(inventory):
-            self._superseded()
+            self._on_superseded()
             return
-        before = self.ledger.records[engine]
-        self.ledger.on_inventory(engine, inventory)
-        after = self.ledger.records[engine]
-        if before.knowledge is not after.knowledge:
-            log_state("engine", after.knowledge.value, engine=engine)
+        before = self.tracker.records[engine]
+        self.tracker.on_inventory(engine, inventory)
+        after = self.tracker.records[engine]
+        if before.status is not after.status:
+            log_state("engine", after.status.value, engine=engine)
         if before != after:
             self._wake()
 
@@ -130,22 +131,22 @@
         fence = inventory.fence
         return (fence.generation, fence.ballot) > (self._generation, self._ballot)
 
-    def _on_silence(self, engine: str, error: EngineError) -> None:
+    def _on_fence_failure(self, engine: str, error: EngineError) -> None:
         refused = isinstance(error, EngineUnreachable) and error.refused
         self._refusals[engine] = self._refusals.get(engine, 0) + 1 if refused else 0
-        record = self.ledger.records[engine]
+        record = self.tracker.records[engine]
         if not record.failed:
             log_state("engine", "not-answering", engine=engine, reason=str(error))
-            self.ledger.mark_failed(engine, True)
+            self.tracker.mark_failed(engine, True)
             self._wake()
-        ended = self._refusals[engine] >= LIFELESS_AFTER_REFUSALS
-        if ended and record.knowledge is not EngineKnowledge.LIFELESS:
+        ended = self._refusals[engine] >= ENDED_AFTER_REFUSALS
+        if ended and record.status is not EngineStatus.PROCESS_ENDED:
             log_state("engine", "lifeless", engine=engine)
-            self.ledger.mark_lifeless(engine)
+            self.tracker.mark_process_ended(engine)
             self._wake()
 
-    def give_load(self, load: Load, load_seconds: float) -> None:
-        """Order a load whose intent is settled, for the engine's life that it was decided for."""
+    def send_load(self, load: Load, load_seconds: float) -> None:
+        """Send a load order to the planned engine instance; the intent must have been committed."""
         order = Order(
             self.next_fence(),
             load.instance,
@@ -154,32 +155,34 @@
             load.memory_mib,
             load_seconds,
         )
-        self._give(load.engine, order)
+        self._send_order(load.engine, order)
 
-    def give_unload(self, engine: str, artifact: Artifact) -> None:
-        """Order an unload."""
-        inventory = self.ledger.records[engine].inventory
+    def send_unload(self, engine: str, artifact: Artifact) -> None:
+        """Send an unload order."""
+        inventory = self.tracker.records[engine].inventory
         if inventory is not None:
-            self._give(
+            self._send_order(
                 engine, Order(self.next_fence(), inventory.instance, Action.UNLOAD, artifact)
             )
 
-    def _give(self, engine: str, order: Order) -> None:
-        record = self.ledger.records[engine]
-        if record.open_order(order.artifact) is not None:
+    def _send_order(self, engine: str, order: Order) -> None:
+        record = self.tracker.records[engine]
+        if record.pending_order(order.artifact) is not None:
             return
-        # Noted before the first byte goes out, so that a lost answer is never taken for "not run".
-        self.ledger.on_order_sent(engine, order)
-        task = asyncio.get_running_loop().create_task(self._carry(engine, record.address, order))
+        # Recorded before the first byte is sent: a lost response must never count as "not run".
+        self.tracker.on_order_sent(engine, order)
+        task = asyncio.get_running_loop().create_task(
+            self._deliver_order(engine, record.address, order)
+        )
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
 
-    async def _carry(self, engine: str, address: str, order: Order) -> None:
+    async def _deliver_order(self, engine: str, address: str, order: Order) -> None:
         try:
             answer = await self._client.order(address, order, constants.ORDER_TIMEOUT_SECONDS)
-        except (EngineUnreachable, EngineAnswerLost):
+        except (EngineUnreachable, EngineResponseLost):
             self._metrics.orders.labels("unknown").inc()
-            self.ledger.on_order_lost(engine, order)
+            self.tracker.on_order_lost(engine, order)
             self.recheck(engine)
         else:
             self._metrics.orders.labels(answer.result.value).inc()
@@ -188,13 +191,13 @@
 
     def _on_answer(self, engine: str, order: Order, answer: OrderAnswer) -> None:
         if answer.result is OrderResult.STALE and self._is_newer(answer.inventory):
-            self._superseded()
+            self._on_superseded()
             return
-        self.ledger.on_order_answered(engine, order, answer)
+        self.tracker.on_order_answered(engine, order, answer)
         if answer.result is not OrderResult.DONE:
             self.recheck(engine)
 
     def close(self) -> None:
-        """Stop polling and waiting for answers; what was ordered stays ordered."""
+        """Stop polling and waiting for responses; orders that were sent stay in effect."""
         for task in [*self._pollers.values(), *self._orders]:
             task.cancel()
--- a/loomwind/control/keep_alive.py
+++ b/loomwind/control/keep_alive.py
@@ -1,8 +1,8 @@
-"""How long an idle replica is kept, learned from each artifact's own gaps between requests.
+"""Keep-alive policies: how long to keep an idle replica, based on the gaps between its requests.
 
-The cost of keeping for T seconds is the idle time that it adds; the cost of not keeping is the
-reload that the next request waits for. One setting weighs the two: what an idle accelerator hour
-costs, in seconds of cold-start tail. Policies are pure; gaps are in seconds.
+Keeping a replica for T seconds costs idle accelerator time; unloading it costs a reload that the
+next request waits for. One setting weighs the two: the cost of an idle accelerator hour, expressed
+in seconds of tail cold-start latency. Policies are pure; gaps are in seconds.
 """
 
 from abc import ABC, abstractmethod
@@ -18,11 +18,11 @@
 HISTOGRAM_RESOLUTION = 0.02
 PRELOAD_SPREAD_LIMIT = 0.1
 PRELOAD_MIN_SAMPLES = 5
-NEVER_SECONDS = float("inf")
+KEEP_FOREVER_SECONDS = float("inf")
 
 
-class Gaps:
-    """A histogram of the gaps between an artifact's requests."""
+class GapHistogram:
+    """Histogram of the gaps between the requests for an artifact."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_GAP_SECONDS * GAP_UNITS_PER_SECOND, HISTOGRAM_DIGITS)
@@ -30,7 +30,10 @@
         self.last_arrival: float | None = None
 
     def record_arrival(self, now: float) -> None:
-        """Take in a request at a time in seconds."""
+        """Record a request.
+
+        :param now: the time of the request, monotonic, in seconds.
+        """
         if self.last_arrival is not None:
             gap = now - self.last_arrival
             if gap >= MIN_GAP_SECONDS:
@@ -39,21 +42,21 @@
 
     def _record(self, value: int) -> None:
         self._histogram.record_value(value)
-        # Walking the histogram's own iterator costs milliseconds; few of its buckets are in use.
+        # Iterating over the whole histogram takes milliseconds, although few buckets are in use.
         self._recorded.add(self._histogram.get_highest_equivalent_value(value))
 
     @property
     def count(self) -> int:
-        """Return how many gaps were recorded."""
+        """The number of recorded gaps."""
         return int(self._histogram.get_total_count())
 
-    def quantile(self, percent: float) -> float:
-        """Return a gap's quantile in seconds."""
+    def percentile(self, percent: float) -> float:
+        """Return a percentile of the gaps in seconds."""
         value: int = self._histogram.get_value_at_percentile(percent)
         return value / GAP_UNITS_PER_SECOND
 
     def values(self) -> list["GapCount"]:
-        """Return each recorded gap with its count, the shortest first."""
+        """Return each recorded gap with its count, shortest first."""
         return [
             GapCount(value / GAP_UNITS_PER_SECOND, self._histogram.get_count_at_value(value))
             for value in sorted(self._recorded)
@@ -61,16 +64,17 @@
 
 
 class GapCount(Struct, frozen=True):
-    """A gap in seconds and how often it was seen."""
+    """A gap and the number of times that it was recorded."""
 
     seconds: float
     count: int
 
 
-class KeepDecision(Struct, frozen=True):
-    """How long to keep an idle replica, and when to load it again ahead of its next request.
+class KeepAliveDecision(Struct, frozen=True):
+    """When to unload an idle replica, and when to load it ahead of its next request.
 
-    :param preload_after_seconds: idle time after which to load again; None for never.
+    :param keep_seconds: the idle time after which to unload the replica.
+    :param preload_after_seconds: the idle time after which to load it again; None for never.
     """
 
     keep_seconds: float
@@ -78,55 +82,57 @@
 
 
 class KeepAlive(ABC):
-    """A keep-alive policy."""
+    """Base class of keep-alive policies."""
 
     @abstractmethod
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
-        """Return what to do with an idle replica.
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
+        """Return when to unload and preload an idle replica.
 
-        :param reload_seconds: how long the next load would take.
+        :param reload_seconds: the duration of the next load.
         """
 
 
 class FixedKeepAlive(KeepAlive):
-    """Baseline: keep for a fixed time."""
+    """Baseline policy: keep replicas for a fixed time."""
 
     def __init__(self, seconds: float) -> None:
-        self._decision = KeepDecision(seconds)
+        self._decision = KeepAliveDecision(seconds)
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
-        """Return the fixed time."""
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
+        """Return the fixed decision."""
         return self._decision
 
 
 class NeverUnload(KeepAlive):
-    """Baseline: keep until the memory is needed."""
+    """Baseline policy: keep replicas until their memory is needed."""
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
-        """Return an endless time."""
-        return KeepDecision(NEVER_SECONDS)
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
+        """Return a decision to keep the replica forever."""
+        return KeepAliveDecision(KEEP_FOREVER_SECONDS)
 
 
 class HistogramKeepAlive(KeepAlive):
-    """Keep for the time that costs least over the gaps seen so far.
+    """Keep replicas for the time that has the lowest cost over the recorded gaps.
 
-    :param idle_hour_cost: what an idle hour costs, in seconds of cold-start tail.
-    :param default_seconds: used until enough gaps were seen.
+    :param idle_hour_cost: the cost of an idle hour, in seconds of tail cold-start latency.
+    :param default_seconds: the maximum time to keep a replica until enough gaps are recorded.
     """
 
     def __init__(self, idle_hour_cost: float, default_seconds: float) -> None:
         self._idle_second_cost = idle_hour_cost / 3600
         self._default_seconds = default_seconds
 
-    def decide(self, gaps: Gaps, reload_seconds: float) -> KeepDecision:
-        """Return the cheapest time, and a preload when the next request is well predicted."""
+    def decide(self, gaps: GapHistogram, reload_seconds: float) -> KeepAliveDecision:
+        """Return the keep time with the lowest cost, and a preload if the gaps are regular."""
         break_even = reload_seconds / self._idle_second_cost
         if gaps.count < MIN_SAMPLES:
-            return KeepDecision(min(self._default_seconds, break_even))
-        keep_seconds = self._cheapest(gaps.values(), reload_seconds)
-        return KeepDecision(keep_seconds, self._preload(gaps, keep_seconds, reload_seconds))
+            return KeepAliveDecision(min(self._default_seconds, break_even))
+        keep_seconds = self._cheapest_keep_seconds(gaps.values(), reload_seconds)
+        return KeepAliveDecision(
+            keep_seconds, self._preload_after_seconds(gaps, keep_seconds, reload_seconds)
+        )
 
-    def _cheapest(self, gaps: list[GapCount], reload_seconds: float) -> float:
+    def _cheapest_keep_seconds(self, gaps: list[GapCount], reload_seconds: float) -> float:
         total = sum(gap.count for gap in gaps)
         best_seconds, best_cost = 0.0, total * reload_seconds
         idle_so_far = 0.0
@@ -140,11 +146,13 @@
                 best_seconds, best_cost = gap.seconds * 1.05, cost
         return best_seconds
 
-    def _preload(self, gaps: Gaps, keep_seconds: float, reload_seconds: float) -> float | None:
-        """Return when to load ahead: only for long gaps that vary little."""
+    def _preload_after_seconds(
+        self, gaps: GapHistogram, keep_seconds: float, reload_seconds: float
+    ) -> float | None:
+        """Return the idle time after which to preload; None if the gaps are short or irregular."""
         if gaps.count < PRELOAD_MIN_SAMPLES:
             return None
-        early, late = gaps.quantile(5), gaps.quantile(95)
+        early, late = gaps.percentile(5), gaps.percentile(95)
         window = late - early + reload_seconds
         affordable = window * self._idle_second_cost < reload_seconds
         predictable = late - early < PRELOAD_SPREAD_LIMIT * late
--- a/loomwind/control/routing_publisher.py
+++ b/loomwind/control/routing_publisher.py
@@ -1,11 +1,11 @@
-"""Tells the routers of the cell where requests can go, whenever that changes."""
+"""Publishes routing updates to the routers of the cell when routes change."""
 
 from msgspec import structs
 
 from loomwind.control.cluster_view import ready_artifacts
-from loomwind.control.demand import DemandBook
-from loomwind.control.ledger import EngineKnowledge, EngineRecord, Ledger
-from loomwind.control.slots import Loan, lend
+from loomwind.control.demand import DemandAggregator
+from loomwind.control.engine_tracker import EngineRecord, EngineStatus, EngineTracker
+from loomwind.control.slot_allocation import SlotAllocation, allocate_slots
 from loomwind.messages import (
     ApplicationRoute,
     Digest,
@@ -21,34 +21,32 @@
 
 
 class RoutingContent:
-    """What is published: everything of an update but its number."""
+    """Content of a routing update, without its sequence number."""
 
     def __init__(
         self,
-        ledger: Ledger,
-        book: DemandBook,
+        tracker: EngineTracker,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
         applications: tuple[ApplicationRoute, ...],
         estimates: tuple[LoadEstimate, ...],
-        earlier: "RoutingContent | None" = None,
+        previous: "RoutingContent | None" = None,
     ) -> None:
-        """Collect what is known.
+        """Collect the content and allocate the slots.
 
-        :param earlier: content whose loans of slots still stand where the same engine serves the
-            same; None to lend anew.
+        :param previous: earlier content whose slot allocations are kept for engines with the same
+            ready artifacts; None to allocate all slots anew.
         """
         self._applications = applications
         self._estimates = estimates
         self._records = [
             record
-            for _, record in sorted(ledger.records.items())
-            if record.knowledge is EngineKnowledge.FENCED
-            and not record.leaving
-            and not record.failed
+            for _, record in sorted(tracker.records.items())
+            if record.status is EngineStatus.FENCED and not record.leaving and not record.failed
         ]
         self._ready = {record.engine: ready_artifacts(record) for record in self._records}
-        self._slots = self._lend_slots(book, shares, routers, earlier)
+        self._slots = self._allocate_slots(demand, shares, routers, previous)
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RoutingContent) and self._key() == other._key()
@@ -56,35 +54,39 @@
     __hash__ = None  # type: ignore[assignment]
 
     def _key(self) -> tuple[object, ...]:
-        places = [(record.engine, record.address, record.zone) for record in self._records]
-        return (places, self._ready, self._slots, self._applications, self._estimates)
+        endpoints = [(record.engine, record.address, record.zone) for record in self._records]
+        return (endpoints, self._ready, self._slots, self._applications, self._estimates)
 
-    def _lend_slots(
+    def _allocate_slots(
         self,
-        book: DemandBook,
+        demand: DemandAggregator,
         shares: dict[str, float],
         routers: list[MemberInfo],
-        earlier: "RoutingContent | None",
-    ) -> dict[str, dict[str, Loan]]:
-        """Lend the slots of each engine; engines that nobody asks for share one even loan."""
-        counts: dict[Artifact, int] = {}
+        previous: "RoutingContent | None",
+    ) -> dict[str, dict[str, SlotAllocation]]:
+        """Allocate the slots of each engine; engines without demand share one even allocation."""
+        ready_counts: dict[Artifact, int] = {}
         for artifacts in self._ready.values():
             for artifact in artifacts:
-                counts[artifact] = counts.get(artifact, 0) + 1
-        names = [info.identity.name for info in routers]
-        even: dict[int, dict[str, Loan]] = {}
+                ready_counts[artifact] = ready_counts.get(artifact, 0) + 1
+        router_names = [info.identity.name for info in routers]
+        even_allocations: dict[int, dict[str, SlotAllocation]] = {}
         slots = {}
         for record in self._records:
             engine, ready = record.engine, self._ready[record.engine]
-            if earlier is not None and earlier._ready.get(engine) == ready:
-                slots[engine] = earlier._slots[engine]
+            if previous is not None and previous._ready.get(engine) == ready:
+                slots[engine] = previous._slots[engine]
                 continue
-            demands = book.slot_demands(counts, ready) if ready else []
+            demands = demand.slot_demands(ready_counts, ready) if ready else []
             concurrency = record.inventory.concurrency if record.inventory else 1
-            if not demands and concurrency not in even:
-                even[concurrency] = lend(concurrency, [], shares, names)
+            if not demands and concurrency not in even_allocations:
+                even_allocations[concurrency] = allocate_slots(
+                    concurrency, [], shares, router_names
+                )
             slots[engine] = (
-                lend(concurrency, demands, shares, names) if demands else even[concurrency]
+                allocate_slots(concurrency, demands, shares, router_names)
+                if demands
+                else even_allocations[concurrency]
             )
         return slots
 
@@ -112,18 +114,19 @@
         )
 
     def _route(self, record: EngineRecord, router: MemberInfo) -> EngineRoute:
-        loan = self._slots[record.engine].get(router.identity.name, Loan(1))
+        allocation = self._slots[record.engine].get(router.identity.name, SlotAllocation(1))
         artifacts = tuple(sorted(self._ready[record.engine]))
-        places = tuple(
-            GroupPlaces(group, round(value, 2)) for group, value in sorted(loan.places.items())
+        group_places = tuple(
+            GroupPlaces(group, round(value, 2))
+            for group, value in sorted(allocation.group_slots.items())
         )
         return EngineRoute(
-            record.engine, record.address, record.zone, loan.slots, artifacts, places
+            record.engine, record.address, record.zone, allocation.slots, artifacts, group_places
         )
 
 
 class RoutingPublisher:
-    """Numbers updates, and remembers what each router was sent."""
+    """Numbers updates and keeps the last update that was sent to each router."""
 
     def __init__(self) -> None:
         self._sequence = 0
@@ -137,21 +140,21 @@
         routers: list[MemberInfo],
         voters: tuple[MemberInfo, ...],
     ) -> list[tuple[MemberInfo, RoutingUpdate]]:
-        """Return the updates that must be sent now, each with its router."""
+        """Return the updates to send now, each with its router."""
         sending = []
         self._sequence += 1
         for router in routers:
             update = content.update_for(router, cell, value, self._sequence, voters)
-            earlier = self._sent.get(router.identity)
-            if not _same(earlier, update):
+            previous = self._sent.get(router.identity)
+            if not _is_equivalent(previous, update):
                 self._sent[router.identity] = update
-                sending.append((router, _difference(earlier, update)))
+                sending.append((router, _delta(previous, update)))
         alive = {router.identity for router in routers}
         self._sent = {k: v for k, v in self._sent.items() if k in alive}
         return sending
 
-    def missed(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
-        """Return the last update to a router whose digest shows that it never came."""
+    def missed_update(self, router: VoterId, digest: Digest) -> RoutingUpdate | None:
+        """Return a router's last update if its digest shows that it did not arrive, else None."""
         sent = self._sent.get(router)
         if sent is None:
             return None
@@ -159,31 +162,31 @@
         return sent if known < (sent.stamp, sent.sequence) else None
 
 
-def _same_term(earlier: RoutingUpdate, update: RoutingUpdate) -> bool:
-    before, after = earlier.stamp, update.stamp
+def _same_term(previous: RoutingUpdate, update: RoutingUpdate) -> bool:
+    before, after = previous.stamp, update.stamp
     return (before.generation, before.ballot) == (after.generation, after.ballot)
 
 
-def _difference(earlier: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
-    """Return an update with only the engines that changed since an earlier one."""
-    if earlier is None or not _same_term(earlier, update):
+def _delta(previous: RoutingUpdate | None, update: RoutingUpdate) -> RoutingUpdate:
+    """Return an update with only the engines that changed since the previous update."""
+    if previous is None or not _same_term(previous, update):
         return update
-    known = {route.engine: route for route in earlier.engines}
+    known = {route.engine: route for route in previous.engines}
     changed = tuple(route for route in update.engines if known.get(route.engine) != route)
     present = {route.engine for route in update.engines}
     removed = tuple(engine for engine in known if engine not in present)
-    return structs.replace(update, base=earlier.sequence, engines=changed, removed=removed)
+    return structs.replace(update, base=previous.sequence, engines=changed, removed=removed)
 
 
-def _same(earlier: RoutingUpdate | None, update: RoutingUpdate) -> bool:
-    """Return whether two updates say the same; versions of the register alone do not count."""
-    if earlier is None:
+def _is_equivalent(previous: RoutingUpdate | None, update: RoutingUpdate) -> bool:
+    """Return whether two updates differ at most in the version of the register."""
+    if previous is None:
         return False
     return (
-        earlier.engines == update.engines
-        and earlier.applications == update.applications
-        and earlier.estimates == update.estimates
-        and earlier.voters == update.voters
-        and earlier.epoch == update.epoch
-        and _same_term(earlier, update)
+        previous.engines == update.engines
+        and previous.applications == update.applications
+        and previous.estimates == update.estimates
+        and previous.voters == update.voters
+        and previous.epoch == update.epoch
+        and _same_term(previous, update)
     )
--- a/loomwind/control/usage.py
+++ b/loomwind/control/usage.py
@@ -1,24 +1,24 @@
-"""How artifacts are used: gaps between requests and idle time, for the keep-alive policy."""
+"""Tracks request gaps and idle times of artifacts, for the keep-alive policy."""
 
 from msgspec import Struct
 
 from loomwind.control.keep_alive import (
     FixedKeepAlive,
-    Gaps,
+    GapHistogram,
     HistogramKeepAlive,
     KeepAlive,
-    KeepDecision,
+    KeepAliveDecision,
     NeverUnload,
 )
 from loomwind.control.views import UsageView
 from loomwind.schema import Artifact
 from loomwind.settings import KeepAlivePolicy
 
-NO_GAPS = Gaps()
+NO_GAPS = GapHistogram()
 
 
-def make_policy(settings: KeepAlivePolicy) -> KeepAlive:
-    """Return the keep-alive policy that the settings name."""
+def create_policy(settings: KeepAlivePolicy) -> KeepAlive:
+    """Return the configured keep-alive policy."""
     if settings.policy == "fixed":
         return FixedKeepAlive(settings.fixed_seconds)
     if settings.policy == "never":
@@ -26,64 +26,69 @@
     return HistogramKeepAlive(settings.idle_hour_cost, settings.fixed_seconds)
 
 
-class _HeldDecision(Struct, frozen=True):
-    """A decision, and how many gaps it was made on."""
+class _CachedDecision(Struct, frozen=True):
+    """A keep-alive decision and the inputs that it was computed from."""
 
-    gaps: int
+    gap_count: int
     reload_seconds: float
-    decision: KeepDecision
+    decision: KeepAliveDecision
 
 
 class UsageTracker:
-    """What is known of each artifact's use. Times in seconds of one steady clock."""
+    """Usage of each artifact; times are monotonic, in seconds."""
 
     def __init__(self, policy: KeepAlive) -> None:
         self._policy = policy
-        self._gaps: dict[Artifact, Gaps] = {}
+        self._gaps: dict[Artifact, GapHistogram] = {}
         self._last_active: dict[Artifact, float] = {}
-        self._decisions: dict[Artifact, _HeldDecision] = {}
+        self._decisions: dict[Artifact, _CachedDecision] = {}
 
     def record(self, artifact: Artifact, arrivals: int, active: int, now: float) -> None:
-        """Take in a router's report on an artifact, and on its base model with it."""
+        """Record requests for an artifact, which also count as usage of its base model."""
         for used in {artifact, artifact.base}:
             if arrivals:
                 if used not in self._gaps:
-                    self._gaps[used] = Gaps()
+                    self._gaps[used] = GapHistogram()
                 self._gaps[used].record_arrival(now)
             if arrivals or active:
                 self._last_active[used] = now
 
     def start_idle(self, artifact: Artifact, now: float) -> None:
-        """Begin to count idle time of a replica that was never used."""
+        """Start the idle time of an artifact that has not been used yet."""
         self._last_active.setdefault(artifact, now)
 
     def view(self, artifact: Artifact, reload_seconds: float, now: float) -> UsageView:
-        """Return how long an artifact is idle and what that means.
+        """Return the idle time of an artifact and the keep-alive decision for it.
 
-        :param reload_seconds: how long its next load would take.
+        :param reload_seconds: the duration of the artifact's next load.
         """
         idle_seconds = now - self._last_active.get(artifact, now)
         decision = self._decide(artifact, reload_seconds)
         preload_after = decision.preload_after_seconds
-        preload = preload_after is not None and self._preload_due(
+        preload = preload_after is not None and self._is_preload_due(
             idle_seconds, preload_after, artifact
         )
         return UsageView(idle_seconds, decision.keep_seconds, preload)
 
-    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepDecision:
-        """Return the policy's decision, made anew only when gaps were added."""
+    def _decide(self, artifact: Artifact, reload_seconds: float) -> KeepAliveDecision:
+        """Return the policy's decision, computed again only if its inputs have changed."""
         gaps = self._gaps.get(artifact) or NO_GAPS
-        held = self._decisions.get(artifact)
-        if held is None or (held.gaps, held.reload_seconds) != (gaps.count, reload_seconds):
+        cached = self._decisions.get(artifact)
+        if cached is None or (cached.gap_count, cached.reload_seconds) != (
+            gaps.count,
+            reload_seconds,
+        ):
             decision = self._policy.decide(gaps, reload_seconds)
-            held = _HeldDecision(gaps.count, reload_seconds, decision)
-            self._decisions[artifact] = held
-        return held.decision
-
-    def _preload_due(self, idle_seconds: float, after: float, artifact: Artifact) -> bool:
-        latest = self._gaps[artifact].quantile(99)
-        return after <= idle_seconds <= 1.1 * latest
-
-    def known(self) -> list[Artifact]:
-        """Return all artifacts that were ever used."""
+            cached = _CachedDecision(gaps.count, reload_seconds, decision)
+            self._decisions[artifact] = cached
+        return cached.decision
+
+    def _is_preload_due(
+        self, idle_seconds: float, preload_after: float, artifact: Artifact
+    ) -> bool:
+        gap_p99 = self._gaps[artifact].percentile(99)
+        return preload_after <= idle_seconds <= 1.1 * gap_p99
+
+    def artifacts(self) -> list[Artifact]:
+        """Return all artifacts with recorded usage."""
         return list(self._last_active)
--- a/loomwind/control/voter_changes.py
+++ b/loomwind/control/voter_changes.py
@@ -1,4 +1,4 @@
-"""Keeps the voter set whole: replaces voters that are gone or leaving, and admits new ones.
+"""Keeps the voter set complete: replaces voters that failed or are leaving.
 
 A new voter first fetches the claims of a majority of the present voters; see ``claims``.
 """
@@ -7,7 +7,7 @@
 
 from loomwind.control.claims import ClaimStore
 from loomwind.control.register_service import RegisterService
-from loomwind.control.voter_set import choose_voters, keeps_majority
+from loomwind.control.voter_set import choose_voters, has_live_majority
 from loomwind.membership.detector import MemberState
 from loomwind.membership.service import Membership
 from loomwind.messages import (
@@ -25,7 +25,7 @@
 
 
 class VoterChanges:
-    """Changes of the voter set, on the controller's side and on the new voter's."""
+    """Changes the voter set: the controller's side and the new voter's side."""
 
     def __init__(
         self,
@@ -33,30 +33,30 @@
         membership: Membership,
         transport: PeerTransport,
         claims: ClaimStore,
-        seats: int,
+        voter_count: int,
     ) -> None:
         self._register = register
         self._membership = membership
         self._transport = transport
         self._claims = claims
-        self._seats = seats
+        self._voter_count = voter_count
 
     async def repair(self) -> bool:
-        """Replace voters that are gone or leaving, and fill free seats; only while leading.
+        """Replace voters that failed or are leaving, and add missing ones; only while leading.
 
         :returns: whether the voter set changed.
-        :raises RegisterUnavailable: the change did not settle.
+        :raises RegisterUnavailable: the change may or may not be committed.
         """
-        present = self._register.committed.voters
+        current = self._register.committed.voters
         alive = self._membership.alive()
         suspects = self._membership.detector.in_state(MemberState.SUSPECT)
-        wanted = choose_voters(present, alive + [m.info for m in suspects], self._seats)
-        if set(wanted) == set(present) or not keeps_majority(present, alive):
+        target = choose_voters(current, alive + [m.info for m in suspects], self._voter_count)
+        if set(target) == set(current) or not has_live_majority(current, alive):
             return False
-        for voter in wanted:
-            if voter not in present and not await self._admit(voter):
+        for voter in target:
+            if voter not in current and not await self._admit(voter):
                 return False
-        await self._register.change_voters(wanted)
+        await self._register.change_voters(target)
         return True
 
     async def _admit(self, voter: VoterId) -> bool:
@@ -79,7 +79,7 @@
         return isinstance(answer, VoterAdmitted) and answer.ready
 
     async def on_admit(self, message: AdmitVoter) -> VoterAdmitted:
-        """Fetch the claims of a majority of the present voters, so as to become one."""
+        """Prepare to become a voter by fetching the claims of a majority of the present voters."""
         request = ClaimTransferRequest(message.cell, message.generation, message.epoch)
         transfers = await asyncio.gather(
             *(self._fetch_claims(info, request) for info in message.present)
@@ -88,7 +88,7 @@
         if 2 * len(ready) <= message.voter_count:
             return VoterAdmitted(ready=False)
         now = self._membership.now
-        self._claims.admit(message.generation, message.epoch, ready, now)
+        self._claims.import_claims(message.generation, message.epoch, ready, now)
         return VoterAdmitted(ready=True)
 
     async def _fetch_claims(
--- a/loomwind/daemon.py
+++ b/loomwind/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: wires the parts together, starts them in order, and stops them gently."""
+"""The catalog daemon: creates its components, starts them and shuts them down gracefully."""
 
 import asyncio
 import uuid
@@ -32,7 +32,7 @@
     VoterId,
 )
 from loomwind.metrics import Metrics
-from loomwind.operator.server import OperatorService, operator_server
+from loomwind.operator.server import OperatorService, create_operator_server
 from loomwind.peer_dispatch import PeerDispatch
 from loomwind.peering.errors import PeerUnreachable
 from loomwind.peering.transport import PeerTransport
@@ -42,8 +42,9 @@
 from loomwind.ports.local import LocalTableService
 from loomwind.settings import LimitSettings, Settings
 
-LEARN_INTERVAL_SECONDS = 0.2
-HANDOVER_SECONDS = 2.0
+CATALOG_RETRY_SECONDS = 0.2
+# How much longer a stopping daemon waits to be removed from the voters.
+VOTER_REMOVAL_TIMEOUT_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.05
 
 
@@ -53,8 +54,8 @@
     return host, int(port)
 
 
-def _caller_limits(limits: LimitSettings) -> ServerLimits:
-    """Return what the server of callers holds them to."""
+def _server_limits(limits: LimitSettings) -> ServerLimits:
+    """Return the limits that the HTTP server enforces on callers."""
     return ServerLimits(
         max_head_bytes=limits.max_head_bytes,
         max_body_bytes=limits.max_body_bytes,
@@ -65,7 +66,10 @@
 
 
 class Daemon:
-    """One daemon. Call :meth:`start`, and later :meth:`stop`."""
+    """A daemon that serves the objects of the catalog.
+
+    Call :meth:`start`, and :meth:`stop` or :meth:`close` at the end.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -83,10 +87,10 @@
     async def _on_message(self, message: AnyMessage) -> AnyMessage | None:
         return None if self._dispatch is None else await self._dispatch.handle(message)
 
-    # Start.
+    # Startup.
 
     async def start(self) -> None:
-        """Listen, join the cell, and serve as soon as the catalog is known."""
+        """Open the listeners and join the cell; requests are served once the catalog is loaded."""
         settings = self.settings
         await self.transport.start(*split_address(settings.listen.peer))
         self.membership = self._make_membership()
@@ -102,7 +106,7 @@
             lambda: self._controller,
             self.transport,
         )
-        self._connect_parts()
+        self._register_callbacks()
         await self._listen()
         self._spawn_loops()
         log_state("daemon", "started", name=settings.name, peer=self.membership.own.address)
@@ -119,7 +123,7 @@
     def _table_service(self) -> TableService:
         platform = self.settings.platform
         if platform.table is None:
-            log_state("platform", "no-table-service", warning="nothing outlasts this process")
+            log_state("platform", "no-table-service", warning="state is lost when the process ends")
             return LocalTableService()
         return HttpTableService(self._client, platform.table, platform.timeout_seconds)
 
@@ -144,14 +148,14 @@
             self.register, self.membership, self.transport, self.claims, settings.control.voters
         )
         self.machines = MachineWatcher(
-            machines or None, settings.backends, settings.cell, self._wants_machine_list
+            machines or None, settings.backends, settings.cell, self._should_poll_machine_list
         )
         self.catalog = CatalogService(
             CatalogStore(table, objects or None), self.membership, self.transport, self.metrics
         )
 
-    def _wants_machine_list(self) -> bool:
-        """The controller reads the list for the cell; others only while there is none."""
+    def _should_poll_machine_list(self) -> bool:
+        """Whether to poll the machine list: the controller does, others only without a leader."""
         return self.register.leading or self.membership.leader is None
 
     def _make_router(self) -> None:
@@ -176,7 +180,7 @@
     def _backends_to_watch(self) -> list[WatchedBackend]:
         return [WatchedBackend(b.name, b.address) for b in self.router.table.all_backends()]
 
-    def _connect_parts(self) -> None:
+    def _register_callbacks(self) -> None:
         self.membership.digest = self._digest
         self.membership.is_leader = lambda: self.register.leading
         self.membership.on_digest = self._on_digest
@@ -189,20 +193,20 @@
 
     async def _listen(self) -> None:
         settings = self.settings
-        self.callers = HttpServer(self.router.handler.handle, _caller_limits(settings.limits))
+        self.callers = HttpServer(self.router.handler.handle, _server_limits(settings.limits))
         self.admin = AdminServer(self.metrics, self.is_ready)
         self._operator = await self._start_operator()
         await self.callers.start(*split_address(settings.listen.caller))
         await self.admin.server.start(*split_address(settings.listen.admin))
 
     async def _start_operator(self) -> Server | None:
-        """Listen for operators, if the settings have their token."""
+        """Start the operator endpoint, if the settings have a token for it."""
         token = self.settings.operator_token
         if token is None:
             log_state("operator", "closed", reason="no operator_token in the settings")
             return None
         service = OperatorService(self.catalog, self.membership, self.router)
-        server = operator_server(service, token)
+        server = create_operator_server(service, token)
         await server.start(*split_address(self.settings.listen.operator))
         return server
 
@@ -213,11 +217,11 @@
         self._spawn(self.router.run())
         self._spawn(self.router.reporter.run())
         self._spawn(self.watch.run())
-        self._spawn(self._learn_catalog())
-        self._spawn(self.catalog.poll_store(self._reads_catalog_log))
+        self._spawn(self._load_catalog())
+        self._spawn(self.catalog.poll_store(self._should_poll_catalog))
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
@@ -227,10 +231,10 @@
         if not task.cancelled() and task.exception() is not None:
             log_state("daemon", "task-failed", error=repr(task.exception()))
 
-    async def _learn_catalog(self) -> None:
-        """Take no request before the accepted catalog is known; then add the settings' seed."""
-        while not await self.catalog.learn_at_start():
-            await asyncio.sleep(LEARN_INTERVAL_SECONDS)
+    async def _load_catalog(self) -> None:
+        """Accept requests once the catalog is loaded and the settings' objects are added to it."""
+        while not await self.catalog.load_at_start():
+            await asyncio.sleep(CATALOG_RETRY_SECONDS)
         settings = self.settings
         objects: list[CatalogObject] = [*settings.groups, *settings.models]
         objects += [*settings.adapters, *settings.routes]
@@ -238,23 +242,23 @@
         self.router.handler.ready = True
         log_state("daemon", "ready", catalog_version=self.catalog.catalog.version)
 
-    def _reads_catalog_log(self) -> bool:
-        """The controller reads the durable log for its cell, and so does whoever hears none."""
+    def _should_poll_catalog(self) -> bool:
+        """Whether to poll the durable log: the controller does, and daemons that hear no leader."""
         return self.register.leading or not self.membership.hears_leader()
 
     def is_ready(self) -> bool:
-        """Return whether callers should be sent here: the catalog and the routes are known."""
-        known = self.router.handler.ready and self.router.table.update is not None
-        return known and not self.stopping
+        """Return whether to accept traffic: the catalog and the routing table are loaded."""
+        loaded = self.router.handler.ready and self.router.table.update is not None
+        return loaded and not self.stopping
 
-    # What reaches several parts at once.
+    # Events that concern several components.
 
     def _digest(self) -> Digest:
         return Digest(
             catalog_version=self.catalog.catalog.version,
             routing=self.router.table.stamp,
             routing_sequence=self.router.table.sequence,
-            register=self.register.seen,
+            register=self.register.newest_stamp,
             hears_leader=self.membership.hears_leader(),
         )
 
@@ -262,29 +266,29 @@
         self.catalog.on_digest(member, digest.catalog_version)
         if member.cell != self.membership.own.cell:
             return
-        self.register.note_peer_stamp(member.identity, digest.register)
-        if self._is_behind(digest):
+        self.register.record_peer_stamp(member.identity, digest.register)
+        if self._should_fetch_routing(digest):
             self._spawn(self._fetch_routing(member))
         if self._controller is not None:
             self._controller.on_digest(member, digest)
 
-    def _is_behind(self, digest: Digest) -> bool:
-        """Whether a peer has newer routes that the controller will not send here itself."""
-        known, theirs = self.router.table.stamp, digest.routing
-        newer_term = (theirs.generation, theirs.ballot) > (known.generation, known.ballot)
+    def _should_fetch_routing(self, digest: Digest) -> bool:
+        """Whether a peer has a newer routing table that the controller will not send itself."""
+        own, peer = self.router.table.stamp, digest.routing
+        newer_term = (peer.generation, peer.ballot) > (own.generation, own.ballot)
         newer = newer_term or digest.routing_sequence > self.router.table.sequence
         return newer_term or (newer and not self.membership.hears_leader())
 
     async def _fetch_routing(self, member: MemberInfo) -> None:
         try:
-            answer = await self.transport.call(member.address, RoutingRequest(member.cell))
+            response = await self.transport.call(member.address, RoutingRequest(member.cell))
         except PeerUnreachable:
             return
-        if isinstance(answer, RoutingUpdate) and self._dispatch is not None:
-            self._dispatch.on_routing(answer)
+        if isinstance(response, RoutingUpdate) and self._dispatch is not None:
+            self._dispatch.on_routing(response)
 
     def _on_catalog_change(self) -> None:
-        self.router.review()
+        self.router.recheck_waiting()
         self._wake_controller()
 
     def _wake_controller(self) -> None:
@@ -294,7 +298,7 @@
     def _on_machines_change(self) -> None:
         for machine in self.machines.in_role(MachineRole.DAEMON):
             if machine.state is MachineState.GONE:
-                self.membership.detector.listed_gone(machine.name)
+                self.membership.detector.mark_gone(machine.name)
         self._wake_controller()
 
     def _send_routing(self, member: MemberInfo, update: RoutingUpdate) -> None:
@@ -302,22 +306,22 @@
             if self._dispatch is not None:
                 self._dispatch.on_routing(update)
         else:
-            self.transport.cast(member.address, update)
+            self.transport.send(member.address, update)
 
     def redirect(self, overrides: dict[str, str]) -> None:
-        """Reach some addresses through others from now on, and drop the links to them."""
+        """Connect to other addresses instead of the given ones, and drop open connections."""
         self._connector.redirect({**self.settings.address_overrides, **overrides})
         for address in overrides:
-            self.transport.forget(address)
+            self.transport.disconnect(address)
 
-    def take_up(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
-        """Put changed limits on callers in force; all else needs a restart."""
+    def apply_settings(self, settings: Settings, changed: tuple[str, ...]) -> tuple[str, ...]:
+        """Apply changed limits on callers; returns the sections that need a restart."""
         self.settings = settings
         if "limits" in changed:
-            self.callers.limits = _caller_limits(settings.limits)
+            self.callers.limits = _server_limits(settings.limits)
         return tuple(name for name in changed if name != "limits")
 
-    # The controller's role.
+    # Controller terms.
 
     def _begin_term(self) -> None:
         self.metrics.leading.set(1)
@@ -333,10 +337,10 @@
             self.metrics,
         )
         self._controller_task = self._spawn(self._controller.run())
-        self._controller_task.add_done_callback(self._on_term_over)
+        self._controller_task.add_done_callback(self._on_controller_done)
 
-    def _on_term_over(self, task: asyncio.Task[None]) -> None:
-        """A term that ended for any reason gives the role up, so that another can begin."""
+    def _on_controller_done(self, task: asyncio.Task[None]) -> None:
+        """Step down when the controller ended for any reason, so that a new term can begin."""
         if task is self._controller_task:
             self.register.step_down()
 
@@ -349,38 +353,44 @@
         self._controller_task = None
         self._controller = None
 
-    # Stop.
+    # Shutdown.
 
     async def stop(self, grace_seconds: float = constants.SHUTDOWN_GRACE_SECONDS) -> None:
-        """Leave: hand over, take nothing new, finish what is in progress, then end."""
+        """Shut down: hand over the controller role, stop accepting, finish open requests.
+
+        :param grace_seconds: how long open requests may take; then they are aborted.
+        """
         self.stopping = True
         log_state("daemon", "leaving", name=self.settings.name)
         self.membership.announce_leaving()
         self.register.retire()
-        await self._notice()
+        await self._wait_before_draining()
         self.callers.stop_listening()
         try:
             async with asyncio.timeout(grace_seconds):
-                while any(not connection.idle for connection in self.callers.connections):
+                while any(not connection.is_idle for connection in self.callers.connections):
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
         except TimeoutError:
             log_state("daemon", "grace-over", open=len(self.callers.connections))
         self.close()
         log_state("daemon", "stopped", name=self.settings.name)
 
-    async def _notice(self) -> None:
-        """Give peers and load balancers time to notice, while requests are still served."""
-        deadline = self.membership.now + constants.LEAVING_NOTICE_SECONDS
-        others = [info for info in self.membership.alive() if info != self.membership.own]
-        limit = deadline + (HANDOVER_SECONDS if others else 0.0)
+    async def _wait_before_draining(self) -> None:
+        """Serve on until peers and load balancers have noticed and another voter has taken over.
+
+        Without other daemons, none can take over as a voter.
+        """
+        earliest_end = self.membership.now + constants.SHUTDOWN_DELAY_SECONDS
+        peers = [info for info in self.membership.alive() if info != self.membership.own]
+        latest_end = earliest_end + (VOTER_REMOVAL_TIMEOUT_SECONDS if peers else 0.0)
         own = self.membership.own.identity
-        while self.membership.now < deadline or (
-            own in self.register.voters and self.membership.now < limit
+        while self.membership.now < earliest_end or (
+            own in self.register.voters and self.membership.now < latest_end
         ):
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         self._end_term()
         for task in list(self._tasks):
             task.cancel()
--- a/loomwind/explain.py
+++ b/loomwind/explain.py
@@ -1,7 +1,7 @@
-"""Reads daemons' logs and tells what happened to a request: ``loomwind explain ID LOG...``.
+"""Explains from daemons' logs what happened to a request: ``loomwind explain ID LOG...``.
 
-Lines are JSON objects as :mod:`loomwind.logs` writes them; others are passed over. The likely cause
-is found by rules over the request's own lines and over what daemons logged before them.
+Lines are JSON objects as written by :mod:`loomwind.logs`; other lines are skipped. The likely cause
+is found by rules over the request's own lines and the lines that daemons logged before its end.
 """
 
 import enum
@@ -13,13 +13,14 @@
 import msgspec
 from msgspec import Struct
 
-BELIEF_SECONDS = 30.0
+# How far before the end of a request other log lines are considered.
+LOOKBACK_SECONDS = 30.0
 REQUEST_TYPE = "loomwind:request"
-ENDS = ("given-up", "out-of-time", "caller-left")
+FAILED_DECISIONS = ("given-up", "out-of-time", "caller-left")
 
 
 class Cause(enum.Enum):
-    """Why a request was not served, or late."""
+    """Why a request was not served, or was served late."""
 
     NOT_FOUND = "no line about this request"
     SERVED_LATE = "the model or adapter was loaded late"
@@ -42,15 +43,16 @@
     UNKNOWN = "the lines do not tell"
 
 
-VERDICTS = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
+# The cause that is implied by the decision to refuse a waiting request.
+WAIT_CAUSES = {"come-back": Cause.TOLD_TO_RETURN, "hopeless": Cause.NO_TURN}
 
 
 class LogLine(Struct, frozen=True):
     """One line of a daemon's log.
 
-    :param time: seconds since 1970, by the daemon's clock.
-    :param kind: what the line is about.
-    :param fields: the rest of the line.
+    :param time: Unix time in seconds, by the daemon's clock.
+    :param kind: the message type, such as ``loomwind:request``.
+    :param fields: the remaining fields of the line.
     """
 
     time: float
@@ -63,12 +65,12 @@
         return self.fields.get(name)
 
 
-class Story(Struct, frozen=True):
-    """What is known of a request.
+class RequestHistory(Struct, frozen=True):
+    """What the logs say about a request. Lines are in order of time.
 
-    :param own: the lines about it.
-    :param beliefs: the newest line of each kind and subject that its daemon had written by then.
-    :param orders: orders for the model that it asked for.
+    :param own: the lines with its id.
+    :param beliefs: its daemon's state at the end: the newest line of each kind and subject.
+    :param orders: orders for the model that it needs.
     """
 
     request_id: str
@@ -79,15 +81,16 @@
 
 
 def read_lines(paths: Iterable[str]) -> list[LogLine]:
-    """Return the lines of all files, by time."""
+    """Return the log lines of all files in order of time."""
     lines: list[LogLine] = []
     for path in paths:
         text = Path(path).read_text(encoding="utf-8", errors="replace")
-        lines += [line for line in map(_parse, text.splitlines()) if line is not None]
+        lines += [line for line in map(_parse_line, text.splitlines()) if line is not None]
     return sorted(lines, key=lambda line: line.time)
 
 
-def _parse(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
+    """Parse the JSON object of a line; None when there is none."""
     start = text.find("{")
     if start < 0:
         return None
@@ -100,30 +103,35 @@
     return LogLine(time, str(fields.pop("daemon", "")), kind, fields)
 
 
-def tell(request_id: str, lines: Sequence[LogLine]) -> Story:
-    """Return the story of a request.
+def explain_request(request_id: str, lines: Sequence[LogLine]) -> RequestHistory:
+    """Collect the lines about a request and find the likely cause.
 
-    :param lines: all lines, by time.
+    :param lines: all lines in order of time.
     """
     own = tuple(line for line in lines if line.get("request_id") == request_id)
     if not own:
-        return Story(request_id, Cause.NOT_FOUND, (), (), ())
-    end = own[-1]
-    before = [line for line in lines if end.time - BELIEF_SECONDS <= line.time <= end.time]
+        return RequestHistory(request_id, Cause.NOT_FOUND, (), (), ())
+    last = own[-1]
+    recent_lines = [
+        line for line in lines if last.time - LOOKBACK_SECONDS <= line.time <= last.time
+    ]
     target = next((str(line.get("target")) for line in own if line.get("target")), "")
     model = target.partition("/")[0]
     orders = tuple(
         line
-        for line in before
+        for line in recent_lines
         if line.kind == "loomwind:order"
         and model
         and str(line.get("target")).partition("/")[0] == model
     )
-    beliefs = tuple(_beliefs(before, end.daemon))
-    return Story(request_id, _cause(own, beliefs, orders, before), own, beliefs, orders)
+    states = tuple(_latest_states(recent_lines, last.daemon))
+    return RequestHistory(
+        request_id, _find_cause(own, states, orders, recent_lines), own, states, orders
+    )
 
 
-def _beliefs(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
+def _latest_states(lines: Sequence[LogLine], daemon: str) -> Iterator[LogLine]:
+    """Yield a daemon's newest line of each kind and subject, in order of time."""
     newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.daemon == daemon and line.kind not in (REQUEST_TYPE, "loomwind:order"):
@@ -131,15 +139,15 @@
     yield from sorted(newest.values(), key=lambda line: line.time)
 
 
-def _cause(
+def _find_cause(
     own: Sequence[LogLine],
-    beliefs: Sequence[LogLine],
+    states: Sequence[LogLine],
     orders: Sequence[LogLine],
-    before: Sequence[LogLine],
+    recent_lines: Sequence[LogLine],
 ) -> Cause:
-    """Return the likely cause; the first rule that fits."""
+    """Return the likely cause: that of the first rule that matches."""
     refused = next((line for line in own if line.get("decision") == "refused"), None)
-    ended = next((line for line in own if line.get("decision") in ENDS), None)
+    ended = next((line for line in own if line.get("decision") in FAILED_DECISIONS), None)
     reason = str(refused.get("reason")) if refused else ""
     if refused and refused.get("status") == 404:
         return Cause.NO_ROUTE
@@ -150,14 +158,14 @@
     if ended and ended.get("decision") == "caller-left":
         return Cause.CALLER_LEFT
     if ended and ended.get("waiting"):
-        return _cause_of_wait(own, orders, before)
+        return _find_wait_cause(own, orders, recent_lines)
     if "no server of the service" in reason:
         return Cause.NO_SERVER
     failure = next((line for line in reversed(own) if line.get("decision") == "send-failed"), None)
     if ended and ended.get("decision") == "out-of-time" and ended.get("may_have_run"):
         return Cause.SERVER_SILENT
     if failure is not None:
-        return _cause_of_failure(str(failure.get("reason")))
+        return _find_failure_cause(str(failure.get("reason")))
     if any(line.get("decision") == "late" for line in own):
         return Cause.SERVED_LATE
     if any(line.get("decision") == "paused" for line in own):
@@ -165,28 +173,30 @@
     return Cause.UNKNOWN
 
 
-def _cause_of_wait(
-    own: Sequence[LogLine], orders: Sequence[LogLine], before: Sequence[LogLine]
+def _find_wait_cause(
+    own: Sequence[LogLine], orders: Sequence[LogLine], recent_lines: Sequence[LogLine]
 ) -> Cause:
+    """Return why a request that was waiting for its model was not served."""
     if any(line.get("state") == "unknown" for line in orders):
         return Cause.ORDERS_UNANSWERED
-    changes = [line for line in before if line.kind == "loomwind:election"]
-    leads: dict[str, bool] = {}
-    for line in changes:
+    election_lines = [line for line in recent_lines if line.kind == "loomwind:election"]
+    is_leader: dict[str, bool] = {}
+    for line in election_lines:
         if line.get("state") in ("leader", "follower"):
-            leads[line.daemon] = line.get("state") == "leader"
+            is_leader[line.daemon] = line.get("state") == "leader"
     store_lost = any(
-        line.kind == "loomwind:store" and line.get("state") == "lost" for line in before
+        line.kind == "loomwind:store" and line.get("state") == "lost" for line in recent_lines
     )
-    if not orders and (not any(leads.values()) or store_lost):
+    if not orders and (not any(is_leader.values()) or store_lost):
         return Cause.NO_LEADER
-    verdict = next((line for line in own if line.get("decision") in VERDICTS), None)
-    if verdict is not None and verdict.get("ready_in_ms") is not None:
-        return VERDICTS[str(verdict.get("decision"))]
+    decision = next((line for line in own if line.get("decision") in WAIT_CAUSES), None)
+    if decision is not None and decision.get("ready_in_ms") is not None:
+        return WAIT_CAUSES[str(decision.get("decision"))]
     return Cause.MODEL_NOT_LOADED
 
 
-def _cause_of_failure(reason: str) -> Cause:
+def _find_failure_cause(reason: str) -> Cause:
+    """Return the cause for the logged reason of a failed send."""
     if "refused unstarted" in reason:
         return Cause.SERVERS_REFUSED
     if "Connect call failed" in reason or "timed out" in reason:
@@ -198,53 +208,54 @@
     return Cause.SERVER_BROKE_OFF
 
 
-def _describe(line: LogLine, begin: float) -> str:
+def _format_line(line: LogLine, start_time: float) -> str:
+    """Return a line as text, with its time in seconds since ``start_time``."""
     fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request_id")
     kind = line.kind.removeprefix("loomwind:")
-    return f"{line.time - begin:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
+    return f"{line.time - start_time:+9.3f} s  {line.daemon:18} {kind:13} {fields}"
 
 
-def print_story(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
-    """Print a request's story."""
-    story = tell(request_id, read_lines(paths))
+def print_request_history(request_id: str, paths: Sequence[str], as_json: bool = False) -> None:
+    """Print the likely cause and the log lines about a request."""
+    history = explain_request(request_id, read_lines(paths))
     if as_json:
-        print(msgspec.json.encode(story, enc_hook=str).decode())
+        print(msgspec.json.encode(history, enc_hook=str).decode())
         return
-    print(f"request {request_id}: {story.cause.value} ({story.cause.name.lower()})")
-    if not story.own:
+    print(f"request {request_id}: {history.cause.value} ({history.cause.name.lower()})")
+    if not history.own:
         return
-    begin = story.own[0].time
+    start_time = history.own[0].time
     sections = (
-        ("what its daemon believed", story.beliefs),
-        ("orders for its model", story.orders),
-        ("the request", story.own),
+        ("state of its daemon", history.beliefs),
+        ("orders for its model", history.orders),
+        ("the request", history.own),
     )
     for title, lines in sections:
         if lines:
             print(f"-- {title}")
         for line in lines:
-            print(_describe(line, begin))
+            print(_format_line(line, start_time))
 
 
 def print_timeline(paths: Sequence[str], start: float = 0.0, end: float = 0.0) -> None:
-    """Print changes of belief in order, and a count of request decisions for each second."""
+    """Print state changes in order, and the number of request decisions in each second."""
     lines = [
         line for line in read_lines(paths) if line.time >= start and (not end or line.time <= end)
     ]
     if not lines:
-        print("no lines in that time")
+        print("no log lines in the time range")
         return
-    begin = lines[0].time
-    second = -1
+    start_time = lines[0].time
+    current_second = -1
     counts: Counter[str] = Counter()
     for line in lines:
-        now = int(line.time - begin)
-        if now != second and counts:
-            listed = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
-            print(f"{second:+6} s  requests: {listed}")
+        line_second = int(line.time - start_time)
+        if line_second != current_second and counts:
+            summary = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+            print(f"{current_second:+6} s  requests: {summary}")
             counts.clear()
-        second = now
+        current_second = line_second
         if line.kind == REQUEST_TYPE:
             counts[str(line.get("decision"))] += 1
         else:
-            print(_describe(line, begin))
+            print(_format_line(line, start_time))
--- a/loomwind/operator/server.py
+++ b/loomwind/operator/server.py
@@ -1,4 +1,4 @@
-"""The operator endpoint of a daemon: gRPC over asyncio, guarded by a token."""
+"""Operator endpoint of a daemon: a gRPC server on asyncio with token authentication."""
 
 import hmac
 import uuid
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server, Stream
 
-from loomwind.catalog.changes import Change, Kind, ObjectKey
+from loomwind.catalog.changes import Change, ObjectKey, ObjectKind
 from loomwind.catalog.errors import (
     CatalogError,
     CatalogUnavailable,
@@ -22,7 +22,7 @@
 from loomwind.membership.service import Membership
 from loomwind.messages import MemberInfo
 from loomwind.operator import operator_pb2 as pb
-from loomwind.operator.convert import key_of, kind_of, message_of, object_of
+from loomwind.operator.convert import parse_object, to_message, to_object_key, to_object_kind
 from loomwind.operator.operator_grpc import OperatorBase
 from loomwind.pipeline.router import Router
 from loomwind.schema import Drain
@@ -39,27 +39,29 @@
 
 
 def error_metadata(error: CatalogError) -> dict[str, str]:
-    """Return what an error says besides its text."""
+    """Return the trailing metadata for an error."""
     if isinstance(error, Conflict):
         return {CURRENT_VERSION_KEY: str(error.current_version)}
-    if isinstance(error, CatalogUnavailable) and error.unknown:
+    if isinstance(error, CatalogUnavailable) and error.outcome_unknown:
         return {OUTCOME_KEY: "unknown"}
     return {}
 
 
 class OperatorService(OperatorBase):
-    """Answers operators from this daemon's catalog and views."""
+    """Handles operator calls with this daemon's catalog, membership and routing table."""
 
     def __init__(self, catalog: CatalogService, membership: Membership, router: Router) -> None:
         self._catalog = catalog
         self._membership = membership
         self._router = router
 
-    async def _answer(self, stream: Stream[Any, Any], act: Callable[[Any], Awaitable[Any]]) -> None:
-        """Read the request, act, and send the reply or the typed error."""
+    async def _handle(
+        self, stream: Stream[Any, Any], handler: Callable[[Any], Awaitable[Any]]
+    ) -> None:
+        """Read the request, run the handler, and send its reply or the status of its error."""
         request = await stream.recv_message()
         try:
-            reply = await act(request)
+            reply = await handler(request)
         except CatalogError as error:
             status = STATUSES.get(type(error), Status.INTERNAL)
             await stream.send_trailing_metadata(
@@ -70,27 +72,27 @@
 
     async def Put(self, stream: Stream[pb.PutRequest, pb.ChangeReply]) -> None:
         """Create or replace an object."""
-        await self._answer(stream, self._put)
+        await self._handle(stream, self._put)
 
     async def Delete(self, stream: Stream[pb.DeleteRequest, pb.ChangeReply]) -> None:
         """Delete an object."""
-        await self._answer(stream, self._delete)
+        await self._handle(stream, self._delete)
 
     async def Get(self, stream: Stream[pb.GetRequest, pb.Object]) -> None:
         """Return an object with its version."""
-        await self._answer(stream, self._get)
+        await self._handle(stream, self._get)
 
     async def List(self, stream: Stream[pb.ListRequest, pb.ListReply]) -> None:
         """Return all objects of a kind."""
-        await self._answer(stream, self._list)
+        await self._handle(stream, self._list)
 
     async def Drain(self, stream: Stream[pb.DrainRequest, pb.DrainReply]) -> None:
-        """Give a back end no new work, or end that."""
-        await self._answer(stream, self._drain)
+        """Drain a back end, so that it gets no new requests, or stop draining it."""
+        await self._handle(stream, self._drain)
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
         """Return placements, queues, daemons and the configuration version."""
-        await self._answer(stream, self._status)
+        await self._handle(stream, self._status)
 
     async def _submit(self, change: Change) -> pb.ChangeReply:
         if not change.change_id:
@@ -99,29 +101,29 @@
         return pb.ChangeReply(version=record.version)
 
     async def _put(self, request: pb.PutRequest) -> pb.ChangeReply:
-        value = object_of(request.object)
+        value = parse_object(request.object)
         key = object_key(value)
         return await self._submit(make_change(request.change_id, key, request.base_version, value))
 
     async def _delete(self, request: pb.DeleteRequest) -> pb.ChangeReply:
-        key = key_of(request.kind, request.name)
+        key = to_object_key(request.kind, request.name)
         return await self._submit(make_change(request.change_id, key, request.base_version, None))
 
     async def _get(self, request: pb.GetRequest) -> pb.Object:
-        key = key_of(request.kind, request.name)
+        key = to_object_key(request.kind, request.name)
         entry = self._catalog.catalog.entries.get(key)
         if entry is None:
             raise NotFound(f"{key.kind.value} {key.name} does not exist")
-        return message_of(entry)
+        return to_message(entry)
 
     async def _list(self, request: pb.ListRequest) -> pb.ListReply:
         catalog = self._catalog.catalog
-        entries = catalog.values(kind_of(request.kind))
-        objects = [message_of(entry) for entry in entries]
+        entries = catalog.entries_of_kind(to_object_kind(request.kind))
+        objects = [to_message(entry) for entry in entries]
         return pb.ListReply(catalog_version=catalog.version, objects=objects)
 
     async def _drain(self, request: pb.DrainRequest) -> pb.DrainReply:
-        key = ObjectKey(Kind.DRAIN, request.backend)
+        key = ObjectKey(ObjectKind.DRAIN, request.backend)
         entry = self._catalog.catalog.entries.get(key)
         if (entry is not None) == request.leaving:
             return pb.DrainReply()
@@ -138,26 +140,28 @@
             for artifact in route.replicas
         ]
         groups = [
-            entry.group.name for entry in self._catalog.catalog.values(Kind.GROUP) if entry.group
+            entry.group.name
+            for entry in self._catalog.catalog.entries_of_kind(ObjectKind.GROUP)
+            if entry.group
         ]
-        queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_of(g)) for g in groups]
+        queues = [pb.Queue(group=g, waiting=self._router.queue.waiting_in_group(g)) for g in groups]
         return pb.StatusReply(
             daemon=self._membership.own.identity.name,
             catalog_version=self._catalog.catalog.version,
             replicas=replicas,
             queues=queues,
-            daemons=self._daemons(),
+            daemons=self._daemon_statuses(),
         )
 
-    def _daemons(self) -> list[pb.DaemonStatus]:
+    def _daemon_statuses(self) -> list[pb.DaemonStatus]:
         own = self._membership.own
         own_state = "leaving" if own.leaving else "alive"
-        daemons = [self._daemon(own, own_state)]
+        daemons = [self._daemon_status(own, own_state)]
         for _, member in sorted(self._membership.detector.members.items()):
-            daemons.append(self._daemon(member.info, member.state.value))
+            daemons.append(self._daemon_status(member.info, member.state.value))
         return daemons
 
-    def _daemon(self, info: MemberInfo, state: str) -> pb.DaemonStatus:
+    def _daemon_status(self, info: MemberInfo, state: str) -> pb.DaemonStatus:
         leader = self._membership.leader
         leads = leader is not None and leader.identity == info.identity
         return pb.DaemonStatus(
@@ -165,13 +169,13 @@
         )
 
 
-def operator_server(service: OperatorService, token: str) -> Server:
-    """Return a server that refuses calls without the token."""
+def create_operator_server(service: OperatorService, token: str) -> Server:
+    """Return a server that rejects calls without the operator token."""
     expected = f"Bearer {token}".encode()
 
     async def authenticate(event: RecvRequest) -> None:
-        given = str(event.metadata.get("authorization", "")).encode()
-        if not hmac.compare_digest(given, expected):
+        received = str(event.metadata.get("authorization", "")).encode()
+        if not hmac.compare_digest(received, expected):
             raise GRPCError(Status.UNAUTHENTICATED, "the operator token is missing or wrong")
 
     server = Server([service])
--- a/loomwind/pipeline/admit.py
+++ b/loomwind/pipeline/admit.py
@@ -1,27 +1,27 @@
-"""Third filter: refuses at once what cannot be served in time. Pure decisions, times in seconds."""
+"""Third stage: refuses requests that cannot meet their deadline. Pure; times in seconds."""
 
 from msgspec import Struct
 
 from loomwind.pipeline.errors import Problem, RequestRefused
-from loomwind.pipeline.queue import check_room
+from loomwind.pipeline.queue import check_queue_limit
 from loomwind.pipeline.types import AdmittedRequest, IdentifiedRequest
 
-CONTROLLER_RETRY_SECONDS = 5.0
+CONTROLLER_RETRY_AFTER_SECONDS = 5.0
 
 
 class AdmissionView(Struct, frozen=True):
-    """What admission decides on.
+    """The state that an admission decision depends on.
 
-    :param ready: whether some back end serves the target now.
-    :param estimate_seconds: when one is expected to; None when unknown.
-    :param controlled: whether the cell has a controller, or had one a moment ago.
-    :param waiting: requests of the group that wait here.
-    :param queue_seconds: expected wait behind those ahead; 0 when unknown.
+    :param ready: whether any back end serves the target now.
+    :param estimate_seconds: the expected time until one does; None if unknown.
+    :param has_controller: whether the cell has a controller, or had one recently.
+    :param waiting: the number of requests of the group in this daemon's queue.
+    :param queue_seconds: the expected wait in the queue; 0 if unknown.
     """
 
     ready: bool
     estimate_seconds: float | None
-    controlled: bool
+    has_controller: bool
     waiting: int
     queue_seconds: float
 
@@ -29,32 +29,34 @@
 def admit(identified: IdentifiedRequest, view: AdmissionView, now: float) -> AdmittedRequest:
     """Return the admitted request.
 
-    :raises RequestRefused: it cannot be served in time.
+    :raises RequestRefused: the queue is full, or the request cannot be served in time.
     """
-    check_room(view.waiting, identified.max_waiting, identified.group)
-    refusal = judge(identified, view, now)
+    check_queue_limit(view.waiting, identified.max_waiting, identified.group)
+    refusal = refusal_for(identified, view, now)
     if refusal is not None:
         raise refusal
     return AdmittedRequest(identified)
 
 
-def judge(identified: IdentifiedRequest, view: AdmissionView, now: float) -> RequestRefused | None:
-    """Return the refusal of a request that cannot be served in time, or None."""
-    left = identified.parsed.deadline - now
+def refusal_for(
+    identified: IdentifiedRequest, view: AdmissionView, now: float
+) -> RequestRefused | None:
+    """Return a refusal if the request cannot be served in time, otherwise None."""
+    remaining = identified.parsed.deadline - now
     if view.ready:
-        if view.queue_seconds > left:
-            return _too_late(left, view.queue_seconds)
+        if view.queue_seconds > remaining:
+            return _too_late(remaining, view.queue_seconds)
         return None
-    if view.estimate_seconds is not None and view.estimate_seconds > left:
-        return _too_late(left, view.estimate_seconds)
-    if not view.controlled:
+    if view.estimate_seconds is not None and view.estimate_seconds > remaining:
+        return _too_late(remaining, view.estimate_seconds)
+    if not view.has_controller:
         detail = "the target is not ready, and the cell has no controller to make it so"
         return RequestRefused(
-            Problem.NO_CONTROLLER, detail, retry_after_seconds=CONTROLLER_RETRY_SECONDS
+            Problem.NO_CONTROLLER, detail, retry_after_seconds=CONTROLLER_RETRY_AFTER_SECONDS
         )
     return None
 
 
-def _too_late(left: float, needed: float) -> RequestRefused:
-    detail = f"{max(left, 0.0):.2f} s are left, {needed:.2f} s are needed"
+def _too_late(remaining: float, needed: float) -> RequestRefused:
+    detail = f"{max(remaining, 0.0):.2f} s are left, {needed:.2f} s are needed"
     return RequestRefused(Problem.CANNOT_MEET_DEADLINE, detail, retry_after_seconds=needed)
--- a/loomwind/pipeline/circuit.py
+++ b/loomwind/pipeline/circuit.py
@@ -1,60 +1,63 @@
-"""Circuit breakers and the retry budget: what keeps a failing back end from bringing a storm."""
+"""Circuit breakers and the retry budget, which prevent retry storms when back ends fail."""
 
 from loomwind import constants
 
 
 class CircuitBreaker:
-    """Keeps requests away from a back end that failed several times in a row.
+    """Stops sending requests to a back end after several consecutive failures.
 
-    After the open time one request is let through; its result closes or reopens the circuit.
+    After the open time the breaker lets one request through, whose result closes or reopens it.
     """
 
     def __init__(self) -> None:
-        self._failures = 0
+        self._consecutive_failures = 0
         self._open_until = 0.0
         self._probing = False
 
     def allows(self, now: float) -> bool:
-        """Return whether a request may go to the back end."""
-        if self._failures < constants.CIRCUIT_FAILURE_THRESHOLD:
+        """Return whether a request may be sent to the back end."""
+        if self._consecutive_failures < constants.CIRCUIT_FAILURE_THRESHOLD:
             return True
         return now >= self._open_until and not self._probing
 
-    def begin(self) -> None:
-        """Count a request that is sent."""
-        self._probing = self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD
+    def record_sent(self) -> None:
+        """Record that a request is sent."""
+        self._probing = self._consecutive_failures >= constants.CIRCUIT_FAILURE_THRESHOLD
 
-    def abandoned(self) -> None:
-        """Count a request that ended for a reason of its own; it says nothing of the back end."""
+    def record_ended(self) -> None:
+        """Record that a request ended without a result that tells the back end's health."""
         self._probing = False
 
-    def succeeded(self) -> None:
-        """Close the circuit."""
-        self._failures = 0
+    def record_success(self) -> None:
+        """Record a success and close the circuit."""
+        self._consecutive_failures = 0
         self._probing = False
 
-    def failed(self, now: float) -> bool:
-        """Count a failure; returns whether the circuit opened by it."""
-        self._failures += 1
+    def record_failure(self, now: float) -> bool:
+        """Record a failure, and return whether it opened the circuit."""
+        self._consecutive_failures += 1
         self._probing = False
-        if self._failures >= constants.CIRCUIT_FAILURE_THRESHOLD:
+        if self._consecutive_failures >= constants.CIRCUIT_FAILURE_THRESHOLD:
             self._open_until = now + constants.CIRCUIT_OPEN_SECONDS
-        return self._failures == constants.CIRCUIT_FAILURE_THRESHOLD
+        return self._consecutive_failures == constants.CIRCUIT_FAILURE_THRESHOLD
 
 
 class RetryBudget:
-    """Allows retries as a share of requests, and a few more so that quiet times can retry."""
+    """A token bucket that limits retries to a share of requests.
+
+    The bucket starts full, so that a few retries are possible at low traffic.
+    """
 
     def __init__(self) -> None:
-        self._tokens = constants.RETRY_BUDGET_MINIMUM
+        self._tokens = constants.RETRY_BUDGET_CAPACITY
 
     def on_request(self) -> None:
-        """Count a first attempt."""
-        limit = constants.RETRY_BUDGET_MINIMUM
+        """Add the share of a retry that a new request allows."""
+        limit = constants.RETRY_BUDGET_CAPACITY
         self._tokens = min(limit, self._tokens + constants.RETRY_BUDGET_RATIO)
 
-    def take(self) -> bool:
-        """Take one retry; False when the budget is used up."""
+    def try_spend(self) -> bool:
+        """Spend one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/loomwind/pipeline/demand_reporter.py
+++ b/loomwind/pipeline/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Tells the controller what waits and runs here: at once when that changes, else now and then."""
+"""Reports queued and running requests to the controller, on changes and at a keepalive interval."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -13,7 +13,7 @@
 
 
 class DemandReporter:
-    """Sends this router's demand reports, at most one in each interval."""
+    """Sends this router's demand reports, at most one per interval."""
 
     def __init__(
         self,
@@ -27,14 +27,14 @@
         self._queue = queue
         self._selector = selector
         self._changed = asyncio.Event()
-        self._last: tuple[DemandEntry, ...] = ()
+        self._last_entries: tuple[DemandEntry, ...] = ()
 
     def notify(self) -> None:
-        """Say that the demand changed."""
+        """Request a report because the demand changed."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(constants.DEMAND_KEEPALIVE_SECONDS):
@@ -50,12 +50,12 @@
         if contact is None:
             return
         entries = self._entries()
-        if not entries and not self._last:
+        if not entries and not self._last_entries:
             return
-        self._last = entries
+        self._last_entries = entries
         own = self._membership.own
         message = DemandReport(own.cell, own.identity, entries)
-        self._transport.cast(contact.address, message)
+        self._transport.send(contact.address, message)
 
     def _entries(self) -> tuple[DemandEntry, ...]:
         now = asyncio.get_running_loop().time()
--- a/loomwind/pipeline/forward.py
+++ b/loomwind/pipeline/forward.py
@@ -1,7 +1,7 @@
-"""Sixth filter: hands a request to its back end and waits for the head of the answer.
+"""Sixth stage: sends a request to its back end and waits for the response head.
 
-A failure says whether the request may have run: not if no byte was handed over or the back end
-said that it refused the request unstarted; otherwise nobody knows.
+A failure tells whether the request may have run. It did not run if no byte was sent, or if the back
+end reported that it refused the request; otherwise this is unknown.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,13 @@
 )
 from loomwind.http.client import ClientConnection, HttpClient
 from loomwind.http.errors import ConnectFailed, HttpError
-from loomwind.http.messages import Headers, HttpRequest, HttpResponse, end_to_end, find_header
+from loomwind.http.messages import (
+    Headers,
+    HttpRequest,
+    HttpResponse,
+    end_to_end_headers,
+    find_header,
+)
 from loomwind.pipeline.errors import AttemptFailed
 from loomwind.pipeline.types import ForwardedResponse, SelectedRequest
 from loomwind.schema import Artifact, Outcome
@@ -32,22 +38,28 @@
 
 
 class Attempt:
-    """One try at one back end; remembers whether any byte was handed over."""
+    """One attempt at one back end.
+
+    :ivar request_sent: whether any byte of the request was sent; False again once the back end
+        reports that the request did not run.
+    """
 
     def __init__(self, selected: SelectedRequest) -> None:
         self.selected = selected
-        self.handed_over = False
+        self.request_sent = False
 
 
 def backend_request(selected: SelectedRequest, resume_from: int | None = None) -> HttpRequest:
-    """Return the request as the back end gets it.
+    """Return the request as it is sent to the back end.
 
-    :param resume_from: byte of the answer's body to go on from, for a stream that was cut.
+    :param resume_from: the byte offset in the response body at which to resume a broken stream.
     """
     identified = selected.admitted.identified
     http = identified.parsed.http
     headers: Headers = tuple(
-        (name, value) for name, value in end_to_end(http.headers) if name not in INTERNAL_HEADERS
+        (name, value)
+        for name, value in end_to_end_headers(http.headers)
+        if name not in INTERNAL_HEADERS
     )
     headers += ((REQUEST_ID_HEADER, identified.parsed.request_id),)
     if isinstance(identified.target, Artifact):
@@ -66,9 +78,9 @@
         self._on_leaving = on_leaving
 
     async def forward(self, attempt: Attempt, resume_from: int | None = None) -> ForwardedResponse:
-        """Hand the request over and return the answer's head.
+        """Send the request and return the response, of which only the head was read.
 
-        :raises AttemptFailed: there is no answer to this request.
+        :raises AttemptFailed: the back end sent no response to this request.
         """
         selected = attempt.selected
         request = backend_request(selected, resume_from)
@@ -79,7 +91,7 @@
         except ConnectFailed as error:
             raise AttemptFailed(str(error), Outcome.NOT_RUN) from error
         try:
-            attempt.handed_over = True
+            attempt.request_sent = True
             connection.send_request(request)
             head = await connection.read_head()
         except HttpError as error:
@@ -88,12 +100,12 @@
         except BaseException:
             connection.close()
             raise
-        return self._accept(attempt, connection, head)
+        return self._check_head(attempt, connection, head)
 
-    def _accept(
+    def _check_head(
         self, attempt: Attempt, connection: ClientConnection, head: HttpResponse
     ) -> ForwardedResponse:
-        """Check that the head answers this request and that the back end took it."""
+        """Check that the response belongs to this request and that the back end accepted it."""
         selected = attempt.selected
         if head.header(STATE_HEADER) == LEAVING:
             self._on_leaving(selected.backend.name)
@@ -101,7 +113,7 @@
             connection.close()
             raise AttemptFailed("the back end answered another request", Outcome.UNKNOWN)
         if head.header(OUTCOME_HEADER) == NOT_RUN:
-            attempt.handed_over = False
+            attempt.request_sent = False
             connection.close()
             raise AttemptFailed(
                 f"{selected.backend.name} refused it unstarted",
@@ -110,7 +122,7 @@
             )
         headers = tuple(
             (name, value)
-            for name, value in end_to_end(head.headers)
+            for name, value in end_to_end_headers(head.headers)
             if name not in (STATE_HEADER, OUTCOME_HEADER)
         )
         streamed = (find_header(headers, "content-type") or "").startswith(EVENT_STREAM)
--- a/loomwind/pipeline/handler.py
+++ b/loomwind/pipeline/handler.py
@@ -1,4 +1,4 @@
-"""Chains the filters for one request, counts it, and gives every request one final answer."""
+"""Runs the pipeline stages for a request, counts it, and sends exactly one final response."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 from loomwind import constants
 from loomwind.catalog.model import Catalog
-from loomwind.control.claim_service import ClaimService, HeldKey
+from loomwind.control.claim_service import ClaimHandle, ClaimService
 from loomwind.control.errors import ClaimBarrier, ClaimTaken, ClaimUnavailable
 from loomwind.http.errors import ConnectionBroken
 from loomwind.http.server import Exchange
@@ -20,45 +20,46 @@
 from loomwind.pipeline.identify import identify
 from loomwind.pipeline.parse import parse
 from loomwind.pipeline.queue import RequestQueue
-from loomwind.pipeline.relay import HeldBody, Relay
+from loomwind.pipeline.relay import BufferedBody, Relay
 from loomwind.pipeline.routing_table import RoutingTable
 from loomwind.pipeline.select import Selector
 from loomwind.pipeline.types import AdmittedRequest, ForwardedResponse, IdentifiedRequest
 from loomwind.schema import Artifact, Outcome
 from loomwind.settings import LimitSettings
 
-RETRY_SOON_SECONDS = 1.0
-RETRY_BARRIER_SECONDS = 30.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
+BARRIER_RETRY_AFTER_SECONDS = 30.0
 
 
-class Answer(Struct, frozen=True):
-    """An answer that can be sent: a held body, or a stream when ``body`` is None.
+class PreparedResponse(Struct, frozen=True):
+    """A response that is ready to send: with a buffered body, or a stream if ``body`` is None.
 
-    :param attempt_seconds: how long it has held its slot so far.
+    :param attempt_seconds: how long the attempt has used its slot so far.
     """
 
     response: ForwardedResponse
-    body: HeldBody | None
+    body: BufferedBody | None
     attempt_seconds: float
 
 
-class Progress:
-    """How far a request has come, over all its attempts.
+class RequestProgress:
+    """The state of a request over all its attempts.
 
-    :ivar attempt: the attempt under way.
-    :ivar held: the claim on the request's key; kept from one attempt to the next.
+    :ivar attempt: the latest attempt that was forwarded.
+    :ivar claim: the claim on the request's idempotency key; kept for further attempts.
+    :ivar may_have_run: whether a failed attempt may have run.
     """
 
     def __init__(self) -> None:
         self.attempt: Attempt | None = None
-        self.held: HeldKey | None = None
+        self.claim: ClaimHandle | None = None
         self.may_have_run = False
 
     @property
     def outcome(self) -> Outcome:
-        """Return what can be said of the request if it ends now."""
-        under_way = self.attempt is not None and self.attempt.handed_over
-        return Outcome.UNKNOWN if under_way or self.may_have_run else Outcome.NOT_RUN
+        """Return the outcome to report if the request ends now."""
+        in_progress = self.attempt is not None and self.attempt.request_sent
+        return Outcome.UNKNOWN if in_progress or self.may_have_run else Outcome.NOT_RUN
 
 
 class RequestHandler:
@@ -86,7 +87,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._claims = claims
-        self._admission = admission
+        self._admission_view = admission
         self._metrics = metrics
         self._budget = RetryBudget()
 
@@ -95,7 +96,7 @@
         return asyncio.get_running_loop().time()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request; it ends as exactly one of answered, refused or cancelled."""
+        """Serve one request, and count it as exactly one of answered, refused or cancelled."""
         self._metrics.accepted.inc()
         self._metrics.waiting.inc()
         request_id = (exchange.request and exchange.request.header("x-request-id")) or ""
@@ -103,7 +104,7 @@
             await self._serve(exchange)
             self._metrics.answered.inc()
         except RequestRefused as refusal:
-            self._count(refusal)
+            self._count_refusal(refusal)
             await self._refuse(exchange, refusal, request_id)
         except (ConnectionBroken, asyncio.CancelledError):
             self._metrics.cancelled.inc()
@@ -111,12 +112,12 @@
         except Exception as error:
             log_state("request", "internal-error", error=repr(error))
             internal = RequestRefused(Problem.INTERNAL_ERROR, "see the log", Outcome.UNKNOWN)
-            self._count(internal)
+            self._count_refusal(internal)
             await self._refuse(exchange, internal, request_id)
         finally:
             self._metrics.waiting.dec()
 
-    def _count(self, refusal: RequestRefused) -> None:
+    def _count_refusal(self, refusal: RequestRefused) -> None:
         self._metrics.refused.labels(refusal.problem.slug, refusal.outcome.value).inc()
 
     async def _refuse(self, exchange: Exchange, refusal: RequestRefused, request_id: str) -> None:
@@ -129,23 +130,25 @@
         parsed = parse(exchange, self._limits, self._now())
         if not self.ready:
             detail = "the catalog is not known yet"
-            raise RequestRefused(Problem.NOT_READY, detail, retry_after_seconds=RETRY_SOON_SECONDS)
+            raise RequestRefused(
+                Problem.NOT_READY, detail, retry_after_seconds=DEFAULT_RETRY_AFTER_SECONDS
+            )
         identified = identify(parsed, self._catalog(), self._is_ready)
-        admitted = admit(identified, self._admission(identified), self._now())
+        admitted = admit(identified, self._admission_view(identified), self._now())
         self._queue.arrivals[(identified.target, identified.group)] += 1
-        answer = await self._obtain(admitted)
-        response = answer.response
+        prepared = await self._get_response(admitted)
+        response = prepared.response
         forwarded_at = self._now()
         try:
-            if answer.body is None or not answer.body.complete:
-                prefix = answer.body.data if answer.body else b""
+            if prepared.body is None or not prepared.body.complete:
+                prefix = prepared.body.data if prepared.body else b""
                 await self._relay.stream(exchange, response, parsed.request_id, prefix)
             else:
-                data = answer.body.data
-                await self._relay.send_held(exchange, response, data, parsed.request_id)
+                data = prepared.body.data
+                await self._relay.send_buffered(exchange, response, data, parsed.request_id)
         finally:
-            held_seconds = answer.attempt_seconds + self._now() - forwarded_at
-            self._selector.served(admitted.target, held_seconds)
+            slot_seconds = prepared.attempt_seconds + self._now() - forwarded_at
+            self._selector.record_service_time(admitted.target, slot_seconds)
             self._release(response)
 
     def _is_ready(self, artifact: Artifact) -> bool:
@@ -153,48 +156,50 @@
 
     def _release(self, response: ForwardedResponse) -> None:
         self._selector.release(response.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
-    async def _obtain(self, admitted: AdmittedRequest) -> Answer:
-        """Try until there is an answer, the deadline is near, or trying again is not allowed."""
+    async def _get_response(self, admitted: AdmittedRequest) -> PreparedResponse:
+        """Make attempts until one gets a response, the deadline is near or no retry is allowed."""
         self._budget.on_request()
-        progress = Progress()
+        progress = RequestProgress()
         try:
             for attempt_number in range(constants.MAX_ATTEMPTS):
                 try:
-                    return await self._try_once(admitted, progress)
+                    return await self._attempt_before_deadline(admitted, progress)
                 except AttemptFailed as failure:
                     self._check_retry(admitted, failure, attempt_number)
                     self._metrics.retries.inc()
             raise AssertionError("the last attempt raises")
         except BaseException:
-            if progress.held is not None and progress.outcome is Outcome.NOT_RUN:
-                self._claims.release(progress.held)
+            if progress.claim is not None and progress.outcome is Outcome.NOT_RUN:
+                self._claims.release(progress.claim)
             raise
 
     def _check_retry(
         self, admitted: AdmittedRequest, failure: AttemptFailed, attempt_number: int
     ) -> None:
-        """Return when another attempt is allowed.
+        """Check that a retry is allowed, and spend it from the retry budget.
 
-        :raises RequestRefused: it is not.
+        :raises RequestRefused: no retry is allowed.
         """
-        safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
-        last = attempt_number + 1 >= constants.MAX_ATTEMPTS
-        if safe and not last and self._budget.take():
+        retry_safe = failure.outcome is Outcome.NOT_RUN or admitted.identified.repeatable
+        is_last_attempt = attempt_number + 1 >= constants.MAX_ATTEMPTS
+        if retry_safe and not is_last_attempt and self._budget.try_spend():
             return
-        unstarted = failure.outcome is Outcome.NOT_RUN
-        problem = Problem.NO_BACKEND if unstarted else Problem.BACKEND_FAILED
-        retry_after = RETRY_SOON_SECONDS if safe else None
+        not_run = failure.outcome is Outcome.NOT_RUN
+        problem = Problem.NO_BACKEND if not_run else Problem.BACKEND_FAILED
+        retry_after = DEFAULT_RETRY_AFTER_SECONDS if retry_safe else None
         raise RequestRefused(problem, str(failure), failure.outcome, retry_after) from failure
 
-    async def _try_once(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
-        """Queue, select, forward, and read the answer up to where it can be sent.
+    async def _attempt_before_deadline(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> PreparedResponse:
+        """Wait for a slot, forward the request and read the response until it can be sent.
 
-        :raises AttemptFailed: the back end gave no answer.
-        :raises RequestRefused: the request ended without one.
+        :raises AttemptFailed: the back end sent no usable response.
+        :raises RequestRefused: the deadline is too near, or the request was refused.
         """
-        margin = constants.ANSWER_MARGIN_SECONDS
+        margin = constants.DEADLINE_MARGIN_SECONDS
         try:
             async with asyncio.timeout_at(admitted.deadline - margin):
                 return await self._attempt(admitted, progress)
@@ -207,59 +212,61 @@
 
     def _retry_after(self, admitted: AdmittedRequest) -> float:
         estimate = self._table.estimate_seconds(admitted.target)
-        return RETRY_SOON_SECONDS if estimate is None else estimate
+        return DEFAULT_RETRY_AFTER_SECONDS if estimate is None else estimate
 
-    async def _attempt(self, admitted: AdmittedRequest, progress: Progress) -> Answer:
+    async def _attempt(
+        self, admitted: AdmittedRequest, progress: RequestProgress
+    ) -> PreparedResponse:
         selected = await self._queue.wait(admitted)
         attempt = Attempt(selected)
-        began = self._now()
+        started_at = self._now()
         try:
-            if progress.held is None:
-                progress.held = await self._claim(admitted)
+            if progress.claim is None:
+                progress.claim = await self._claim(admitted)
             progress.attempt = attempt
             response = await self._forwarder.forward(attempt)
-            body = None if response.streamed else await self._relay.hold(response)
+            body = None if response.streamed else await self._relay.buffer_body(response)
         except BaseException as error:
             self._on_attempt_failed(attempt, progress, error)
             raise
-        self._selector.circuit(selected.backend.name).succeeded()
-        return Answer(response, body, self._now() - began)
+        self._selector.circuit(selected.backend.name).record_success()
+        return PreparedResponse(response, body, self._now() - started_at)
 
     def _on_attempt_failed(
-        self, attempt: Attempt, progress: Progress, error: BaseException
+        self, attempt: Attempt, progress: RequestProgress, error: BaseException
     ) -> None:
         backend = attempt.selected.backend.name
         circuit = self._selector.circuit(backend)
         if isinstance(error, AttemptFailed) and error.stale_route:
-            circuit.abandoned()
+            circuit.record_ended()
             self._table.drop_replica(attempt.selected.admitted.target, backend)
         elif isinstance(error, AttemptFailed):
-            if circuit.failed(self._now()):
+            if circuit.record_failure(self._now()):
                 log_state("circuit", "open", backend=backend)
         else:
-            circuit.abandoned()
-        progress.may_have_run |= attempt.handed_over
+            circuit.record_ended()
+        progress.may_have_run |= attempt.request_sent
         self._selector.release(attempt.selected)
-        self._queue.pump()
+        self._queue.dispatch()
 
-    async def _claim(self, admitted: AdmittedRequest) -> HeldKey | None:
-        """Claim the request's key, if it has one.
+    async def _claim(self, admitted: AdmittedRequest) -> ClaimHandle | None:
+        """Claim the request's idempotency key, if it has one.
 
         :raises RequestRefused: the key was not granted.
         """
         key = admitted.identified.parsed.idempotency_key
         if key is None:
             return None
-        scoped = f"{admitted.identified.group}/{key}"
+        scoped_key = f"{admitted.identified.group}/{key}"
         try:
-            return await self._claims.claim(scoped, admitted.deadline - self._now())
+            return await self._claims.claim(scoped_key, admitted.deadline - self._now())
         except ClaimTaken as error:
             raise RequestRefused(Problem.DUPLICATE_REQUEST, str(error), Outcome.UNKNOWN) from error
         except ClaimBarrier as error:
             raise RequestRefused(
-                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, RETRY_BARRIER_SECONDS
+                Problem.KEY_UNCERTAIN, str(error), Outcome.UNKNOWN, BARRIER_RETRY_AFTER_SECONDS
             ) from error
         except ClaimUnavailable as error:
             raise RequestRefused(
-                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, RETRY_SOON_SECONDS
+                Problem.CLAIMS_UNAVAILABLE, str(error), Outcome.NOT_RUN, DEFAULT_RETRY_AFTER_SECONDS
             ) from error
--- a/loomwind/pipeline/parse.py
+++ b/loomwind/pipeline/parse.py
@@ -1,4 +1,4 @@
-"""First filter: checks a request's own headers. Exchange to ParsedRequest."""
+"""First stage: checks the headers that Loomwind reads. Turns an Exchange into a ParsedRequest."""
 
 import math
 import uuid
@@ -17,14 +17,14 @@
 
 
 def parse(exchange: Exchange, limits: LimitSettings, now: float) -> ParsedRequest:
-    """Return the checked request.
+    """Return the request with its checked headers.
 
-    :raises RequestRefused: it is malformed.
+    :raises RequestRefused: the request is malformed, or a header has an invalid value.
     """
-    if exchange.bad is not None or exchange.request is None:
-        bad = exchange.bad
-        detail = f"{bad.title}: {bad.detail}" if bad else "no request"
-        status = bad.status if bad else None
+    if exchange.bad_request is not None or exchange.request is None:
+        bad_request = exchange.bad_request
+        detail = f"{bad_request.title}: {bad_request.detail}" if bad_request else "no request"
+        status = bad_request.status if bad_request else None
         raise RequestRefused(Problem.MALFORMED_REQUEST, detail, status=status)
     http = exchange.request
     timeout = _timeout(http, limits.default_request_timeout_seconds)
@@ -38,7 +38,7 @@
 
 
 def _timeout(http: HttpRequest, default_seconds: float) -> float:
-    """Return the time that the caller gives, in seconds."""
+    """Return the request timeout in seconds: the caller's, or the default."""
     text = http.header(REQUEST_TIMEOUT_HEADER)
     if text is None:
         return default_seconds
